--- a/gossip/src/belief.rs
+++ b/gossip/src/belief.rs
@@ -8,8 +8,8 @@
 //! with weight 0.7, 0.85 or 1 for one own failure, two, or a skip; the votes have to come to 0.4 for each witness
 //! needed. Credit starts at 0.8, falls to 0.6 of itself with each claim that own good answers refute, rises by a
 //! tenth of what it lacks with one that own failures confirm, and by 0.02 in 10 s towards its start.
-use crate::evidence::{Evidence, LASTS};
-use crate::wire::{self, Claim, CLAIMS, UNIT};
+use crate::evidence::{Evidence, EVIDENCE_LIFETIME};
+use crate::wire::{self, Claim, MAX_CLAIMS, TIME_UNIT};
 use nickelgate::{Addr, Micros, Role};
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Heard {
     member: Addr,
-    life: u32,
+    short_incarnation: u32,
     strength: u8,
     /// When the member failed, on the clock here.
     at: Micros,
@@ -51,13 +51,13 @@
 
 /// What changed: a member is believed suspect from now on, or no longer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt {
+pub struct Suspicion {
     /// The member.
     pub member: Addr,
     /// The start of the member that is meant.
     pub incarnation: u64,
     /// From now on; else no longer.
-    pub believed: bool,
+    pub suspected: bool,
     /// How many hold it suspect.
     pub witnesses: usize,
 }
@@ -67,34 +67,34 @@
 /// ```
 /// use threadward_gossip::Quorum;
 ///
-/// let q = Quorum { entitled: 10, live: 6, faults: None };
-/// assert_eq!((q.faults(), q.needed(), q.majority()), (3, 4, true));
-/// assert!(!Quorum { live: 5, ..q }.majority(), "half is no majority");
-/// let few = Quorum { entitled: 3, live: 3, faults: None };
-/// assert_eq!((few.faults(), few.needed()), (0, 2), "never on the word of one");
+/// let q = Quorum { eligible: 10, live: 6, tolerated_faults: None };
+/// assert_eq!((q.tolerated_faults(), q.required_witnesses(), q.has_majority()), (3, 4, true));
+/// assert!(!Quorum { live: 5, ..q }.has_majority(), "half is no majority");
+/// let few = Quorum { eligible: 3, live: 3, tolerated_faults: None };
+/// assert_eq!((few.tolerated_faults(), few.required_witnesses()), (0, 2), "never on the word of one");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorum {
     /// Instances that may speak, this one among them.
-    pub entitled: usize,
+    pub eligible: usize,
     /// Those live by own proof, this one among them.
     pub live: usize,
     /// Liars borne, where the operators name them; else a third of the others, rounded down.
-    pub faults: Option<usize>,
+    pub tolerated_faults: Option<usize>,
 }
 
 impl Quorum {
     /// Liars borne.
-    pub fn faults(&self) -> usize {
-        self.faults.unwrap_or(self.entitled.saturating_sub(1) / 3)
+    pub fn tolerated_faults(&self) -> usize {
+        self.tolerated_faults.unwrap_or(self.eligible.saturating_sub(1) / 3)
     }
     /// Distinct witnesses that are needed.
-    pub fn needed(&self) -> usize {
-        (self.faults() + 1).max(2)
+    pub fn required_witnesses(&self) -> usize {
+        (self.tolerated_faults() + 1).max(2)
     }
     /// Whether this side of a cut has more than half of all.
-    pub fn majority(&self) -> bool {
-        self.live * 2 > self.entitled
+    pub fn has_majority(&self) -> bool {
+        self.live * 2 > self.eligible
     }
 }
 
@@ -121,21 +121,21 @@
 /// let (mut own, mut b) = (Evidence::default(), Belief::default());
 /// own.update(0, &[seen(1), seen(2)]);
 /// b.configure(&[None; 4]);
-/// let q = Quorum { entitled: 4, live: 4, faults: None };
-/// let claim = Claim { member: hub(1), life: 0, kind: Kind::Silent, strength: 3, age: 0 };
+/// let q = Quorum { eligible: 4, live: 4, tolerated_faults: None };
+/// let claim = Claim { member: hub(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
 /// b.hear(1_000_000, 1, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q).is_empty(), "one witness");
 /// b.hear(1_000_000, 2, 0, [claim].into_iter());
-/// assert!(b.evaluate(1_000_000, &own, q)[0].believed);
+/// assert!(b.evaluate(1_000_000, &own, q)[0].suspected);
 /// // An own good answer outranks them, and costs them credit.
 /// own.update(1_500_000, &[Standing { good: 1_500_000, ..seen(1) }, seen(2)]);
 /// b.judge(1_500_000, &own);
-/// assert!(!b.evaluate(1_500_000, &own, q)[0].believed && b.credit(1) < b.credit(3));
+/// assert!(!b.evaluate(1_500_000, &own, q)[0].suspected && b.credit(1) < b.credit(3));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Belief {
     witnesses: Vec<Option<Witness>>,
-    believed: BTreeMap<Addr, (Micros, usize)>,
+    suspected: BTreeMap<Addr, (Micros, usize)>,
 }
 
 impl Belief {
@@ -152,18 +152,28 @@
             || Witness { claims: Vec::new(), credit: START, recovered: now, refuted: 0, confirmed: 0 };
         let w = place.get_or_insert_with(fresh);
         let old = std::mem::take(&mut w.claims);
-        for c in claims.take(CLAIMS) {
+        for c in claims.take(MAX_CLAIMS) {
             // A statement names a member once.
             if w.claims.iter().any(|o| o.member == c.member) {
                 continue;
             }
-            let at = now.saturating_sub(age + Micros::from(c.age) * UNIT);
+            let at = now.saturating_sub(age + Micros::from(c.age) * TIME_UNIT);
             // Ages are told in steps: the same failure told again is not judged again.
-            let same = |o: &&Heard| o.member == c.member && o.life == c.life && o.at.abs_diff(at) < 100_000;
+            let same = |o: &&Heard| {
+                o.member == c.member
+                    && o.short_incarnation == c.short_incarnation
+                    && o.at.abs_diff(at) < 100_000
+            };
             let before = old.iter().find(same);
             let judged = before.is_some_and(|o| o.judged);
             let at = before.map_or(at, |o| o.at);
-            w.claims.push(Heard { member: c.member, life: c.life, strength: c.strength, at, judged });
+            w.claims.push(Heard {
+                member: c.member,
+                short_incarnation: c.short_incarnation,
+                strength: c.strength,
+                at,
+                judged,
+            });
         }
     }
 
@@ -193,7 +203,10 @@
                 w.credit = w.credit.max((w.credit + RECOVERY * spans as f64).min(START));
             }
             for c in w.claims.iter_mut().filter(|c| !c.judged) {
-                let Some(seen) = own.members.get(&c.member).filter(|s| wire::life(s.incarnation) == c.life)
+                let Some(seen) = own
+                    .members
+                    .get(&c.member)
+                    .filter(|s| wire::short_incarnation(s.incarnation) == c.short_incarnation)
                 else {
                     continue;
                 };
@@ -205,7 +218,7 @@
                     }
                 } else if seen.suspect(now) && seen.failed.abs_diff(c.at) < NEAR {
                     c.judged = true;
-                    if now >= w.confirmed + LASTS {
+                    if now >= w.confirmed + EVIDENCE_LIFETIME {
                         w.credit += CONFIRMED * (1.0 - w.credit);
                         w.confirmed = now;
                     }
@@ -215,14 +228,17 @@
     }
 
     /// What is believed now; gives the changes.
-    pub fn evaluate(&mut self, now: Micros, own: &Evidence, q: Quorum) -> Vec<Doubt> {
+    pub fn evaluate(&mut self, now: Micros, own: &Evidence, q: Quorum) -> Vec<Suspicion> {
         let mut votes: BTreeMap<Addr, (usize, f64)> = BTreeMap::new();
-        for w in self.witnesses.iter().flatten().filter(|w| w.credit >= LEAST && q.majority()) {
+        for w in self.witnesses.iter().flatten().filter(|w| w.credit >= LEAST && q.has_majority()) {
             for c in &w.claims {
                 let Some(seen) = own.members.get(&c.member) else { continue };
                 let age = now.saturating_sub(c.at);
                 // An own good answer since then outranks it.
-                if wire::life(seen.incarnation) != c.life || age >= LASTS || seen.good >= c.at {
+                if wire::short_incarnation(seen.incarnation) != c.short_incarnation
+                    || age >= EVIDENCE_LIFETIME
+                    || seen.good >= c.at
+                {
                     continue;
                 }
                 let weight = [0.0, 0.7, 0.85, 1.0][usize::from(c.strength.min(3))];
@@ -231,10 +247,10 @@
                 (v.0, v.1) = (v.0 + 1, v.1 + vote);
             }
         }
-        let need = q.needed();
+        let need = q.required_witnesses();
         let holds = |a: &Addr, v: &(usize, f64)| {
             // What is believed stays so while the witnesses stand.
-            let already = self.believed.contains_key(a);
+            let already = self.suspected.contains_key(a);
             v.0 >= need && (already || v.1 >= need as f64 * SHARE)
         };
         let mut held: Vec<(Addr, Micros, Role, usize, f64)> = votes
@@ -252,24 +268,29 @@
             _ => false,
         });
         let mut changes = Vec::new();
-        self.believed.retain(|a, (incarnation, n)| {
+        self.suspected.retain(|a, (incarnation, n)| {
             let stays = held.iter().any(|h| h.0 == *a && h.1 == *incarnation);
             if !stays {
-                changes.push(Doubt { member: *a, incarnation: *incarnation, believed: false, witnesses: *n });
+                changes.push(Suspicion {
+                    member: *a,
+                    incarnation: *incarnation,
+                    suspected: false,
+                    witnesses: *n,
+                });
             }
             stays
         });
         for (a, incarnation, _, n, _) in held {
-            if self.believed.insert(a, (incarnation, n)).is_none() {
-                changes.push(Doubt { member: a, incarnation, believed: true, witnesses: n });
+            if self.suspected.insert(a, (incarnation, n)).is_none() {
+                changes.push(Suspicion { member: a, incarnation, suspected: true, witnesses: n });
             }
         }
         changes
     }
 
     /// Members held suspect on hearsay, each with the start that is meant.
-    pub fn believed(&self) -> impl Iterator<Item = (Addr, Micros)> + '_ {
-        self.believed.iter().map(|(a, (incarnation, _))| (*a, *incarnation))
+    pub fn suspected(&self) -> impl Iterator<Item = (Addr, Micros)> + '_ {
+        self.suspected.iter().map(|(a, (incarnation, _))| (*a, *incarnation))
     }
 }
 
@@ -312,7 +333,7 @@
     }
 
     fn claim(n: u8, strength: u8, age: u16) -> Claim {
-        Claim { member: hub(n), life: 0, kind: Kind::Silent, strength, age }
+        Claim { member: hub(n), short_incarnation: 0, kind: Kind::Silent, strength, age }
     }
 
     fn belief(n: usize) -> (Belief, Evidence, Quorum) {
@@ -320,7 +341,7 @@
         b.configure(&vec![None; n]);
         let mut own = Evidence::default();
         own.update(0, &(1..=4).map(|n| standing(n, 0, 0)).collect::<Vec<_>>());
-        (b, own, Quorum { entitled: n, live: n, faults: None })
+        (b, own, Quorum { eligible: n, live: n, tolerated_faults: None })
     }
 
     #[test]
@@ -333,7 +354,7 @@
         b.hear(2 * S, 2, 0, [claim(1, 3, 0)].into_iter());
         assert_eq!(
             b.evaluate(2 * S, &own, q),
-            [Doubt { member: hub(1), incarnation: 0, believed: true, witnesses: 2 }]
+            [Suspicion { member: hub(1), incarnation: 0, suspected: true, witnesses: 2 }]
         );
     }
 
@@ -362,7 +383,7 @@
         }
         assert_eq!(b.evaluate(S, &own, Quorum { live: 3, ..q }).len(), 1);
         let lost = b.evaluate(S, &own, Quorum { live: 2, ..q });
-        assert!(!lost[0].believed);
+        assert!(!lost[0].suspected);
     }
 
     #[test]
@@ -377,7 +398,7 @@
             assert_eq!(b.evaluate(t, &own, q).len(), usize::from(round < 2), "round {round}");
             own.update(t + 100_000, &good(t + 100_000));
             b.judge(t + 100_000, &own);
-            assert!(b.evaluate(t + 100_000, &own, q).iter().all(|d| !d.believed));
+            assert!(b.evaluate(t + 100_000, &own, q).iter().all(|d| !d.suspected));
             t += 400_000;
         }
         assert!(b.credit(1) < LEAST && b.credit(3) == START);
@@ -407,7 +428,7 @@
         let held = b.evaluate(S, &own, q);
         assert_eq!(held.len(), 1, "of four hubs: {held:?}");
         assert_eq!(held[0].member, hub(2), "the one with the strongest word");
-        assert!(!b.evaluate(S + LASTS, &own, q)[0].believed);
+        assert!(!b.evaluate(S + EVIDENCE_LIFETIME, &own, q)[0].suspected);
         // What is told late is old already.
         b.hear(20 * S, 1, 3 * S, [claim(1, 3, 300)].into_iter());
         b.hear(20 * S, 2, 3 * S, [claim(1, 3, 300)].into_iter());
@@ -418,7 +439,7 @@
     fn a_former_life_of_a_member_and_unlisted_ones_do_not_count() {
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
-            let former = Claim { life: 7, ..claim(1, 3, 0) };
+            let former = Claim { short_incarnation: 7, ..claim(1, 3, 0) };
             b.hear(S, w, 0, [former, claim(99, 3, 0)].into_iter());
         }
         assert!(b.evaluate(S, &own, q).is_empty());
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -1,12 +1,12 @@
 //! What this instance's own traffic showed of the members: the only source of what it says of them. It owns the count
 //! of own failures and the short memory of own good answers. It must never take in hearsay: a skip that a rumour
 //! helped is told with the own failures behind it, no more.
-use crate::wire::{self, Claim, Kind, CLAIMS, UNIT};
+use crate::wire::{self, Claim, Kind, MAX_CLAIMS, TIME_UNIT};
 use nickelgate::{Addr, Micros, Outcome, Role, Standing};
 use std::collections::BTreeMap;
 
 /// After this a failure says nothing any more; a skip lasts as long.
-pub const LASTS: Micros = 5_000_000;
+pub const EVIDENCE_LIFETIME: Micros = 5_000_000;
 /// Own good answers are remembered in steps of so long, 32 of them.
 const STEP: Micros = 250_000;
 
@@ -87,7 +87,7 @@
     }
     /// Own failures stand and no good answer came since.
     pub fn suspect(&self, now: Micros) -> bool {
-        self.strength > 0 && self.failed > self.good && now < self.failed + LASTS
+        self.strength > 0 && self.failed > self.good && now < self.failed + EVIDENCE_LIFETIME
     }
 }
 
@@ -157,12 +157,12 @@
         all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.failed)), **a));
         let claim = |(a, s): (&Addr, &Seen)| Claim {
             member: *a,
-            life: wire::life(s.incarnation),
+            short_incarnation: wire::short_incarnation(s.incarnation),
             kind: s.kind,
             strength: s.strength,
-            age: u16::try_from(now.saturating_sub(s.failed) / UNIT).unwrap_or(u16::MAX),
+            age: u16::try_from(now.saturating_sub(s.failed) / TIME_UNIT).unwrap_or(u16::MAX),
         };
-        all.into_iter().take(CLAIMS).map(claim).collect()
+        all.into_iter().take(MAX_CLAIMS).map(claim).collect()
     }
 }
 
--- a/gossip/src/instance.rs
+++ b/gossip/src/instance.rs
@@ -7,10 +7,10 @@
 use crate::belief::{Belief, Quorum};
 use crate::budget::{Checks, Purse};
 use crate::evidence::Evidence;
-use crate::keys::{Directory, Own, PeerConfig};
+use crate::keys::{Directory, OwnKey, PeerConfig};
 use crate::members::{Members, State};
 use crate::settings::{checked, Settings};
-use crate::told::{News, Out, Tally};
+use crate::told::{Counts, Notice, Output};
 use nickelgate::{Addr, Micros, Standing};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -19,7 +19,7 @@
 /// Statements are no closer together than this.
 const APART: Micros = 50_000;
 /// For how long what is believed is to count at the module: it is told anew before it ends there.
-pub const BELIEVED: Micros = 2_000_000;
+pub const SUSPICION_TTL: Micros = 2_000_000;
 /// Signatures checked a second in all, whatever comes in.
 const CHECKS: f64 = 400.0;
 /// Bytes that membership may take in a period: a probe, the answer to another's, and half as much again.
@@ -41,13 +41,13 @@
 /// given.
 ///
 /// ```
-/// use threadward_gossip::{public, Dropped, Gossip, News, Out, PeerConfig, Settings, State};
+/// use threadward_gossip::{public_key, Dropped, Gossip, Notice, Output, PeerConfig, Settings, State};
 ///
 /// let at = |i: u16| ([127, 0, 0, 1], 7000 + i).into();
 /// let peer = |name: &str, i: u8| PeerConfig {
 ///     name: name.into(),
 ///     addr: at(i.into()),
-///     keys: vec![public(&[i; 32])],
+///     keys: vec![public_key(&[i; 32])],
 ///     seed: true,
 /// };
 /// let peers = || vec![peer("a", 1), peer("b", 2)];
@@ -56,19 +56,19 @@
 /// assert_eq!(a.state("b"), Some(State::Unknown));
 ///
 /// // A ping with a fresh number, the answer with one of its own, and the answer to that: each lives for the other.
-/// let (mut from_a, mut from_b) = (Out::default(), Out::default());
+/// let (mut from_a, mut from_b) = (Output::default(), Output::default());
 /// a.tick(a.next_due(), &mut from_a);
 /// let ping = from_a.send.remove(0).1;
 /// b.receive(1_000, at(1), &ping, &mut from_b);
 /// a.receive(2_000, at(2), &from_b.send.remove(0).1, &mut from_a);
 /// assert_eq!((a.state("b"), b.state("a")), (Some(State::Live), Some(State::Unknown)));
 /// b.receive(3_000, at(1), &from_a.send.remove(0).1, &mut from_b);
-/// let live = News::Peer { name: "a".into(), from: State::Unknown, to: State::Live };
-/// assert!(from_b.news.contains(&live) && from_b.news.contains(&News::Majority(true)));
+/// let live = Notice::Peer { name: "a".into(), from: State::Unknown, to: State::Live };
+/// assert!(from_b.notices.contains(&live) && from_b.notices.contains(&Notice::Majority(true)));
 ///
 /// // Sent again it is dropped, and counted.
 /// b.receive(4_000, at(1), &ping, &mut from_b);
-/// assert_eq!(b.tally.dropped[Dropped::Replayed as usize], 1);
+/// assert_eq!(b.counts.dropped[Dropped::Replayed as usize], 1);
 ///
 /// // One that ends by will is not waited for.
 /// a.leave(5_000, &mut from_a);
@@ -77,7 +77,7 @@
 /// # Ok::<(), String>(())
 /// ```
 pub struct Gossip {
-    own: Own,
+    own: OwnKey,
     settings: Settings,
     directory: Directory,
     start: u64,
@@ -111,7 +111,7 @@
     heard: Vec<bool>,
     majority: bool,
     /// What was counted since the start.
-    pub tally: Tally,
+    pub counts: Counts,
 }
 
 impl Gossip {
@@ -121,7 +121,7 @@
     /// # Errors
     /// One line that says what is wrong with the settings.
     pub fn new(now: Micros, settings: Settings, entropy: [u8; 32]) -> Result<Gossip, String> {
-        let own = Own::new(&settings.secret);
+        let own = OwnKey::new(&settings.secret);
         let directory = checked(&settings, &own)?;
         let mut rng = ChaCha8Rng::from_seed(entropy);
         let mut g = Gossip {
@@ -129,15 +129,15 @@
             rng,
             born: now,
             seq: 0,
-            members: Members::new(directory.me, settings.period),
+            members: Members::new(directory.me, settings.probe_period),
             newest: Vec::new(),
             knocks: Vec::new(),
             handed: Vec::new(),
             evidence: Evidence::default(),
             belief: Belief::default(),
             keep: keep(now, &settings),
-            tell: Purse::new(now, settings.floor, SAVED),
-            checks: Checks::new(now, 0, settings.checks, CHECKS),
+            tell: Purse::new(now, settings.statement_bytes_per_s, SAVED),
+            checks: Checks::new(now, 0, settings.signature_checks_per_s, CHECKS),
             helping: VecDeque::new(),
             stated: 0,
             due: None,
@@ -149,7 +149,7 @@
             busy: false,
             heard: Vec::new(),
             majority: false,
-            tally: Tally::default(),
+            counts: Counts::default(),
             own,
             directory: Directory::default(),
             settings,
@@ -164,14 +164,14 @@
     /// One line that says what is wrong; nothing has changed then.
     pub fn reconfigure(&mut self, now: Micros, settings: Settings) -> Result<(), String> {
         let now = self.forward(now);
-        let own = Own::new(&settings.secret);
+        let own = OwnKey::new(&settings.secret);
         let directory = checked(&settings, &own)?;
         self.own = own;
         self.members.changes.clear();
         self.keep = keep(now, &settings);
         self.settings = settings;
         self.tell.rate(now, self.floor());
-        self.members.period = self.settings.period;
+        self.members.period = self.settings.probe_period;
         self.adopt(now, directory);
         Ok(())
     }
@@ -190,14 +190,14 @@
         self.knocks = vec![(0, 0); kept.len()];
         self.handed = vec![0; kept.len()];
         self.heard = (0..kept.len()).map(|i| self.belief.heard(i)).collect();
-        self.checks = Checks::new(now, kept.len(), self.settings.checks, CHECKS);
+        self.checks = Checks::new(now, kept.len(), self.settings.signature_checks_per_s, CHECKS);
         self.helping.clear();
     }
 
     /// The numbers that belief rests on now.
     pub fn quorum(&self) -> Quorum {
-        let (entitled, live) = (self.directory.entitled(), self.members.live());
-        Quorum { entitled, live, faults: self.settings.faults }
+        let (eligible, live) = (self.directory.eligible(), self.members.live());
+        Quorum { eligible, live, tolerated_faults: self.settings.tolerated_faults }
     }
 
     /// State of the peer of this name; nothing where the file names none.
@@ -213,17 +213,17 @@
     }
 
     /// Members held suspect on the word of others.
-    pub fn believed(&self) -> Vec<Addr> {
-        self.belief.believed().map(|(a, _)| a).collect()
+    pub fn suspected_members(&self) -> Vec<Addr> {
+        self.belief.suspected().map(|(a, _)| a).collect()
     }
 
     /// Requests were served: each earns bytes to send.
-    pub fn served(&mut self, n: u64) {
-        self.tell.earn(n as f64 * self.settings.per_request);
+    pub fn add_served_requests(&mut self, n: u64) {
+        self.tell.earn(n as f64 * self.settings.statement_bytes_per_request);
     }
 
     /// The proxy has more to do than it can: statements get half of their bytes, and nothing is handed on.
-    pub fn busy(&mut self, now: Micros, busy: bool) {
+    pub fn set_overloaded(&mut self, now: Micros, busy: bool) {
         let now = self.forward(now);
         if std::mem::replace(&mut self.busy, busy) != busy {
             self.tell.rate(now, self.floor());
@@ -232,7 +232,7 @@
 
     /// Bytes of statements a second, whatever is served.
     fn floor(&self) -> f64 {
-        self.settings.floor * if self.busy { 0.5 } else { 1.0 }
+        self.settings.statement_bytes_per_s * if self.busy { 0.5 } else { 1.0 }
     }
 
     /// When [`Gossip::tick`] has something to do next.
@@ -248,7 +248,7 @@
     }
 
     /// Carries out what is due by now.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Output) {
         let now = self.forward(now);
         let mut orders = Vec::new();
         let rich = self.keep.holds(now, JOINS);
@@ -262,7 +262,7 @@
     }
 
     /// Takes in what own traffic shows of all members by now. Call it every 50 ms or so.
-    pub fn observe(&mut self, now: Micros, standings: &[Standing], out: &mut Out) {
+    pub fn observe(&mut self, now: Micros, standings: &[Standing], out: &mut Output) {
         let now = self.forward(now);
         if self.evidence.update(now, standings) {
             // At once, unless one went out just now.
@@ -278,21 +278,21 @@
     }
 
     /// A probe of a member ended, where the settings allow probes.
-    pub fn probed(&mut self, now: Micros, member: Addr, good: bool, out: &mut Out) {
+    pub fn probed(&mut self, now: Micros, member: Addr, good: bool, out: &mut Output) {
         let now = self.forward(now);
         self.evidence.probed(now, member, good);
         self.settle(now, out);
     }
 
     /// Draws the conclusions and says what changed.
-    fn settle(&mut self, now: Micros, out: &mut Out) {
+    fn settle(&mut self, now: Micros, out: &mut Output) {
         for c in std::mem::take(&mut self.members.changes) {
             // Its word ends with it.
             if !matches!(c.to, State::Live | State::Suspect) {
                 self.belief.silence(c.peer);
             }
             if let Some(p) = self.directory.peers.get(c.peer) {
-                out.news.push(News::Peer { name: p.name.clone(), from: c.from, to: c.to });
+                out.notices.push(Notice::Peer { name: p.name.clone(), from: c.from, to: c.to });
             }
         }
         self.belief.judge(now, &self.evidence);
@@ -300,20 +300,20 @@
         for (i, p) in self.directory.peers.iter().enumerate() {
             let heard = self.belief.heard(i);
             if std::mem::replace(&mut self.heard[i], heard) != heard {
-                out.news.push(News::Credit { name: p.name.clone(), heard });
+                out.notices.push(Notice::WitnessTrust { name: p.name.clone(), trusted: heard });
             }
         }
-        if std::mem::replace(&mut self.majority, quorum.majority()) != quorum.majority() {
-            out.news.push(News::Majority(quorum.majority()));
+        if std::mem::replace(&mut self.majority, quorum.has_majority()) != quorum.has_majority() {
+            out.notices.push(Notice::Majority(quorum.has_majority()));
         }
         let changes = self.belief.evaluate(now, &self.evidence, quorum);
         let changed = !changes.is_empty();
-        out.news.extend(changes.into_iter().map(News::Doubt));
+        out.notices.extend(changes.into_iter().map(Notice::Suspicion));
         // What goes on is told again before it runs out at the module.
-        if !changed && now >= self.told + BELIEVED / 2 {
-            let believed: Vec<(Addr, Micros)> = self.belief.believed().collect();
+        if !changed && now >= self.told + SUSPICION_TTL / 2 {
+            let believed: Vec<(Addr, Micros)> = self.belief.suspected().collect();
             for (member, incarnation) in believed {
-                out.news.push(News::Still { member, incarnation });
+                out.notices.push(Notice::SuspicionContinues { member, incarnation });
             }
             self.told = now;
         }
@@ -322,5 +322,5 @@
 
 /// The purse of membership.
 fn keep(now: Micros, s: &Settings) -> Purse {
-    Purse::new(now, KEEP * 1e6 / s.period as f64, KEEP * 3.0)
+    Purse::new(now, KEEP * 1e6 / s.probe_period as f64, KEEP * 3.0)
 }
--- a/gossip/src/instance/receive.rs
+++ b/gossip/src/instance/receive.rs
@@ -2,9 +2,9 @@
 //! first. It must never take anything that a datagram says for true before its signature was checked.
 use super::send::FANOUT;
 use super::{Gossip, Helping};
-use crate::keys::SIGNATURE;
+use crate::keys::SIGNATURE_BYTES;
 use crate::session::{Session, Stale};
-use crate::told::{Dropped, Out};
+use crate::told::{Dropped, Output};
 use crate::wire::{self, Body, Claims, Datagram, Head, Hints};
 use nickelgate::Micros;
 use std::net::SocketAddr;
@@ -15,20 +15,26 @@
 
 impl Gossip {
     /// A datagram came in.
-    pub fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8], out: &mut Out) {
+    pub fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8], out: &mut Output) {
         let now = self.forward(now);
         match self.take_in(now, from, bytes, out) {
             Ok(()) => {
-                self.tally.received += 1;
+                self.counts.received += 1;
                 self.settle(now, out);
             }
-            Err(why) => self.tally.dropped[why as usize] += 1,
+            Err(why) => self.counts.dropped[why as usize] += 1,
         }
     }
 
     /// The checks, the cheap ones first: size, source, form, key, newness, the purse for signatures, the signature.
-    fn take_in(&mut self, now: Micros, from: SocketAddr, bytes: &[u8], out: &mut Out) -> Result<(), Dropped> {
-        if bytes.len() > wire::MOST || bytes.len() <= SIGNATURE {
+    fn take_in(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        bytes: &[u8],
+        out: &mut Output,
+    ) -> Result<(), Dropped> {
+        if bytes.len() > wire::MAX_DATAGRAM_BYTES || bytes.len() <= SIGNATURE_BYTES {
             return Err(Dropped::Size);
         }
         let address = self.directory.address(from).ok_or(Dropped::Source)?;
@@ -93,7 +99,7 @@
         if !self.checks.allow(now, address, proved) {
             return Err(Dropped::Flood);
         }
-        self.tally.checked += 1;
+        self.counts.signatures_checked += 1;
         if !self.directory.verify(d.head.key, d.signed, d.signature) {
             return Err(Dropped::Forged);
         }
@@ -109,7 +115,7 @@
         d: &Datagram<'_>,
         age: Option<Micros>,
         bytes: &[u8],
-        out: &mut Out,
+        out: &mut Output,
     ) {
         if age.is_some() {
             if let Some(s) = self.members.peers.get_mut(author).and_then(|p| p.session.as_mut()) {
@@ -167,8 +173,8 @@
             s.anchor(sent, now, head);
             s.accept(head);
         } else {
-            if p.session.is_some() && now < p.proved + self.settings.period * 5 {
-                self.tally.conflicts += 1;
+            if p.session.is_some() && now < p.proved + self.settings.probe_period * 5 {
+                self.counts.conflicts += 1;
             }
             p.session = Some(Session::new(sent, now, head, p.session.as_ref()));
             // What it said in a former life ended with that.
@@ -204,7 +210,7 @@
         age: Option<Micros>,
         claims: Claims<'_>,
         bytes: &[u8],
-        out: &mut Out,
+        out: &mut Output,
     ) {
         let (Some(newest), Some(age)) = (self.newest.get_mut(author), age) else { return };
         // One that was overtaken by a newer one of the same life says nothing any more.
--- a/gossip/src/instance/send.rs
+++ b/gossip/src/instance/send.rs
@@ -2,9 +2,9 @@
 //! making of datagrams and to whom they go. It must never send past a purse, save the one farewell at its end, nor sign
 //! another's word: what is handed on goes as it came.
 use super::{Gossip, SAVED};
-use crate::keys::SIGNATURE;
+use crate::keys::SIGNATURE_BYTES;
 use crate::members::{self, Order};
-use crate::told::Out;
+use crate::told::Output;
 use crate::wire::{self, Head, Hint};
 use nickelgate::Micros;
 
@@ -26,20 +26,20 @@
 impl Gossip {
     pub(super) fn head(&mut self, now: Micros) -> Head {
         self.seq = self.seq.wrapping_add(1);
-        let uptime = (now.saturating_sub(self.born) / wire::UNIT) as u32;
+        let uptime = (now.saturating_sub(self.born) / wire::TIME_UNIT) as u32;
         Head { key: self.own.id(), start: self.start, seq: self.seq, uptime }
     }
 
-    pub(super) fn post(&mut self, to: usize, bytes: Vec<u8>, out: &mut Out) {
+    pub(super) fn post(&mut self, to: usize, bytes: Vec<u8>, out: &mut Output) {
         let Some(p) = self.directory.peers.get(to) else { return };
-        self.tally.sent += 1;
-        self.tally.sent_bytes += bytes.len() as u64;
+        self.counts.sent += 1;
+        self.counts.sent_bytes += bytes.len() as u64;
         out.send.push((p.addr, bytes));
     }
 
     /// Signs and sends what membership needs: it may run into debt, as far as a purse holds.
-    pub(super) fn post_needed(&mut self, now: Micros, to: usize, mut bytes: Vec<u8>, out: &mut Out) {
-        if self.keep.owe(now, (bytes.len() + SIGNATURE) as f64) {
+    pub(super) fn post_needed(&mut self, now: Micros, to: usize, mut bytes: Vec<u8>, out: &mut Output) {
+        if self.keep.owe(now, (bytes.len() + SIGNATURE_BYTES) as f64) {
             self.own.sign(&mut bytes);
             self.post(to, bytes, out);
         }
@@ -50,7 +50,7 @@
         hints.into_iter().map(|(i, lost)| Hint { peer: self.directory.id(i), lost }).collect()
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, orders: Vec<Order>, out: &mut Out) {
+    pub(super) fn carry_out(&mut self, now: Micros, orders: Vec<Order>, out: &mut Output) {
         for o in orders {
             match o {
                 Order::Ping { peer, nonce } => {
@@ -81,7 +81,7 @@
     }
 
     /// Tells all that is held suspect, in one datagram, signed once and sent to some.
-    pub(super) fn state_claims(&mut self, now: Micros, out: &mut Out) {
+    pub(super) fn state_claims(&mut self, now: Micros, out: &mut Output) {
         (self.stated, self.due) = (now, None);
         let claims = self.evidence.claims(now);
         if claims.is_empty() {
@@ -100,18 +100,18 @@
     }
 
     /// Sends a statement to each as far as the purse goes, and leaves so much in it.
-    fn offer(&mut self, now: Micros, to: &[usize], bytes: &[u8], reserve: f64, out: &mut Out) {
+    fn offer(&mut self, now: Micros, to: &[usize], bytes: &[u8], reserve: f64, out: &mut Output) {
         for peer in to {
             if self.tell.holds(now, reserve) && self.tell.spend(now, bytes.len() as f64) {
                 self.post(*peer, bytes.to_vec(), out);
             } else {
-                self.tally.withheld += 1;
+                self.counts.withheld += 1;
             }
         }
     }
 
     /// Ends by will: some are told, and hand it on.
-    pub fn leave(&mut self, now: Micros, out: &mut Out) {
+    pub fn leave(&mut self, now: Micros, out: &mut Output) {
         let now = self.forward(now);
         let head = self.head(now);
         let mut bytes = wire::leave(head);
@@ -122,7 +122,7 @@
     }
 
     /// Passes a datagram on as it came, with its author's signature.
-    pub(super) fn hand_on(&mut self, now: Micros, author: usize, bytes: &[u8], out: &mut Out) {
+    pub(super) fn hand_on(&mut self, now: Micros, author: usize, bytes: &[u8], out: &mut Output) {
         let Some(last) = self.handed.get_mut(author).filter(|at| now >= **at + HANDED) else { return };
         if self.busy {
             return;
--- a/gossip/src/keys.rs
+++ b/gossip/src/keys.rs
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 
 /// Bytes of a signature.
-pub const SIGNATURE: usize = 64;
+pub const SIGNATURE_BYTES: usize = 64;
 /// Peers that a file may name.
-pub const MOST_PEERS: usize = 4096;
+pub const MAX_PEERS: usize = 4096;
 /// Keys of one peer that count at once: the one in use and the one that follows or precedes it.
-pub const MOST_KEYS: usize = 2;
+pub const MAX_KEYS_PER_PEER: usize = 2;
 /// What is signed begins with this, so that a signature made for another purpose never fits.
 const DOMAIN: &[u8] = b"threadward-gossip-1";
 
 /// The first four bytes of a SHA-256: ids of peers (of the name) and of keys (of the public key).
-pub fn short(bytes: &[u8]) -> u32 {
+pub fn short_id(bytes: &[u8]) -> u32 {
     let hash = Sha256::digest(bytes);
     u32::from_be_bytes([hash[0], hash[1], hash[2], hash[3]]).max(1)
 }
@@ -37,7 +37,7 @@
 /// A new secret's public key, as operators put it into the file.
 ///
 /// ```
-/// use threadward_gossip::public;
+/// use threadward_gossip::public_key;
 ///
 /// // The first test vector of RFC 8032, section 7.1.
 /// let bytes = |hex: &str| -> Vec<u8> {
@@ -45,25 +45,25 @@
 /// };
 /// let secret = bytes("9d61b19deffd5a60ba844af492ec2cc44449c5697b326919703bac031cae7f60");
 /// let key = bytes("d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a");
-/// assert_eq!(public(&secret.try_into().unwrap()).to_vec(), key);
+/// assert_eq!(public_key(&secret.try_into().unwrap()).to_vec(), key);
 /// ```
-pub fn public(secret: &[u8; 32]) -> [u8; 32] {
+pub fn public_key(secret: &[u8; 32]) -> [u8; 32] {
     SigningKey::from_bytes(secret).verifying_key().to_bytes()
 }
 
 /// The own secret.
 #[derive(Clone)]
-pub struct Own {
+pub struct OwnKey {
     key: SigningKey,
     id: u32,
 }
 
-impl Own {
+impl OwnKey {
     /// From its 32 bytes; any will do, so they have to be drawn at random.
-    pub fn new(secret: &[u8; 32]) -> Own {
+    pub fn new(secret: &[u8; 32]) -> OwnKey {
         let key = SigningKey::from_bytes(secret);
-        let id = short(&key.verifying_key().to_bytes());
-        Own { key, id }
+        let id = short_id(&key.verifying_key().to_bytes());
+        OwnKey { key, id }
     }
     /// The id of its public key, as datagrams carry it.
     pub fn id(&self) -> u32 {
@@ -79,22 +79,22 @@
 /// The peers and their keys, checked.
 ///
 /// ```
-/// use threadward_gossip::keys::{public, short, Directory, Own, PeerConfig, SIGNATURE};
+/// use threadward_gossip::keys::{public_key, short_id, Directory, OwnKey, PeerConfig, SIGNATURE_BYTES};
 ///
 /// let peer = |name: &str, secret: u8| PeerConfig {
 ///     name: name.into(),
 ///     addr: ([127, 0, 0, 1], 7000 + u16::from(secret)).into(),
-///     keys: vec![public(&[secret; 32])],
+///     keys: vec![public_key(&[secret; 32])],
 ///     seed: false,
 /// };
-/// let d = Directory::new("a", &Own::new(&[1; 32]), vec![peer("a", 1), peer("b", 2)])?;
-/// let b = Own::new(&[2; 32]);
-/// assert_eq!((d.me, d.author(b.id()), d.peer(short(b"b"))), (0, Some(1), Some(1)));
+/// let d = Directory::new("a", &OwnKey::new(&[1; 32]), vec![peer("a", 1), peer("b", 2)])?;
+/// let b = OwnKey::new(&[2; 32]);
+/// assert_eq!((d.me, d.author(b.id()), d.peer(short_id(b"b"))), (0, Some(1), Some(1)));
 /// let mut datagram = b"word".to_vec();
 /// b.sign(&mut datagram);
-/// let (signed, signature) = datagram.split_last_chunk::<SIGNATURE>().unwrap();
+/// let (signed, signature) = datagram.split_last_chunk::<SIGNATURE_BYTES>().unwrap();
 /// assert!(d.verify(b.id(), signed, signature));
-/// assert!(!d.verify(b.id(), b"ward", signature) && !d.verify(short(&public(&[1; 32])), signed, signature));
+/// assert!(!d.verify(b.id(), b"ward", signature) && !d.verify(short_id(&public_key(&[1; 32])), signed, signature));
 /// # Ok::<(), String>(())
 /// ```
 #[derive(Clone, Default)]
@@ -114,9 +114,9 @@
     ///
     /// # Errors
     /// One line that says what is wrong with the peers.
-    pub fn new(name: &str, own: &Own, peers: Vec<PeerConfig>) -> Result<Directory, String> {
-        if peers.len() > MOST_PEERS {
-            return Err(format!("{} peers, {MOST_PEERS} at most", peers.len()));
+    pub fn new(name: &str, own: &OwnKey, peers: Vec<PeerConfig>) -> Result<Directory, String> {
+        if peers.len() > MAX_PEERS {
+            return Err(format!("{} peers, {MAX_PEERS} at most", peers.len()));
         }
         let mut d = Directory { peers, ..Directory::default() };
         let mut names = BTreeSet::new();
@@ -125,10 +125,10 @@
             if !names.insert(name.clone()) {
                 return Err(format!("peer '{name}' stands twice"));
             }
-            if p.keys.len() > MOST_KEYS {
-                return Err(format!("peer '{name}' has {} keys, {MOST_KEYS} at most", p.keys.len()));
+            if p.keys.len() > MAX_KEYS_PER_PEER {
+                return Err(format!("peer '{name}' has {} keys, {MAX_KEYS_PER_PEER} at most", p.keys.len()));
             }
-            let id = short(name.as_bytes());
+            let id = short_id(name.as_bytes());
             d.ids.push(id);
             if d.by_id.insert(id, i).is_some() {
                 return Err(format!("the name of peer '{name}' has the id of another one; rename it"));
@@ -136,7 +136,7 @@
             for key in &p.keys {
                 let usable = VerifyingKey::from_bytes(key).ok().filter(|k| !k.is_weak());
                 let key = usable.ok_or_else(|| format!("peer '{name}': a key that is no Ed25519 key"))?;
-                if d.by_key.insert(short(&key.to_bytes()), (i, key)).is_some() {
+                if d.by_key.insert(short_id(&key.to_bytes()), (i, key)).is_some() {
                     return Err(format!("peer '{name}': a key that stands twice; each peer needs its own"));
                 }
             }
@@ -166,11 +166,11 @@
         self.addresses.get(&a).copied()
     }
     /// How many peers may speak at all: what quorums are drawn from.
-    pub fn entitled(&self) -> usize {
+    pub fn eligible(&self) -> usize {
         self.peers.iter().filter(|p| !p.keys.is_empty()).count()
     }
     /// Whether a datagram's signature is that of this key. Strict: no second encoding of a signature passes.
-    pub fn verify(&self, key: u32, signed: &[u8], signature: &[u8; SIGNATURE]) -> bool {
+    pub fn verify(&self, key: u32, signed: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool {
         let Some((_, k)) = self.by_key.get(&key) else { return false };
         k.verify_strict(&[DOMAIN, signed].concat(), &Signature::from_bytes(signature)).is_ok()
     }
@@ -181,13 +181,13 @@
     use super::*;
 
     fn peer(name: &str, secrets: &[u8]) -> PeerConfig {
-        let keys = secrets.iter().map(|s| public(&[*s; 32])).collect();
+        let keys = secrets.iter().map(|s| public_key(&[*s; 32])).collect();
         PeerConfig { name: name.into(), addr: ([127, 0, 0, 1], 7000).into(), keys, seed: true }
     }
 
     #[test]
     fn a_bad_file_gets_one_message() {
-        let own = Own::new(&[1; 32]);
+        let own = OwnKey::new(&[1; 32]);
         let say = |peers| Directory::new("a", &own, peers).err().unwrap_or_default();
         assert_eq!(say(vec![peer("a", &[1]), peer("b", &[2, 3])]), "");
         assert_eq!(say(vec![peer("a", &[1]), peer("a", &[2])]), "peer 'a' stands twice");
@@ -204,13 +204,13 @@
 
     #[test]
     fn a_signature_fits_its_datagram_and_its_key_only() {
-        let own = Own::new(&[1; 32]);
+        let own = OwnKey::new(&[1; 32]);
         let d = Directory::new("a", &own, vec![peer("a", &[1]), peer("b", &[2])]).unwrap();
         let mut bytes = b"word".to_vec();
         own.sign(&mut bytes);
-        let signature: [u8; SIGNATURE] = bytes[4..].try_into().unwrap();
+        let signature: [u8; SIGNATURE_BYTES] = bytes[4..].try_into().unwrap();
         assert!(d.verify(own.id(), b"word", &signature));
         assert!(!d.verify(own.id(), b"ward", &signature));
-        assert!(!d.verify(Own::new(&[2; 32]).id(), b"word", &signature));
+        assert!(!d.verify(OwnKey::new(&[2; 32]).id(), b"word", &signature));
     }
 }
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -7,14 +7,14 @@
 //! ```
 //! use nickelgate::{Addr, Outcome, Role, Standing};
 //! use std::net::SocketAddr;
-//! use threadward_gossip::{public, Doubt, Gossip, News, Out, PeerConfig, Settings};
+//! use threadward_gossip::{public_key, Suspicion, Gossip, Notice, Output, PeerConfig, Settings};
 //!
 //! // Three proxies, each with a key of its own.
 //! let at = |i: u8| SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(i)));
 //! let peer = |i: u8| PeerConfig {
 //!     name: format!("p{i}"),
 //!     addr: at(i),
-//!     keys: vec![public(&[i + 1; 32])],
+//!     keys: vec![public_key(&[i + 1; 32])],
 //!     seed: true,
 //! };
 //! let new = |i: u8| {
@@ -39,27 +39,27 @@
 //! let mut news = Vec::new();
 //! for now in (0..13_000_000).step_by(50_000) {
 //!     for i in 0..3 {
-//!         let mut out = Out::default();
+//!         let mut out = Output::default();
 //!         let failed = if i < 2 && now >= 12_000_000 { now.min(12_100_000) } else { 0 };
 //!         all[i].observe(now, &[seen(1, failed), seen(2, 0)], &mut out);
 //!         all[i].tick(now, &mut out);
 //!         // The caller is the network.
 //!         let mut sent: Vec<_> = out.send.drain(..).map(|(to, bytes)| (i, to, bytes)).collect();
-//!         news.extend(out.news.into_iter().map(|n| (i, n)));
+//!         news.extend(out.notices.into_iter().map(|n| (i, n)));
 //!         while let Some((from, to, bytes)) = sent.pop() {
 //!             let to = usize::from(to.port() - 7000);
-//!             let mut out = Out::default();
+//!             let mut out = Output::default();
 //!             all[to].receive(now, at(from as u8), &bytes, &mut out);
 //!             sent.extend(out.send.into_iter().map(|(next, bytes)| (to, next, bytes)));
-//!             news.extend(out.news.into_iter().map(|n| (to, n)));
+//!             news.extend(out.notices.into_iter().map(|n| (to, n)));
 //!         }
 //!     }
 //! }
 //! assert_eq!(all[2].quorum().live, 3);
-//! assert_eq!(all[2].believed(), [hub(1)]);
-//! let doubt = Doubt { member: hub(1), incarnation: 0, believed: true, witnesses: 2 };
-//! assert!(news.contains(&(2, News::Doubt(doubt))));
-//! assert!(all[0].believed().is_empty(), "one other's word is too little");
+//! assert_eq!(all[2].suspected_members(), [hub(1)]);
+//! let doubt = Suspicion { member: hub(1), incarnation: 0, suspected: true, witnesses: 2 };
+//! assert!(news.contains(&(2, Notice::Suspicion(doubt))));
+//! assert!(all[0].suspected_members().is_empty(), "one other's word is too little");
 //! # Ok::<(), String>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -76,9 +76,9 @@
 mod told;
 pub mod wire;
 
-pub use belief::{Doubt, Quorum};
-pub use instance::{Gossip, BELIEVED};
-pub use keys::{public, PeerConfig};
+pub use belief::{Quorum, Suspicion};
+pub use instance::{Gossip, SUSPICION_TTL};
+pub use keys::{public_key, PeerConfig};
 pub use members::State;
-pub use settings::{check, Settings};
-pub use told::{Dropped, News, Out, Tally};
+pub use settings::{validate, Settings};
+pub use told::{Counts, Dropped, Notice, Output};
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -80,7 +80,7 @@
     Help { helper: usize, target: usize, nonce: u64 },
 }
 
-/// A change of state, for the log and the counters.
+/// A change of state, for the log and the counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Which peer.
--- a/gossip/src/session.rs
+++ b/gossip/src/session.rs
@@ -1,7 +1,7 @@
 //! Whether a datagram is new: one life of one peer, proved by an answer to a fresh number of ours. It owns the window
 //! of sequences and the reckoning of ages. It must never rest on a clock of another instance or on an order of
 //! starts: clocks go back and starts are drawn at random, so only an echo proves which life is the present one.
-use crate::wire::{Head, UNIT};
+use crate::wire::{Head, TIME_UNIT};
 use nickelgate::Micros;
 
 /// Datagrams older than this say nothing any more.
@@ -102,7 +102,7 @@
         if ahead <= 0 && self.seen >> -ahead & 1 == 1 {
             return Err(Stale::Duplicate);
         }
-        let since = i64::from(head.uptime.wrapping_sub(self.uptime) as i32) * UNIT as i64;
+        let since = i64::from(head.uptime.wrapping_sub(self.uptime) as i32) * TIME_UNIT as i64;
         let made = self.at as i64 + since;
         let age = (now as i64 - made).max(0) as Micros;
         if age > OLDEST {
--- a/gossip/src/told.rs
+++ b/gossip/src/told.rs
@@ -1,6 +1,6 @@
 //! What an instance tells whoever drives it: datagrams to send, news, counts and why a datagram was dropped. It owns these
 //! words and their order. It must never hold a rule: the instance fills them.
-use crate::belief::Doubt;
+use crate::belief::Suspicion;
 use crate::members::State;
 use crate::session::Stale;
 use nickelgate::Addr;
@@ -59,7 +59,7 @@
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counts {
     /// Datagrams given out to be sent.
     pub sent: u64,
     /// Their bytes.
@@ -69,7 +69,7 @@
     /// Those that did not, in the order of [`Dropped::ALL`].
     pub dropped: [u64; Dropped::ALL.len()],
     /// Signatures checked.
-    pub checked: u64,
+    pub signatures_checked: u64,
     /// Statements not sent for want of bytes.
     pub withheld: u64,
     /// Lives that took the place of another within seconds: one key at two instances, or one that keeps failing.
@@ -78,7 +78,7 @@
 
 /// What an instance wants told or sent.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Notice {
     /// Another state of a peer.
     Peer {
         /// Its name in the file.
@@ -89,20 +89,20 @@
         to: State,
     },
     /// A member is believed suspect from now on, or no longer.
-    Doubt(Doubt),
+    Suspicion(Suspicion),
     /// What was believed still is: told again before it runs out.
-    Still {
+    SuspicionContinues {
         /// The member.
         member: Addr,
         /// The start of the member that is meant.
         incarnation: u64,
     },
     /// Credit of a witness fell under what is heard, or rose over it.
-    Credit {
+    WitnessTrust {
         /// The witness's name in the file.
         name: String,
         /// Whether its word counts now.
-        heard: bool,
+        trusted: bool,
     },
     /// Whether this side has more than half of all from now on; else nobody is believed.
     Majority(bool),
@@ -110,9 +110,9 @@
 
 /// What a call gives its caller: it appends and takes nothing away.
 #[derive(Default)]
-pub struct Out {
+pub struct Output {
     /// Datagrams to send, each whole and to one address.
     pub send: Vec<(SocketAddr, Vec<u8>)>,
     /// What changed, in order.
-    pub news: Vec<News>,
+    pub notices: Vec<Notice>,
 }
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -10,23 +10,23 @@
 //! | 4 | time since that start, in units of 10 ms |
 //! | 0 to 171 | what the kind holds |
 //! | 64 | Ed25519 signature over all before it |
-use crate::keys::SIGNATURE;
+use crate::keys::SIGNATURE_BYTES;
 use nickelgate::{Addr, Micros};
 
 /// Bytes of the longest datagram.
-pub const MOST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The one version that is read.
 pub const VERSION: u8 = 1;
 const HEAD: usize = 21;
-const LEAST: usize = HEAD + SIGNATURE;
+const LEAST: usize = HEAD + SIGNATURE_BYTES;
 const CLAIM: usize = 14;
 const HINT: usize = 5;
 /// Claims that one statement holds.
-pub const CLAIMS: usize = (MOST - LEAST - 1) / CLAIM;
+pub const MAX_CLAIMS: usize = (MAX_DATAGRAM_BYTES - LEAST - 1) / CLAIM;
 /// Hints that ride on a ping or an answer.
-pub const HINTS: usize = 6;
+pub const MAX_HINTS: usize = 6;
 /// Unit of times on the wire.
-pub const UNIT: Micros = 10_000;
+pub const TIME_UNIT: Micros = 10_000;
 
 /// What every datagram says of its author.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     pub start: u64,
     /// Its datagrams since then.
     pub seq: u32,
-    /// Time since then, in [`UNIT`].
+    /// Time since then, in [`TIME_UNIT`].
     pub uptime: u32,
 }
 
@@ -72,17 +72,17 @@
     /// The member.
     pub member: Addr,
     /// Low half of the member's start in milliseconds: a later life is another member.
-    pub life: u32,
+    pub short_incarnation: u32,
     /// How it last failed.
     pub kind: Kind,
     /// Own failures in a row: 1, 2, or 3 for a skip that own failures alone made.
     pub strength: u8,
-    /// Time since the last of them when the statement was made, in [`UNIT`].
+    /// Time since the last of them when the statement was made, in [`TIME_UNIT`].
     pub age: u16,
 }
 
 /// The low half of a start in milliseconds.
-pub fn life(incarnation: u64) -> u32 {
+pub fn short_incarnation(incarnation: u64) -> u32 {
     (incarnation / 1000) as u32
 }
 
@@ -127,7 +127,7 @@
     /// The bytes that are signed.
     pub signed: &'a [u8],
     /// The signature, which is still to be checked.
-    pub signature: &'a [u8; SIGNATURE],
+    pub signature: &'a [u8; SIGNATURE_BYTES],
 }
 
 impl<'a> Claims<'a> {
@@ -136,7 +136,7 @@
         self.0.chunks_exact(CLAIM).filter_map(|c| {
             Some(Claim {
                 member: Addr { ip: [c[0], c[1], c[2], c[3]], port: u16::from_be_bytes([c[4], c[5]]) },
-                life: u32::from_be_bytes([c[6], c[7], c[8], c[9]]),
+                short_incarnation: u32::from_be_bytes([c[6], c[7], c[8], c[9]]),
                 kind: Kind::read(c[10])?,
                 strength: c[11],
                 age: u16::from_be_bytes([c[12], c[13]]),
@@ -181,10 +181,10 @@
 /// Reads a datagram; nothing where it is malformed. Every byte has to have its place.
 ///
 /// ```
-/// use threadward_gossip::keys::Own;
+/// use threadward_gossip::keys::OwnKey;
 /// use threadward_gossip::wire::{ping, read, Body, Head, Hint};
 ///
-/// let own = Own::new(&[1; 32]);
+/// let own = OwnKey::new(&[1; 32]);
 /// let head = Head { key: own.id(), start: 8, seq: 1, uptime: 0 };
 /// let hint = Hint { peer: 5, lost: true };
 /// let mut bytes = ping(head, 2, 3, 4, &[hint]);
@@ -196,10 +196,10 @@
 /// assert!(read(&bytes[1..]).is_none());
 /// ```
 pub fn read(bytes: &[u8]) -> Option<Datagram<'_>> {
-    if bytes.len() > MOST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
-    let (signed, signature) = bytes.split_last_chunk::<SIGNATURE>()?;
+    let (signed, signature) = bytes.split_last_chunk::<SIGNATURE_BYTES>()?;
     let mut r = Reader(signed);
     let first = r.u8()?;
     if first >> 4 != VERSION {
@@ -209,16 +209,16 @@
     let body = match first & 15 {
         1 => {
             let (to, answer_to, nonce) = (r.u32()?, r.u32()?, r.u64()?);
-            Body::Ping { to, answer_to, nonce, hints: Hints(r.list(HINT, HINTS)?) }
+            Body::Ping { to, answer_to, nonce, hints: Hints(r.list(HINT, MAX_HINTS)?) }
         }
         2 => {
             let (to, echo, nonce) = (r.u32()?, r.u64()?, r.u64()?);
-            Body::Ack { to, echo, nonce, hints: Hints(r.list(HINT, HINTS)?) }
+            Body::Ack { to, echo, nonce, hints: Hints(r.list(HINT, MAX_HINTS)?) }
         }
         3 => Body::Help { to: r.u32()?, target: r.u32()?, nonce: r.u64()? },
         4 => Body::Leave,
         5 => {
-            let claims = Claims(r.list(CLAIM, CLAIMS)?);
+            let claims = Claims(r.list(CLAIM, MAX_CLAIMS)?);
             let whole = |c: Claim| (1..=3).contains(&c.strength);
             let n = claims.iter().filter(|c| whole(*c)).count();
             if n * CLAIM != claims.0.len() {
@@ -233,7 +233,7 @@
 
 /// Begins a datagram of a kind.
 fn begin(head: Head, kind: u8) -> Vec<u8> {
-    let mut b = Vec::with_capacity(MOST);
+    let mut b = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     b.push(VERSION << 4 | kind);
     b.extend_from_slice(&head.key.to_be_bytes());
     b.extend_from_slice(&head.start.to_be_bytes());
@@ -243,7 +243,7 @@
 }
 
 fn put_hints(b: &mut Vec<u8>, hints: &[Hint]) {
-    let hints = &hints[..hints.len().min(HINTS)];
+    let hints = &hints[..hints.len().min(MAX_HINTS)];
     b.push(hints.len() as u8);
     for h in hints {
         b.extend_from_slice(&h.peer.to_be_bytes());
@@ -251,7 +251,7 @@
     }
 }
 
-/// A ping, to be signed; of the hints the first [`HINTS`].
+/// A ping, to be signed; of the hints the first [`MAX_HINTS`].
 pub fn ping(head: Head, to: u32, answer_to: u32, nonce: u64, hints: &[Hint]) -> Vec<u8> {
     let mut b = begin(head, 1);
     b.extend_from_slice(&to.to_be_bytes());
@@ -261,7 +261,7 @@
     b
 }
 
-/// An answer, to be signed; of the hints the first [`HINTS`].
+/// An answer, to be signed; of the hints the first [`MAX_HINTS`].
 pub fn ack(head: Head, to: u32, echo: u64, nonce: u64, hints: &[Hint]) -> Vec<u8> {
     let mut b = begin(head, 2);
     b.extend_from_slice(&to.to_be_bytes());
@@ -285,15 +285,15 @@
     begin(head, 4)
 }
 
-/// A statement, to be signed; of the claims the first [`CLAIMS`].
+/// A statement, to be signed; of the claims the first [`MAX_CLAIMS`].
 pub fn statement(head: Head, claims: &[Claim]) -> Vec<u8> {
     let mut b = begin(head, 5);
-    let claims = &claims[..claims.len().min(CLAIMS)];
+    let claims = &claims[..claims.len().min(MAX_CLAIMS)];
     b.push(claims.len() as u8);
     for c in claims {
         b.extend_from_slice(&c.member.ip);
         b.extend_from_slice(&c.member.port.to_be_bytes());
-        b.extend_from_slice(&c.life.to_be_bytes());
+        b.extend_from_slice(&c.short_incarnation.to_be_bytes());
         b.extend_from_slice(&[c.kind as u8, c.strength]);
         b.extend_from_slice(&c.age.to_be_bytes());
     }
@@ -307,7 +307,7 @@
     const HEAD_OF: Head = Head { key: 7, start: 8, seq: 9, uptime: 10 };
 
     fn signed(mut b: Vec<u8>) -> Vec<u8> {
-        b.extend_from_slice(&[0; SIGNATURE]);
+        b.extend_from_slice(&[0; SIGNATURE_BYTES]);
         b
     }
 
@@ -321,15 +321,15 @@
         assert_eq!(h.iter().collect::<Vec<_>>(), hints);
         let claim = Claim {
             member: Addr { ip: [1, 2, 3, 4], port: 5 },
-            life: 6,
+            short_incarnation: 6,
             kind: Kind::Broken,
             strength: 2,
             age: 7,
         };
         let b = signed(statement(HEAD_OF, &[claim; 40]));
-        assert!(b.len() <= MOST && CLAIMS == 12);
+        assert!(b.len() <= MAX_DATAGRAM_BYTES && MAX_CLAIMS == 12);
         let Body::Statement(c) = read(&b).unwrap().body else { panic!() };
-        assert_eq!(c.iter().collect::<Vec<_>>(), vec![claim; CLAIMS]);
+        assert_eq!(c.iter().collect::<Vec<_>>(), vec![claim; MAX_CLAIMS]);
     }
 
     #[test]
@@ -342,7 +342,8 @@
         let mut long = statement(HEAD_OF, &[]);
         long.push(0);
         assert!(read(&signed(long)).is_none(), "a byte too many");
-        let none = Claim { member: Addr::default(), life: 0, kind: Kind::Silent, strength: 0, age: 0 };
+        let none =
+            Claim { member: Addr::default(), short_incarnation: 0, kind: Kind::Silent, strength: 0, age: 0 };
         assert!(read(&signed(statement(HEAD_OF, &[none]))).is_none(), "a strength of none");
         let mut other = good.clone();
         other[0] = 2 << 4 | 5;
--- a/gossip/tests/bytes.rs
+++ b/gossip/tests/bytes.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::net::SocketAddr;
-use threadward_gossip::{public, Gossip, Out, PeerConfig, Settings};
+use threadward_gossip::{public_key, Gossip, Output, PeerConfig, Settings};
 
 fn at(i: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(i)))
@@ -13,7 +13,7 @@
     let peer = |k: u8| PeerConfig {
         name: format!("n{k}"),
         addr: at(k),
-        keys: vec![public(&[k + 1; 32])],
+        keys: vec![public_key(&[k + 1; 32])],
         seed: true,
     };
     let s = Settings::new(&format!("n{i}"), [i + 1; 32], (0..4).map(peer).collect());
@@ -26,12 +26,12 @@
     let mut seen = Vec::new();
     for step in 0..200 {
         let now = 1_000_000 + step * 50_000;
-        let mut to_b = Out::default();
+        let mut to_b = Output::default();
         a.tick(now, &mut to_b);
         if step == 150 {
             a.leave(now, &mut to_b);
         }
-        let mut to_a = Out::default();
+        let mut to_a = Output::default();
         b.tick(now, &mut to_a);
         for _ in 0..3 {
             for (to, bytes) in std::mem::take(&mut to_a.send) {
@@ -47,12 +47,12 @@
             }
         }
     }
-    assert!(b.tally.received > 10 && b.tally.dropped.iter().all(|n| *n == 0));
+    assert!(b.counts.received > 10 && b.counts.dropped.iter().all(|n| *n == 0));
     (b, seen)
 }
 
 fn dropped(g: &Gossip) -> u64 {
-    g.tally.dropped.iter().sum()
+    g.counts.dropped.iter().sum()
 }
 
 proptest! {
@@ -62,10 +62,10 @@
     fn random_bytes_are_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..600), known in any::<bool>()) {
         let mut g = instance(1, 1_000_000);
         let from = if known { at(0) } else { at(99) };
-        let mut out = Out::default();
+        let mut out = Output::default();
         g.receive(2_000_000, from, &bytes, &mut out);
-        prop_assert_eq!((g.tally.received, dropped(&g)), (0, 1));
-        prop_assert!(out.send.is_empty() && out.news.is_empty());
+        prop_assert_eq!((g.counts.received, dropped(&g)), (0, 1));
+        prop_assert!(out.send.is_empty() && out.notices.is_empty());
     }
 
     #[test]
@@ -79,10 +79,10 @@
         }
         bytes.truncate(bytes.len() - cut.min(bytes.len()));
         prop_assume!(bytes != original);
-        let before = g.tally;
-        let mut out = Out::default();
+        let before = g.counts;
+        let mut out = Output::default();
         g.receive(12_000_000, at(0), &bytes, &mut out);
-        prop_assert_eq!((g.tally.received, dropped(&g)), (before.received, before.dropped.iter().sum::<u64>() + 1));
+        prop_assert_eq!((g.counts.received, dropped(&g)), (before.received, before.dropped.iter().sum::<u64>() + 1));
         prop_assert!(out.send.is_empty());
     }
 }
--- a/lab/src/bin/measure-gossip.rs
+++ b/lab/src/bin/measure-gossip.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Instant;
-use threadward_gossip::{keys, wire, Gossip, Out, Settings};
+use threadward_gossip::{keys, wire, Gossip, Output, Settings};
 use threadward_lab::fleet::{cache, hub, Fleet, Record, Scenario, Talk, Trouble, S};
 use threadward_lab::gossip_simulation::{self, GossipSimulation};
 use threadward_lab::net::NetworkConditions;
@@ -74,19 +74,19 @@
 
 /// Seconds for one check of a signature.
 fn check() -> f64 {
-    let own = keys::Own::new(&[1; 32]);
+    let own = keys::OwnKey::new(&[1; 32]);
     let peers = (0..4).map(|i| gossip_simulation::peer(i, 1)).chain([threadward_gossip::PeerConfig {
         name: "own".into(),
         addr: gossip_simulation::address(9),
-        keys: vec![threadward_gossip::public(&[1; 32])],
+        keys: vec![threadward_gossip::public_key(&[1; 32])],
         seed: false,
     }]);
     let d = keys::Directory::new("own", &own, peers.collect()).unwrap_or_else(|e| panic!("{e}"));
     let head = wire::Head { key: own.id(), start: 1, seq: 2, uptime: 3 };
     let mut bytes = wire::statement(head, &[]);
-    bytes.resize(wire::MOST - keys::SIGNATURE, 0);
+    bytes.resize(wire::MAX_DATAGRAM_BYTES - keys::SIGNATURE_BYTES, 0);
     own.sign(&mut bytes);
-    let (signed, signature) = bytes.split_at(wire::MOST - keys::SIGNATURE);
+    let (signed, signature) = bytes.split_at(wire::MAX_DATAGRAM_BYTES - keys::SIGNATURE_BYTES);
     let signature: [u8; 64] = signature.try_into().unwrap_or([0; 64]);
     let begun = Instant::now();
     let good = (0..5000).filter(|_| d.verify(own.id(), signed, &signature)).count();
@@ -103,8 +103,8 @@
         (0..4).map(|i| gossip_simulation::peer(i, 1)).collect(),
     );
     let mut g = Gossip::new(1_000_000, settings, [5; 32]).unwrap_or_else(|e| panic!("{e}"));
-    let key = keys::Own::new(&gossip_simulation::secret(1)).id();
-    let me = keys::short(b"n0");
+    let key = keys::OwnKey::new(&gossip_simulation::secret(1)).id();
+    let me = keys::short_id(b"n0");
     let (near, far) = (gossip_simulation::address(1), SocketAddr::from(([127, 9, 9, 9], 1)));
     let datagrams: Vec<(SocketAddr, Vec<u8>)> = (0..100_000u32)
         .map(|i| {
@@ -119,12 +119,12 @@
         })
         .collect();
     let begun = Instant::now();
-    let mut out = Out::default();
+    let mut out = Output::default();
     for (i, (from, bytes)) in datagrams.iter().enumerate() {
         g.receive(1_000_000 + i as u64 * 10, *from, bytes, &mut out);
     }
     let taken = begun.elapsed().as_secs_f64();
-    assert_eq!((g.tally.received, out.send.len()), (0, 0));
+    assert_eq!((g.counts.received, out.send.len()), (0, 0));
     taken
 }
 
--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -9,8 +9,8 @@
 use super::units::{bytes, core, number, or_missing, NOT_MEASURED};
 use crate::scale::report::{Design, Part, Quantity, Role};
 use threadward_budgets::MOST_PROXIES;
-use threadward_gossip::evidence::LASTS;
-use threadward_gossip::keys::MOST_PEERS;
+use threadward_gossip::evidence::EVIDENCE_LIFETIME;
+use threadward_gossip::keys::MAX_PEERS;
 use threadward_gossip::{Quorum, Settings as GossipSettings};
 use threadward_zones::MOST_ZONES;
 
@@ -129,7 +129,7 @@
             MOST_PROXIES,
             "`budgets/src/lib.rs` `MOST_PROXIES`",
         ),
-        counted("peers of `[gossip]`", fleet.proxies, MOST_PEERS, "`gossip/src/keys.rs` `MOST_PEERS`"),
+        counted("peers of `[gossip]`", fleet.proxies, MAX_PEERS, "`gossip/src/keys.rs` `MAX_PEERS`"),
         counted("zones of `[zones]`", fleet.zones, MOST_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
         Breakage::counted(
             "servers of a list",
@@ -160,12 +160,15 @@
     let target = measured.target;
     let settings = GossipSettings::new("", [0; 32], Vec::new());
     let proxies = target.fleet.proxies;
-    let round = f64::from(proxies.saturating_sub(1)) * settings.period as f64 / MICROS;
+    let round = f64::from(proxies.saturating_sub(1)) * settings.probe_period as f64 / MICROS;
     let between_failures = SECONDS_A_DAY / target.failures.machines_per_day;
     let fleet = proxies as usize;
-    let witnesses = Quorum { entitled: fleet, live: fleet, faults: settings.faults }.needed();
+    let witnesses = Quorum { eligible: fleet, live: fleet, tolerated_faults: settings.tolerated_faults }
+        .required_witnesses();
     let requests = DataPath::new(target, inputs).requests_per_proxy();
-    let room = (settings.floor + settings.per_request * requests) * LASTS as f64 / MICROS;
+    let room = (settings.statement_bytes_per_s + settings.statement_bytes_per_request * requests)
+        * EVIDENCE_LIFETIME as f64
+        / MICROS;
     let need = inputs.bounds.witness_bytes.value.map(|each| each * witnesses as f64);
     vec![
         Breakage {
@@ -183,7 +186,7 @@
             ratio: Ratio::of(need, Some(room)),
             happens: "late: nothing is believed, each proxy learns alone".into(),
             from:
-                "`Quorum::needed` without `faults`; input `witness_bytes`; `gossip/src/evidence.rs` `LASTS`"
+                "`Quorum::required_witnesses` without `faults`; input `witness_bytes`; `gossip/src/evidence.rs` `EVIDENCE_LIFETIME`"
                     .into(),
         },
     ]
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
 use threadward_core::{Ask, Body, Dispatch, End, Final, Payload, Planner, Progress, Told};
-use threadward_gossip::{Gossip, News, Out, BELIEVED};
+use threadward_gossip::{Gossip, Notice, Output, SUSPICION_TTL};
 
 pub const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
@@ -526,7 +526,7 @@
             }
         }
         if let Some(g) = &mut self.proxies[i].gossip {
-            g.served(served);
+            g.add_served_requests(served);
         }
         let due = self.proxies[i].planner.next_due().unwrap_or(Micros::MAX);
         if due < self.proxies[i].armed {
@@ -628,9 +628,9 @@
         self.talk(i, |g, now, out| g.observe(now, &standings, out));
     }
 
-    fn talk(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Out)) {
+    fn talk(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
         let now = self.queue.now;
-        let mut out = Out::default();
+        let mut out = Output::default();
         let Some(g) = self.proxies[i].gossip.as_mut() else { return };
         f(g, now, &mut out);
         for (to, bytes) in out.send {
@@ -643,13 +643,15 @@
                 self.queue.put(at, event);
             }
         }
-        for news in out.news {
+        for news in out.notices {
             let planner = &mut self.proxies[i].planner;
             match news {
-                News::Doubt(d) => {
-                    planner.rumour(now, d.member, d.incarnation, if d.believed { BELIEVED } else { 0 });
+                Notice::Suspicion(d) => {
+                    planner.rumour(now, d.member, d.incarnation, if d.suspected { SUSPICION_TTL } else { 0 });
+                }
+                Notice::SuspicionContinues { member, incarnation } => {
+                    planner.rumour(now, member, incarnation, SUSPICION_TTL)
                 }
-                News::Still { member, incarnation } => planner.rumour(now, member, incarnation, BELIEVED),
                 _ => {}
             }
         }
--- a/lab/src/gossip_simulation.rs
+++ b/lab/src/gossip_simulation.rs
@@ -9,7 +9,7 @@
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use threadward_gossip::{public, Gossip, News, Out, PeerConfig, Settings, State};
+use threadward_gossip::{public_key, Gossip, Notice, Output, PeerConfig, Settings, State};
 
 /// How often an instance observes its own traffic.
 pub const OBSERVATION_INTERVAL: Micros = 25_000;
@@ -38,7 +38,7 @@
     /// Whom it accuses of having just failed, whatever its traffic shows: a liar.
     pub accuses: Vec<Addr>,
     /// What it has reported so far.
-    pub news: Vec<News>,
+    pub news: Vec<Notice>,
     addr: SocketAddr,
     incarnation: u64,
     /// When it ticks next, so that one timer is enough.
@@ -78,7 +78,12 @@
 
 /// An instance as its peers' settings name it; the first `seeds` are asked first.
 pub fn peer(i: usize, seeds: usize) -> PeerConfig {
-    PeerConfig { name: format!("n{i}"), addr: address(i), keys: vec![public(&secret(i))], seed: i < seeds }
+    PeerConfig {
+        name: format!("n{i}"),
+        addr: address(i),
+        keys: vec![public_key(&secret(i))],
+        seed: i < seeds,
+    }
 }
 
 /// A hub or cache as a standing that shows nothing wrong.
@@ -189,12 +194,12 @@
     }
 
     /// One call of an instance, and what it wants done.
-    pub fn call(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Out)) {
+    pub fn call(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
         let now = self.clock(i);
-        let mut out = Out::default();
+        let mut out = Output::default();
         let Some(g) = self.slots[i].gossip.as_mut() else { return };
         f(g, now, &mut out);
-        self.slots[i].news.extend(out.news);
+        self.slots[i].news.extend(out.notices);
         for (addr, bytes) in out.send {
             // Several may stand in the file under one address: all of them get it.
             for to in self.slots_by_address.get(&addr).cloned().unwrap_or_default() {
@@ -246,7 +251,7 @@
                     let second = self.queue.now % 1_000_000 < OBSERVATION_INTERVAL;
                     let served = if second { self.served } else { 0 };
                     self.call(i, |g, now, out| {
-                        g.served(served);
+                        g.add_served_requests(served);
                         g.observe(now, &shown, out);
                     });
                     self.queue.put(self.queue.now + OBSERVATION_INTERVAL, Event::Observe(i, incarnation));
@@ -292,6 +297,6 @@
 
     /// The members of which an instance believes that they fail.
     pub fn believes(&self, i: usize) -> Vec<Addr> {
-        self.gossip(i).believed()
+        self.gossip(i).suspected_members()
     }
 }
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 use tempfile::TempDir;
 use threadward_budgets::MOST_PROXIES;
-use threadward_gossip::keys::MOST_PEERS;
+use threadward_gossip::keys::MAX_PEERS;
 use threadward_lab::capacity::{breakages, units, Files, Inputs, Measured, Ratio};
 use threadward_lab::scale::report::Report;
 use threadward_lab::scale::target::Target;
@@ -199,7 +199,7 @@
     let breaks = copy.section("breaks");
     for (start, need, most) in [
         ("| proxies of `[budgets]`", 600.0, MOST_PROXIES),
-        ("| peers of `[gossip]`", 600.0, MOST_PEERS),
+        ("| peers of `[gossip]`", 600.0, MAX_PEERS),
         ("| zones of `[zones]`", 8.0, MOST_ZONES),
     ] {
         let ratio = format!("| {} | holds |", units::number(need / most as f64));
--- a/lab/tests/gossip.rs
+++ b/lab/tests/gossip.rs
@@ -1,8 +1,8 @@
 //! Gossip under the failures that it is built for, in virtual time: liars, forgeries, replays, restarts, cuts, floods.
 use nickelgate::{Addr, Micros};
-use threadward_gossip::keys::{short, Own, SIGNATURE};
+use threadward_gossip::keys::{short_id, OwnKey, SIGNATURE_BYTES};
 use threadward_gossip::wire::{self, Claim, Head, Kind};
-use threadward_gossip::{public, Dropped, News, Settings, State};
+use threadward_gossip::{public_key, Dropped, Notice, Settings, State};
 use threadward_lab::gossip_simulation::{address, hub, peer, secret, GossipSimulation};
 use threadward_lab::net::NetworkConditions;
 
@@ -21,7 +21,7 @@
 }
 
 fn dropped(g: &GossipSimulation, i: usize, why: Dropped) -> u64 {
-    g.gossip(i).tally.dropped[why as usize]
+    g.gossip(i).counts.dropped[why as usize]
 }
 
 fn nobody_believes(g: &GossipSimulation, but: &[usize]) {
@@ -74,7 +74,7 @@
             nobody_believes(&g, &[3]);
         }
     }
-    assert!(g.gossip(0).tally.received > 30);
+    assert!(g.gossip(0).counts.received > 30);
     for i in 0..3 {
         assert!(g.gossip(i).credit("n3") < 0.3, "n{i}: {}", g.gossip(i).credit("n3"));
         assert!(g.gossip(i).credit("n0") > 0.7);
@@ -102,10 +102,10 @@
 
 /// A datagram that claims to be `author`'s, signed with this secret.
 fn forged(author: usize, with: [u8; 32], start: u64, seq: u32) -> Vec<u8> {
-    let key = Own::new(&secret(author)).id();
-    let claim = Claim { member: hub(1), life: 0, kind: Kind::Silent, strength: 3, age: 0 };
+    let key = OwnKey::new(&secret(author)).id();
+    let claim = Claim { member: hub(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
     let mut b = wire::statement(Head { key, start, seq, uptime: 100 }, &[claim]);
-    Own::new(&with).sign(&mut b);
+    OwnKey::new(&with).sign(&mut b);
     b
 }
 
@@ -126,16 +126,16 @@
     // Every single flipped bit, each on a link that has not seen the datagram itself.
     g.net.conditions.loss = 1.0;
     g.run(200_000);
-    let before = g.gossip(2).tally;
+    let before = g.gossip(2).counts;
     for bit in 0..good.len() * 8 {
         let mut b = good.clone();
         b[bit / 8] ^= 1 << (bit % 8);
         g.inject(address(1), 2, &b);
         g.run(20_000);
     }
-    let after = g.gossip(2).tally;
+    let after = g.gossip(2).counts;
     assert_eq!(after.received, before.received);
-    let drops = |t: threadward_gossip::Tally| t.dropped.iter().sum::<u64>();
+    let drops = |t: threadward_gossip::Counts| t.dropped.iter().sum::<u64>();
     assert_eq!(drops(after) - drops(before), good.len() as u64 * 8);
     nobody_believes(&g, &[]);
 }
@@ -154,12 +154,12 @@
     let all: Vec<(usize, Vec<u8>)> = g.sent.iter().filter(|s| s.2 == 0).map(|s| (s.1, s.3.clone())).collect();
     assert!(all.len() > 20);
     let replay = |g: &mut GossipSimulation| {
-        let before = g.gossip(0).tally;
+        let before = g.gossip(0).counts;
         for (from, bytes) in &all {
             g.inject(address(*from), 0, bytes);
         }
-        let after = g.gossip(0).tally;
-        (after.received - before.received, after.checked - before.checked)
+        let after = g.gossip(0).counts;
+        (after.received - before.received, after.signatures_checked - before.signatures_checked)
     };
     // Lost ones among them are new to it, but what they tell is old; none is believed.
     let (taken, _) = replay(&mut g);
@@ -268,7 +268,7 @@
     let mut g = joined(4, 13);
     let (old, new) = (secret(1), [99; 32]);
     // Both keys count while one is changed, and the instance goes over to the new one.
-    for keys in [vec![public(&old), public(&new)], vec![public(&new)]] {
+    for keys in [vec![public_key(&old), public_key(&new)], vec![public_key(&new)]] {
         for i in 0..4 {
             g.slots[i].settings.peers[1].keys = keys.clone();
             if i == 1 {
@@ -295,12 +295,12 @@
         g.call(i, |gossip, now, _| gossip.reconfigure(now, s).unwrap());
     }
     g.run(100_000);
-    assert_eq!((g.believes(0), g.gossip(0).quorum().entitled), (vec![], 3));
+    assert_eq!((g.believes(0), g.gossip(0).quorum().eligible), (vec![], 3));
     // A file that is wrong leaves all as it was.
     let mut bad = g.slots[0].settings.clone();
     bad.peers.clear();
     g.call(0, |gossip, now, _| assert!(gossip.reconfigure(now, bad).is_err()));
-    assert_eq!(g.gossip(0).quorum().entitled, 3);
+    assert_eq!(g.gossip(0).quorum().eligible, 3);
 }
 
 /// 100,000 bad datagrams in a second in the name and from the address of a peer: few cost a check, and the service of
@@ -308,25 +308,29 @@
 #[test]
 fn a_flood_is_dropped_unchecked() {
     let mut g = joined(4, 14);
-    let head = |i: u32| Head { key: Own::new(&secret(1)).id(), start: u64::from(i), seq: i, uptime: 0 };
-    let before = g.gossip(0).tally;
+    let head = |i: u32| Head { key: OwnKey::new(&secret(1)).id(), start: u64::from(i), seq: i, uptime: 0 };
+    let before = g.gossip(0).counts;
     for slice in 0..100u32 {
         for i in slice * 1000..(slice + 1) * 1000 {
-            let mut b = wire::ping(head(i), short(b"n0"), short(b"n1"), 1, &[]);
-            b.extend_from_slice(&[i as u8; SIGNATURE]);
+            let mut b = wire::ping(head(i), short_id(b"n0"), short_id(b"n1"), 1, &[]);
+            b.extend_from_slice(&[i as u8; SIGNATURE_BYTES]);
             g.inject(address(1), 0, &b);
         }
         g.run(10_000);
     }
-    let t = g.gossip(0).tally;
-    assert!(t.checked - before.checked <= 40, "{} checks", t.checked - before.checked);
+    let t = g.gossip(0).counts;
+    assert!(
+        t.signatures_checked - before.signatures_checked <= 40,
+        "{} checks",
+        t.signatures_checked - before.signatures_checked
+    );
     assert!(dropped(&g, 0, Dropped::Flood) >= 99_000);
     // The peer in whose name it came is heard all the same, in the midst of it.
     g.shows(1, hub(1), true);
     g.shows(3, hub(1), true);
     for i in 0..500u32 {
-        let mut b = wire::ping(head(200_000 + i), short(b"n0"), short(b"n1"), 1, &[]);
-        b.extend_from_slice(&[1; SIGNATURE]);
+        let mut b = wire::ping(head(200_000 + i), short_id(b"n0"), short_id(b"n1"), 1, &[]);
+        b.extend_from_slice(&[1; SIGNATURE_BYTES]);
         (0..100).for_each(|_| g.inject(address(1), 0, &b));
         g.run(2_000);
     }
@@ -342,7 +346,7 @@
         for i in 0..4 {
             let side = if a.contains(&i) { a.len() } else { b.len() };
             let q = g.gossip(i).quorum();
-            assert_eq!((q.live, q.majority()), (side, side > 2), "n{i} of {a:?}|{b:?}");
+            assert_eq!((q.live, q.has_majority()), (side, side > 2), "n{i} of {a:?}|{b:?}");
         }
         // On half of them nothing is believed, on three of four two witnesses still do.
         g.shows(0, hub(1), true);
@@ -366,7 +370,7 @@
         g.net.cut(i, 3);
     }
     g.run(15 * S);
-    assert!(!g.gossip(3).quorum().majority());
+    assert!(!g.gossip(3).quorum().has_majority());
     for i in 0..3 {
         assert!(g.gossip(i).quorum().live >= 3);
     }
@@ -433,7 +437,10 @@
     for i in 0..3 {
         assert_eq!((g.sees(i, 4), g.sees(i, 3)), (State::Live, State::Dead), "n{i}");
     }
-    assert_eq!(g.gossip(0).quorum(), threadward_gossip::Quorum { entitled: 5, live: 4, faults: None });
+    assert_eq!(
+        g.gossip(0).quorum(),
+        threadward_gossip::Quorum { eligible: 5, live: 4, tolerated_faults: None }
+    );
 }
 
 /// All of 256 start in the same moment and know three of them: they find one another, within their bytes.
@@ -456,8 +463,9 @@
         g.shows(0, hub(1), false);
         g.run(250_000);
     }
-    let credit =
-        |g: &GossipSimulation| g.slots[0].news.iter().filter(|n| matches!(n, News::Credit { .. })).count();
+    let credit = |g: &GossipSimulation| {
+        g.slots[0].news.iter().filter(|n| matches!(n, Notice::WitnessTrust { .. })).count()
+    };
     assert_eq!(credit(&g), 1);
     let pings = |g: &mut GossipSimulation| {
         g.sent.clear();
@@ -466,7 +474,7 @@
     };
     g.record = true;
     let before = pings(&mut g);
-    let s = Settings { period: 250_000, ..g.slots[0].settings.clone() };
+    let s = Settings { probe_period: 250_000, ..g.slots[0].settings.clone() };
     g.call(0, |gossip, now, _| gossip.reconfigure(now, s).unwrap());
     let after = pings(&mut g);
     assert!(after > before * 3, "{before} pings in 20 s, then {after}");
@@ -481,7 +489,7 @@
         g.slots[7].accuses = vec![hub(1)];
         g.slots[0].accuses = vec![hub(2)];
         for i in 0..8 {
-            g.call(i, |gossip, now, _| gossip.busy(now, busy));
+            g.call(i, |gossip, now, _| gossip.set_overloaded(now, busy));
         }
         g.record = true;
         g.run(30 * S);
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::rc::Rc;
 use threadward_core::{Addr, Counter, Micros, Outcome};
-use threadward_gossip::{Dropped, Gossip, News, Out, State, BELIEVED};
+use threadward_gossip::{Dropped, Gossip, Notice, Output, State, SUSPICION_TTL};
 
 /// How often own traffic is looked at.
 const LOOK: Micros = 25_000;
@@ -61,21 +61,21 @@
     }
 
     /// One call of the instance, and what it wants done.
-    fn call(self: &Rc<Self>, f: impl FnOnce(&mut Gossip, Micros, &mut Out)) {
-        let mut out = Out::default();
+    fn call(self: &Rc<Self>, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
+        let mut out = Output::default();
         f(&mut self.gossip.borrow_mut(), now(), &mut out);
         for (to, bytes) in out.send {
             // One that finds no room is lost, as any may be.
             self.socket.get_ref().send_to(&bytes, to).ok();
         }
-        for news in out.news {
+        for news in out.notices {
             self.told(news);
         }
     }
 
-    fn told(self: &Rc<Self>, news: News) {
+    fn told(self: &Rc<Self>, news: Notice) {
         match news {
-            News::Peer { name, from, to } => {
+            Notice::Peer { name, from, to } => {
                 let q = self.gossip.borrow().quorum();
                 let word = match to {
                     State::Unknown => "unknown",
@@ -85,25 +85,27 @@
                     State::Left => "left",
                 };
                 let again = if to == State::Live && from != State::Unknown { " again" } else { "" };
-                net::log(&format!("gossip: peer {name} is {word}{again}, {} of {} live", q.live, q.entitled));
+                net::log(&format!("gossip: peer {name} is {word}{again}, {} of {} live", q.live, q.eligible));
             }
-            News::Majority(true) => net::log("gossip: more than half of the peers are live, hearsay counts"),
-            News::Majority(false) => {
+            Notice::Majority(true) => {
+                net::log("gossip: more than half of the peers are live, hearsay counts")
+            }
+            Notice::Majority(false) => {
                 net::log("gossip: half of the peers or fewer are live, hearsay counts for nothing");
             }
-            News::Credit { name, heard } => {
+            Notice::WitnessTrust { name, trusted } => {
                 let word =
-                    if heard { "is heard again" } else { "is no longer heard: own traffic refutes it" };
+                    if trusted { "is heard again" } else { "is no longer heard: own traffic refutes it" };
                 net::log(&format!("gossip: peer {name} {word}"));
             }
-            News::Still { member, incarnation } => {
-                self.node.plan(|p, now| p.rumour(now, member, incarnation, BELIEVED));
+            Notice::SuspicionContinues { member, incarnation } => {
+                self.node.plan(|p, now| p.rumour(now, member, incarnation, SUSPICION_TTL));
             }
-            News::Doubt(d) => {
-                let lasts = if d.believed { BELIEVED } else { 0 };
+            Notice::Suspicion(d) => {
+                let lasts = if d.suspected { SUSPICION_TTL } else { 0 };
                 self.node.plan(|p, now| p.rumour(now, d.member, d.incarnation, lasts));
                 let id = self.node.pool.id(d.member).unwrap_or_default();
-                if d.believed {
+                if d.suspected {
                     self.node.count(Counter::GossipDoubts);
                     net::log(&format!("gossip: {id} is held suspect, {} witnesses", d.witnesses));
                     self.probe(d.member);
@@ -138,7 +140,7 @@
         self.probes.set(s.probes);
         let done = self.gossip.borrow_mut().reconfigure(now(), s.settings);
         match done {
-            Ok(()) => format!("gossip has {} peers with keys", self.gossip.borrow().quorum().entitled),
+            Ok(()) => format!("gossip has {} peers with keys", self.gossip.borrow().quorum().eligible),
             Err(e) => format!("gossip keeps its peers: {e}"),
         }
     }
@@ -157,14 +159,14 @@
         let new = served - self.served.replace(served);
         let busy = open * 2 > self.node.config.names.max_open;
         self.call(|g, now, out| {
-            g.served(new);
-            g.busy(now, busy);
+            g.add_served_requests(new);
+            g.set_overloaded(now, busy);
             g.observe(now, &standings, out);
         });
         let g = self.gossip.borrow();
         self.node.peers_live.set(g.quorum().live);
-        self.node.suspects.set(g.believed().len());
-        let t = g.tally;
+        self.node.suspects.set(g.suspected_members().len());
+        let t = g.counts;
         self.node.plan(|p, _| {
             let c = &mut p.counters;
             c.set(Counter::GossipSent, t.sent);
@@ -186,7 +188,7 @@
         talk.node.count(Counter::PeerMessages);
         talk.call(|g, now, out| g.receive(now, from, bytes, out));
     };
-    net::each_datagram(&talk.socket, threadward_gossip::wire::MOST, take).await;
+    net::each_datagram(&talk.socket, threadward_gossip::wire::MAX_DATAGRAM_BYTES, take).await;
 }
 
 /// Sees to what is due.
@@ -217,5 +219,5 @@
     let mut file =
         std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path).map_err(say)?;
     writeln!(file, "{}", URL_SAFE_NO_PAD.encode(secret)).map_err(say)?;
-    Ok(URL_SAFE_NO_PAD.encode(threadward_gossip::public(&secret)))
+    Ok(URL_SAFE_NO_PAD.encode(threadward_gossip::public_key(&secret)))
 }
--- a/node/src/operators/gossip.rs
+++ b/node/src/operators/gossip.rs
@@ -45,17 +45,17 @@
     }
     let secret = part.secret_key("secret_file", own.folder)?;
     let mut settings = threadward_gossip::Settings::new(own.name, secret, peers);
-    settings.period = (number("period_ms", 1000.0)? * 1000.0) as Micros;
-    settings.floor = number("floor_bytes_per_s", settings.floor)?;
-    settings.per_request = number("bytes_per_request", settings.per_request)?;
-    settings.checks = number("checks_per_s", settings.checks)?;
+    settings.probe_period = (number("period_ms", 1000.0)? * 1000.0) as Micros;
+    settings.statement_bytes_per_s = number("floor_bytes_per_s", settings.statement_bytes_per_s)?;
+    settings.statement_bytes_per_request = number("bytes_per_request", settings.statement_bytes_per_request)?;
+    settings.signature_checks_per_s = number("checks_per_s", settings.signature_checks_per_s)?;
     if let Some(n) = part.whole("faults")? {
         let n = usize::try_from(n).map_err(|_| part.wrong_at("faults", "'faults' is under 0"))?;
-        settings.faults = Some(n);
+        settings.tolerated_faults = Some(n);
     }
     let probes = number("probes_per_s", 0.0)?.min(100.0);
     // What it says of one key begins with that key's name.
-    threadward_gossip::check(&settings).map_err(|e| {
+    threadward_gossip::validate(&settings).map_err(|e| {
         let key = e.split('\'').nth(1).filter(|_| e.starts_with('\''));
         part.wrong_at(key.unwrap_or_default(), e.as_str())
     })?;
--- a/node/tests/gossip.rs
+++ b/node/tests/gossip.rs
@@ -12,7 +12,7 @@
 use threadward::net::{now, sleep_until};
 use threadward::{config, gossip};
 use threadward_faults::{Process, Signal, Start};
-use threadward_gossip::{public, Gossip, Out, PeerConfig, Settings};
+use threadward_gossip::{public_key, Gossip, Output, PeerConfig, Settings};
 
 fn secret(i: usize) -> [u8; 32] {
     [i as u8 + 1; 32]
@@ -36,7 +36,7 @@
     fn write(&self, i: usize, n: usize) {
         std::fs::write(self.file(i, "key"), URL_SAFE_NO_PAD.encode(secret(i))).unwrap();
         let peer = |k: usize| {
-            let key = URL_SAFE_NO_PAD.encode(public(&secret(k)));
+            let key = URL_SAFE_NO_PAD.encode(public_key(&secret(k)));
             format!(
                 "[[gossip.peer]]\nname = \"n{k}\"\naddress = \"{}\"\nkeys = [\"{key}\"]\nseed = true\n",
                 self.at[k]
@@ -50,7 +50,7 @@
         let peer = |(k, at): (usize, &SocketAddr)| PeerConfig {
             name: format!("n{k}"),
             addr: *at,
-            keys: vec![public(&secret(k))],
+            keys: vec![public_key(&secret(k))],
             seed: true,
         };
         self.at.iter().enumerate().map(peer).collect()
@@ -81,13 +81,13 @@
 impl Liar {
     fn new(g: &Group, i: usize, accuses: &[Addr]) -> Liar {
         let mut s = Settings::new(&format!("n{i}"), secret(i), g.peers());
-        s.period = 200_000;
+        s.probe_period = 200_000;
         let socket = UdpSocket::bind(g.at[i]).unwrap();
         socket.set_nonblocking(true).unwrap();
         Liar { gossip: Gossip::new(now(), s, [9 + i as u8; 32]).unwrap(), socket, accuses: accuses.to_vec() }
     }
     fn step(&mut self) {
-        let (mut out, mut buf) = (Out::default(), [0; 257]);
+        let (mut out, mut buf) = (Output::default(), [0; 257]);
         while let Ok((n, from)) = self.socket.recv_from(&mut buf) {
             self.gossip.receive(now(), from, &buf[..n], &mut out);
         }
@@ -145,7 +145,7 @@
         }
         until("the liar's view", || liar.borrow().gossip.quorum().live == 4).await;
         let before = counter(&proxies[0], "gossipReceived").await;
-        until("statements", || liar.borrow().gossip.tally.sent > 40).await;
+        until("statements", || liar.borrow().gossip.counts.sent > 40).await;
         let junk = UdpSocket::bind("127.0.0.1:0").unwrap();
         junk.send_to(&[0; 120], g.at[0]).unwrap();
         liar.borrow().socket.send_to(&[0x14; 85], g.at[0]).unwrap();
@@ -201,7 +201,7 @@
     let public_part = gossip::make_key(&path).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
     let secret: [u8; 32] = URL_SAFE_NO_PAD.decode(text.trim()).unwrap().try_into().unwrap();
-    assert_eq!(URL_SAFE_NO_PAD.encode(public(&secret)), public_part);
+    assert_eq!(URL_SAFE_NO_PAD.encode(public_key(&secret)), public_part);
     assert!(gossip::make_key(&path).is_err(), "an existing file is never touched");
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
     std::fs::remove_file(&path).unwrap();
@@ -209,7 +209,7 @@
 
 #[test]
 fn bad_gossip_parts_get_one_line() {
-    let key = URL_SAFE_NO_PAD.encode(public(&secret(0)));
+    let key = URL_SAFE_NO_PAD.encode(public_key(&secret(0)));
     let folder = std::env::temp_dir();
     let name = format!("threadward-secret-{}", std::process::id());
     std::fs::write(folder.join(&name), URL_SAFE_NO_PAD.encode(secret(0))).unwrap();
--- a/node/tests/operators.rs
+++ b/node/tests/operators.rs
@@ -97,7 +97,7 @@
 }
 
 fn own_key() -> String {
-    URL_SAFE_NO_PAD.encode(threadward_gossip::public(&[7; 32]))
+    URL_SAFE_NO_PAD.encode(threadward_gossip::public_key(&[7; 32]))
 }
 
 #[test]
--- a/node/tests/pair_keys.rs
+++ b/node/tests/pair_keys.rs
@@ -6,7 +6,7 @@
 }
 
 fn public(secret: u8) -> [u8; 32] {
-    threadward_gossip::public(&[secret; 32])
+    threadward_gossip::public_key(&[secret; 32])
 }
 
 /// A third proxy of the fleet has a key with each of the two, and none of theirs.
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -16,7 +16,7 @@
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until, Signal};
 use threadward_faults::{Process, Relay, Start};
-use threadward_gossip::public;
+use threadward_gossip::public_key;
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::State;
 use threadward_zones::wire::Body;
@@ -137,7 +137,7 @@
         std::fs::write(file("key".into()), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
         let mut peers = String::new();
         for (i, at) in talk.iter().enumerate() {
-            let key = URL_SAFE_NO_PAD.encode(public(&secret(i)));
+            let key = URL_SAFE_NO_PAD.encode(public_key(&secret(i)));
             peers += &format!(
                 "[[gossip.peer]]\nname = \"n{i}\"\naddress = \"{at}\"\nkeys = [\"{key}\"]\nseed = true\n"
             );
@@ -402,7 +402,7 @@
         m.finalize().into_bytes().into()
     };
     let domain = b"threadward-zones-1";
-    let (a, b) = (public(&secret(from)), public(&secret(to)));
+    let (a, b) = (public_key(&secret(from)), public_key(&secret(to)));
     let theirs = VerifyingKey::from_bytes(&b).unwrap().to_montgomery();
     let shared = theirs.mul_clamped(SigningKey::from_bytes(&secret(from)).to_scalar_bytes());
     let key = of(domain, &[&shared.to_bytes(), &a.min(b), &a.max(b)]);
