--- a/gossip/src/belief.rs
+++ b/gossip/src/belief.rs
@@ -1,68 +1,78 @@
-//! What is believed of the members on the word of others. It owns the present statement of each witness, the credit
-//! of each, and the bounds on what hearsay may hold suspect at once. It must never believe fewer witnesses than one
-//! more than the liars that the tier bears, count a witness twice, or hold hearsay above an own good answer.
+//! Decides which members to suspect because of other peers' claims (hearsay). Tracks the current statement
+//! and the credit of each witness, and limits how many members hearsay may hold suspect at once.
 //!
-//! With `n` instances entitled to speak, `f = (n - 1) / 3` may lie (the bound of Pease, Shostak and Lamport, 1980,
-//! for agreement; here it is the margin that operators know), so `max(2, f + 1)` distinct witnesses are needed, and
-//! a majority of the entitled has to be live by own proof. A witness's vote is `credit * weight * 0.5^(age / 2.5 s)`,
-//! with weight 0.7, 0.85 or 1 for one own failure, two, or a skip; the votes have to come to 0.4 for each witness
-//! needed. Credit starts at 0.8, falls to 0.6 of itself with each claim that own good answers refute, rises by a
-//! tenth of what it lacks with one that own failures confirm, and by 0.02 in 10 s towards its start.
+//! A suspicion needs one witness more than the number of liars that the tier tolerates, and each witness
+//! counts once. An answer that this proxy itself received outranks any number of witnesses.
+//!
+//! With `n` eligible instances, `f = (n - 1) / 3` may lie (the bound of Pease, Shostak and Lamport, 1980,
+//! for agreement; here it is used as a margin that operators know), so `max(2, f + 1)` distinct witnesses
+//! are needed, and this instance must itself have confirmed a majority of the eligible instances as live. A
+//! witness's vote is `credit * weight * 0.5^(age / 2.5 s)`, where weight is 0.7, 0.85 or 1 for one failure,
+//! two failures, or a skip; the votes must add up to 0.4 for each witness needed. Credit starts at 0.8. Each
+//! claim that this proxy's own successful answers refute multiplies it by 0.6; each claim that its own
+//! failures confirm adds a tenth of the distance to 1. It recovers by 0.02 every 10 s up to its initial
+//! value.
 use crate::evidence::{Evidence, EVIDENCE_LIFETIME};
 use crate::wire::{self, Claim, MAX_CLAIMS, TIME_UNIT};
 use nickelgate::{Addr, Micros, Role};
 use std::collections::BTreeMap;
 
-const START: f64 = 0.8;
-/// Under this a witness is not heard.
-const LEAST: f64 = 0.3;
-const REFUTED: f64 = 0.6;
-const CONFIRMED: f64 = 0.1;
-const RECOVERY: f64 = 0.02;
-const RECOVERY_SPAN: Micros = 10_000_000;
-const HALF_LIFE: f64 = 2_500_000.0;
-/// Votes for each witness that is needed.
-const SHARE: f64 = 0.4;
-/// An own good answer this long after the failure that a claim tells of refutes it. Later it may have recovered.
-const REFUTES: Micros = 1_000_000;
-/// A claim confirmed by own failures so long before or after.
-const NEAR: Micros = 3_000_000;
-/// Claims of one witness count against its credit so far apart.
-const APART: Micros = 200_000;
+/// Credit of a new witness, and the highest that credit recovers to.
+const INITIAL_CREDIT: f64 = 0.8;
+/// A witness with less credit than this does not count.
+const MIN_TRUSTED_CREDIT: f64 = 0.3;
+/// A refuted claim multiplies the witness's credit by this.
+const REFUTED_CREDIT_FACTOR: f64 = 0.6;
+/// A confirmed claim adds this share of the difference between the credit and 1.
+const CONFIRMED_CREDIT_GAIN: f64 = 0.1;
+/// Credit regained per `CREDIT_RECOVERY_INTERVAL`.
+const CREDIT_RECOVERY: f64 = 0.02;
+const CREDIT_RECOVERY_INTERVAL: Micros = 10_000_000;
+/// A vote is halved each time the claim gets this much older.
+const VOTE_HALF_LIFE_MICROS: f64 = 2_500_000.0;
+/// Sum of votes required per needed witness.
+const VOTES_PER_WITNESS: f64 = 0.4;
+/// A successful answer seen by this proxy refutes a claim if it comes at most this long after the claimed
+/// failure. After a longer time the member may have recovered.
+const REFUTATION_WINDOW: Micros = 1_000_000;
+/// Own failures at most this long before or after the claimed failure confirm the claim.
+const CONFIRMATION_WINDOW: Micros = 3_000_000;
+/// Minimum time between two refuted claims of one witness that reduce its credit.
+const MIN_REFUTATION_INTERVAL: Micros = 200_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ReceivedClaim {
     member: Addr,
     short_incarnation: u32,
     strength: u8,
-    /// When the member failed, on the clock here.
-    at: Micros,
+    /// When the member failed, on the local clock.
+    failed_at: Micros,
     judged: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Witness {
-    claims: Vec<Heard>,
+    claims: Vec<ReceivedClaim>,
     credit: f64,
-    recovered: Micros,
-    refuted: Micros,
-    confirmed: Micros,
+    recovered_at: Micros,
+    refuted_at: Micros,
+    confirmed_at: Micros,
 }
 
-/// What changed: a member is believed suspect from now on, or no longer.
+/// A change: a member is now suspected because of other peers' claims, or is no longer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspicion {
     /// The member.
     pub member: Addr,
-    /// The start of the member that is meant.
+    /// The member's start time that identifies the incarnation meant.
     pub incarnation: u64,
-    /// From now on; else no longer.
+    /// Whether the member is suspected from now on; if false, the suspicion has ended.
     pub suspected: bool,
-    /// How many hold it suspect.
+    /// Number of witnesses that claim the failure.
     pub witnesses: usize,
 }
 
-/// The numbers that a quorum rests on.
+/// The numbers that a decision by quorum rests on.
 ///
 /// ```
 /// use threadward_gossip::Quorum;
@@ -75,30 +85,32 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorum {
-    /// Instances that may speak, this one among them.
+    /// Number of instances with a key, including this one.
     pub eligible: usize,
-    /// Those live by own proof, this one among them.
+    /// Number of those that this instance has confirmed as live, including itself.
     pub live: usize,
-    /// Liars borne, where the operators name them; else a third of the others, rounded down.
+    /// Number of lying instances to tolerate, if the operators set it; otherwise a third of the others,
+    /// rounded down.
     pub tolerated_faults: Option<usize>,
 }
 
 impl Quorum {
-    /// Liars borne.
+    /// Returns the number of lying instances to tolerate.
     pub fn tolerated_faults(&self) -> usize {
         self.tolerated_faults.unwrap_or(self.eligible.saturating_sub(1) / 3)
     }
-    /// Distinct witnesses that are needed.
+    /// Returns the number of distinct witnesses that a suspicion needs.
     pub fn required_witnesses(&self) -> usize {
         (self.tolerated_faults() + 1).max(2)
     }
-    /// Whether this side of a cut has more than half of all.
+    /// Returns whether this side of a network partition has more than half of the eligible instances.
     pub fn has_majority(&self) -> bool {
         self.live * 2 > self.eligible
     }
 }
 
-/// What each witness says at present, its credit, and what follows from that. Peers are told by their place in the file.
+/// The current statement and credit of each witness, and the suspicions that follow from them. Peers are
+/// identified by their index in the settings.
 ///
 /// ```
 /// use nickelgate::{Addr, Role, Standing};
@@ -123,13 +135,13 @@
 /// b.configure(&[None; 4]);
 /// let q = Quorum { eligible: 4, live: 4, tolerated_faults: None };
 /// let claim = Claim { member: hub(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
-/// b.hear(1_000_000, 1, 0, [claim].into_iter());
+/// b.record_statement(1_000_000, 1, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q).is_empty(), "one witness");
-/// b.hear(1_000_000, 2, 0, [claim].into_iter());
+/// b.record_statement(1_000_000, 2, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q)[0].suspected);
 /// // An own good answer outranks them, and costs them credit.
 /// own.update(1_500_000, &[Standing { good: 1_500_000, ..seen(1) }, seen(2)]);
-/// b.judge(1_500_000, &own);
+/// b.update_credit(1_500_000, &own);
 /// assert!(!b.evaluate(1_500_000, &own, q)[0].suspected && b.credit(1) < b.credit(3));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -139,68 +151,81 @@
 }
 
 impl Belief {
-    /// Follows a change of the file: each peer's former place.
-    pub fn configure(&mut self, kept: &[Option<usize>]) {
+    /// Applies a change of the configured peers. `former_indices` holds the former index of each peer.
+    pub fn configure(&mut self, former_indices: &[Option<usize>]) {
         let old = std::mem::take(&mut self.witnesses);
-        self.witnesses = kept.iter().map(|i| i.and_then(|i| old.get(i).cloned().flatten())).collect();
+        self.witnesses =
+            former_indices.iter().map(|i| i.and_then(|i| old.get(i).cloned().flatten())).collect();
     }
 
-    /// The present statement of a witness; all that it said before ends. `age`: how old the statement is.
-    pub fn hear(&mut self, now: Micros, peer: usize, age: Micros, claims: impl Iterator<Item = Claim>) {
-        let Some(place) = self.witnesses.get_mut(peer) else { return };
-        let fresh =
-            || Witness { claims: Vec::new(), credit: START, recovered: now, refuted: 0, confirmed: 0 };
-        let w = place.get_or_insert_with(fresh);
+    /// Replaces the statement of a witness. `age` is the age of the statement.
+    pub fn record_statement(
+        &mut self,
+        now: Micros,
+        peer: usize,
+        age: Micros,
+        claims: impl Iterator<Item = Claim>,
+    ) {
+        let Some(slot) = self.witnesses.get_mut(peer) else { return };
+        let new_witness = || Witness {
+            claims: Vec::new(),
+            credit: INITIAL_CREDIT,
+            recovered_at: now,
+            refuted_at: 0,
+            confirmed_at: 0,
+        };
+        let w = slot.get_or_insert_with(new_witness);
         let old = std::mem::take(&mut w.claims);
         for c in claims.take(MAX_CLAIMS) {
-            // A statement names a member once.
+            // A statement counts only the first claim about a member.
             if w.claims.iter().any(|o| o.member == c.member) {
                 continue;
             }
-            let at = now.saturating_sub(age + Micros::from(c.age) * TIME_UNIT);
-            // Ages are told in steps: the same failure told again is not judged again.
-            let same = |o: &&Heard| {
+            let failed_at = now.saturating_sub(age + Micros::from(c.age) * TIME_UNIT);
+            // Ages are rounded to a unit, so a claim about nearly the same time is a repetition of the same
+            // failure. A repetition keeps its judgement and is not judged again.
+            let same = |o: &&ReceivedClaim| {
                 o.member == c.member
                     && o.short_incarnation == c.short_incarnation
-                    && o.at.abs_diff(at) < 100_000
+                    && o.failed_at.abs_diff(failed_at) < 100_000
             };
             let before = old.iter().find(same);
             let judged = before.is_some_and(|o| o.judged);
-            let at = before.map_or(at, |o| o.at);
-            w.claims.push(Heard {
+            let failed_at = before.map_or(failed_at, |o| o.failed_at);
+            w.claims.push(ReceivedClaim {
                 member: c.member,
                 short_incarnation: c.short_incarnation,
                 strength: c.strength,
-                at,
+                failed_at,
                 judged,
             });
         }
     }
 
-    /// A witness ended its life, left, or is dead: what it said ends; its credit stays.
-    pub fn silence(&mut self, peer: usize) {
+    /// Discards the claims of a witness that restarted, left or is dead. Its credit stays.
+    pub fn clear_statement(&mut self, peer: usize) {
         if let Some(w) = self.witnesses.get_mut(peer).and_then(Option::as_mut) {
             w.claims.clear();
         }
     }
 
-    /// The credit of a witness, from 0 to 1.
+    /// Returns the credit of a witness, from 0 to 1.
     pub fn credit(&self, peer: usize) -> f64 {
-        self.witnesses.get(peer).and_then(Option::as_ref).map_or(START, |w| w.credit)
+        self.witnesses.get(peer).and_then(Option::as_ref).map_or(INITIAL_CREDIT, |w| w.credit)
     }
 
-    /// Whether its word counts.
-    pub fn heard(&self, peer: usize) -> bool {
-        self.credit(peer) >= LEAST
+    /// Returns whether the claims of a witness count.
+    pub fn is_trusted(&self, peer: usize) -> bool {
+        self.credit(peer) >= MIN_TRUSTED_CREDIT
     }
 
-    /// Holds what was said against own traffic.
-    pub fn judge(&mut self, now: Micros, own: &Evidence) {
+    /// Compares all claims with this proxy's own traffic and adjusts the credit of the witnesses.
+    pub fn update_credit(&mut self, now: Micros, own: &Evidence) {
         for w in self.witnesses.iter_mut().flatten() {
-            let spans = now.saturating_sub(w.recovered) / RECOVERY_SPAN;
+            let spans = now.saturating_sub(w.recovered_at) / CREDIT_RECOVERY_INTERVAL;
             if spans > 0 {
-                w.recovered += spans * RECOVERY_SPAN;
-                w.credit = w.credit.max((w.credit + RECOVERY * spans as f64).min(START));
+                w.recovered_at += spans * CREDIT_RECOVERY_INTERVAL;
+                w.credit = w.credit.max((w.credit + CREDIT_RECOVERY * spans as f64).min(INITIAL_CREDIT));
             }
             for c in w.claims.iter_mut().filter(|c| !c.judged) {
                 let Some(seen) = own
@@ -210,57 +235,62 @@
                 else {
                     continue;
                 };
-                if seen.good_between(c.at, c.at + REFUTES) {
+                if seen.answered_between(c.failed_at, c.failed_at + REFUTATION_WINDOW) {
                     c.judged = true;
-                    if now >= w.refuted + APART {
-                        w.credit *= REFUTED;
-                        w.refuted = now;
+                    if now >= w.refuted_at + MIN_REFUTATION_INTERVAL {
+                        w.credit *= REFUTED_CREDIT_FACTOR;
+                        w.refuted_at = now;
                     }
-                } else if seen.suspect(now) && seen.failed.abs_diff(c.at) < NEAR {
+                } else if seen.is_suspect(now)
+                    && seen.last_failure.abs_diff(c.failed_at) < CONFIRMATION_WINDOW
+                {
                     c.judged = true;
-                    if now >= w.confirmed + EVIDENCE_LIFETIME {
-                        w.credit += CONFIRMED * (1.0 - w.credit);
-                        w.confirmed = now;
+                    if now >= w.confirmed_at + EVIDENCE_LIFETIME {
+                        w.credit += CONFIRMED_CREDIT_GAIN * (1.0 - w.credit);
+                        w.confirmed_at = now;
                     }
                 }
             }
         }
     }
 
-    /// What is believed now; gives the changes.
+    /// Recomputes which members are suspected and returns the changes.
     pub fn evaluate(&mut self, now: Micros, own: &Evidence, q: Quorum) -> Vec<Suspicion> {
         let mut votes: BTreeMap<Addr, (usize, f64)> = BTreeMap::new();
-        for w in self.witnesses.iter().flatten().filter(|w| w.credit >= LEAST && q.has_majority()) {
+        for w in
+            self.witnesses.iter().flatten().filter(|w| w.credit >= MIN_TRUSTED_CREDIT && q.has_majority())
+        {
             for c in &w.claims {
                 let Some(seen) = own.members.get(&c.member) else { continue };
-                let age = now.saturating_sub(c.at);
-                // An own good answer since then outranks it.
+                let age = now.saturating_sub(c.failed_at);
+                // An answer that this proxy received since then outranks the claim.
                 if wire::short_incarnation(seen.incarnation) != c.short_incarnation
                     || age >= EVIDENCE_LIFETIME
-                    || seen.good >= c.at
+                    || seen.last_answer >= c.failed_at
                 {
                     continue;
                 }
                 let weight = [0.0, 0.7, 0.85, 1.0][usize::from(c.strength.min(3))];
-                let vote = w.credit * weight * f64::powf(0.5, age as f64 / HALF_LIFE);
+                let vote = w.credit * weight * f64::powf(0.5, age as f64 / VOTE_HALF_LIFE_MICROS);
                 let v = votes.entry(c.member).or_default();
                 (v.0, v.1) = (v.0 + 1, v.1 + vote);
             }
         }
-        let need = q.required_witnesses();
-        let holds = |a: &Addr, v: &(usize, f64)| {
-            // What is believed stays so while the witnesses stand.
+        let required = q.required_witnesses();
+        let qualifies = |a: &Addr, v: &(usize, f64)| {
+            // A member that is already suspected stays so while enough witnesses stand, even if their votes
+            // have decayed.
             let already = self.suspected.contains_key(a);
-            v.0 >= need && (already || v.1 >= need as f64 * SHARE)
+            v.0 >= required && (already || v.1 >= required as f64 * VOTES_PER_WITNESS)
         };
         let mut held: Vec<(Addr, Micros, Role, usize, f64)> = votes
             .iter()
-            .filter(|(a, v)| holds(a, v))
+            .filter(|(a, v)| qualifies(a, v))
             .filter_map(|(a, v)| own.members.get(a).map(|s| (*a, s.incarnation, s.role, v.0, v.1)))
             .collect();
         held.sort_by(|x, y| y.4.total_cmp(&x.4).then(x.0.cmp(&y.0)));
-        let mut room = [Role::Cache, Role::Parent, Role::Origin].map(|r| (r, bound(own, r)));
-        held.retain(|h| match room.iter_mut().find(|(r, _)| *r == h.2) {
+        let mut remaining = [Role::Cache, Role::Parent, Role::Origin].map(|r| (r, max_suspected(own, r)));
+        held.retain(|h| match remaining.iter_mut().find(|(r, _)| *r == h.2) {
             Some((_, n)) if *n > 0 => {
                 *n -= 1;
                 true
@@ -288,14 +318,16 @@
         changes
     }
 
-    /// Members held suspect on hearsay, each with the start that is meant.
+    /// Returns the members suspected because of hearsay, with the start time that identifies their
+    /// incarnation.
     pub fn suspected(&self) -> impl Iterator<Item = (Addr, Micros)> + '_ {
         self.suspected.iter().map(|(a, (incarnation, _))| (*a, *incarnation))
     }
 }
 
-/// How many members of a role hearsay may hold suspect at once: a third, and one at least where there are others.
-pub fn bound(own: &Evidence, role: Role) -> usize {
+/// Returns how many members of a role hearsay may hold suspect at once: a third, and at least one where
+/// there are others; of origins one.
+pub fn max_suspected(own: &Evidence, role: Role) -> usize {
     let n = own.members.values().filter(|s| s.role == role).count();
     match role {
         Role::Origin => n.min(1),
@@ -348,10 +380,10 @@
     fn one_witness_moves_nothing_however_often() {
         let (mut b, own, q) = belief(4);
         for t in 0..1000 {
-            b.hear(S + t * 1000, 1, 0, (1..=4).map(|n| claim(n, 3, 0)));
+            b.record_statement(S + t * 1000, 1, 0, (1..=4).map(|n| claim(n, 3, 0)));
             assert!(b.evaluate(S + t * 1000, &own, q).is_empty());
         }
-        b.hear(2 * S, 2, 0, [claim(1, 3, 0)].into_iter());
+        b.record_statement(2 * S, 2, 0, [claim(1, 3, 0)].into_iter());
         assert_eq!(
             b.evaluate(2 * S, &own, q),
             [Suspicion { member: hub(1), incarnation: 0, suspected: true, witnesses: 2 }]
@@ -364,10 +396,10 @@
             let (mut b, own, q) = belief(n);
             let f = (n - 1) / 3;
             for liar in 1..=f {
-                b.hear(S, liar, 0, (1..=4).map(|n| claim(n, 3, 0)));
+                b.record_statement(S, liar, 0, (1..=4).map(|n| claim(n, 3, 0)));
             }
             assert!(b.evaluate(S, &own, q).is_empty(), "{f} of {n}");
-            b.hear(S, f + 1, 0, [claim(2, 3, 0)].into_iter());
+            b.record_statement(S, f + 1, 0, [claim(2, 3, 0)].into_iter());
             assert_eq!(b.evaluate(S, &own, q).len(), 1);
         }
     }
@@ -376,7 +408,7 @@
     fn a_minority_believes_nothing() {
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
-            b.hear(S, w, 0, [claim(1, 3, 0)].into_iter());
+            b.record_statement(S, w, 0, [claim(1, 3, 0)].into_iter());
         }
         for live in 1..=2 {
             assert!(b.evaluate(S, &own, Quorum { live, ..q }).is_empty(), "{live} of 4");
@@ -393,29 +425,29 @@
         let mut t = S;
         for round in 0..4 {
             for w in 1..3 {
-                b.hear(t, w, 0, [claim(1, 3, 0)].into_iter());
+                b.record_statement(t, w, 0, [claim(1, 3, 0)].into_iter());
             }
             assert_eq!(b.evaluate(t, &own, q).len(), usize::from(round < 2), "round {round}");
             own.update(t + 100_000, &good(t + 100_000));
-            b.judge(t + 100_000, &own);
+            b.update_credit(t + 100_000, &own);
             assert!(b.evaluate(t + 100_000, &own, q).iter().all(|d| !d.suspected));
             t += 400_000;
         }
-        assert!(b.credit(1) < LEAST && b.credit(3) == START);
-        // It comes back slowly, and to its start at most.
-        b.judge(t + 60 * S, &own);
+        assert!(b.credit(1) < MIN_TRUSTED_CREDIT && b.credit(3) == INITIAL_CREDIT);
+        // Credit recovers slowly, and only up to its initial value.
+        b.update_credit(t + 60 * S, &own);
         assert!(b.credit(1) < 0.4, "{}", b.credit(1));
-        b.judge(t + 3600 * S, &own);
-        assert_eq!(b.credit(1), START);
+        b.update_credit(t + 3600 * S, &own);
+        assert_eq!(b.credit(1), INITIAL_CREDIT);
     }
 
     #[test]
     fn own_failures_confirm() {
         let (mut b, mut own, _) = belief(4);
-        b.hear(10 * S, 1, 0, [claim(1, 3, 0)].into_iter());
+        b.record_statement(10 * S, 1, 0, [claim(1, 3, 0)].into_iter());
         own.update(10 * S, &[standing(1, 10 * S, 0)]);
-        b.judge(10 * S, &own);
-        b.judge(10 * S, &own);
+        b.update_credit(10 * S, &own);
+        b.update_credit(10 * S, &own);
         assert!((b.credit(1) - 0.82).abs() < 1e-9);
     }
 
@@ -423,15 +455,15 @@
     fn hearsay_holds_a_third_at_most_and_ends_with_age() {
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
-            b.hear(S, w, 0, (1..=4).map(|n| claim(n, 1 + n % 3, 0)));
+            b.record_statement(S, w, 0, (1..=4).map(|n| claim(n, 1 + n % 3, 0)));
         }
         let held = b.evaluate(S, &own, q);
         assert_eq!(held.len(), 1, "of four hubs: {held:?}");
         assert_eq!(held[0].member, hub(2), "the one with the strongest word");
         assert!(!b.evaluate(S + EVIDENCE_LIFETIME, &own, q)[0].suspected);
-        // What is told late is old already.
-        b.hear(20 * S, 1, 3 * S, [claim(1, 3, 300)].into_iter());
-        b.hear(20 * S, 2, 3 * S, [claim(1, 3, 300)].into_iter());
+        // A claim that arrives late is already old.
+        b.record_statement(20 * S, 1, 3 * S, [claim(1, 3, 300)].into_iter());
+        b.record_statement(20 * S, 2, 3 * S, [claim(1, 3, 300)].into_iter());
         assert!(b.evaluate(20 * S, &own, q).is_empty());
     }
 
@@ -440,7 +472,7 @@
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
             let former = Claim { short_incarnation: 7, ..claim(1, 3, 0) };
-            b.hear(S, w, 0, [former, claim(99, 3, 0)].into_iter());
+            b.record_statement(S, w, 0, [former, claim(99, 3, 0)].into_iter());
         }
         assert!(b.evaluate(S, &own, q).is_empty());
     }
--- a/gossip/src/budget.rs
+++ b/gossip/src/budget.rs
@@ -1,84 +1,91 @@
-//! Bounds: the bytes that may be sent and the signatures that may be checked. It owns both purses. It must never let
-//! the number of instances or of datagrams that come in raise either.
+//! Limits on the bytes sent and the signatures checked. Neither limit grows with the number of instances or
+//! of received datagrams.
 use nickelgate::Micros;
 
-/// A purse that fills with time and holds a second's worth.
+/// A token bucket that refills with time, up to its capacity.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct TokenBucket {
     rate: f64,
-    most: f64,
-    left: f64,
-    at: Micros,
+    capacity: f64,
+    tokens: f64,
+    refilled_at: Micros,
 }
 
-impl Purse {
-    /// `rate`: a second's worth.
-    pub fn new(now: Micros, rate: f64, most: f64) -> Purse {
-        Purse { rate, most, left: most, at: now }
+impl TokenBucket {
+    /// Creates a full bucket. `rate` is the number of tokens per second.
+    pub fn new(now: Micros, rate: f64, capacity: f64) -> TokenBucket {
+        TokenBucket { rate, capacity, tokens: capacity, refilled_at: now }
     }
-    fn fill(&mut self, now: Micros) {
-        let span = now.saturating_sub(self.at) as f64 / 1e6;
-        self.left = (self.left + span * self.rate).min(self.most);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Micros) {
+        let span = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.tokens = (self.tokens + span * self.rate).min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
     }
-    pub fn rate(&mut self, now: Micros, rate: f64) {
-        self.fill(now);
+    pub fn set_rate(&mut self, now: Micros, rate: f64) {
+        self.refill(now);
         self.rate = rate;
     }
-    /// Adds what was earned otherwise.
-    pub fn earn(&mut self, n: f64) {
-        self.left = (self.left + n).min(self.most);
+    /// Adds tokens that were earned by other means than time.
+    pub fn add(&mut self, n: f64) {
+        self.tokens = (self.tokens + n).min(self.capacity);
     }
-    /// Whether so much is there.
-    pub fn holds(&mut self, now: Micros, n: f64) -> bool {
-        self.fill(now);
-        self.left >= n
+    /// Returns whether at least `n` tokens are available, after refilling.
+    pub fn has(&mut self, now: Micros, n: f64) -> bool {
+        self.refill(now);
+        self.tokens >= n
     }
-    /// Spends where it is there.
-    pub fn spend(&mut self, now: Micros, n: f64) -> bool {
-        self.fill(now);
-        let enough = self.left >= n;
-        self.left -= if enough { n } else { 0.0 };
+    /// Takes `n` tokens if they are available, and returns whether it did.
+    pub fn try_take(&mut self, now: Micros, n: f64) -> bool {
+        self.refill(now);
+        let enough = self.tokens >= n;
+        self.tokens -= if enough { n } else { 0.0 };
         enough
     }
-    /// Spends what has to be, as a debt of a purse's worth at most; else nothing.
-    pub fn owe(&mut self, now: Micros, n: f64) -> bool {
-        self.fill(now);
-        let enough = self.left - n >= -self.most;
-        self.left -= if enough { n } else { 0.0 };
+    /// Takes `n` tokens for something that cannot wait, going into debt by at most the bucket's capacity.
+    /// Returns false and takes nothing if the debt would become larger.
+    pub fn try_borrow(&mut self, now: Micros, n: f64) -> bool {
+        self.refill(now);
+        let enough = self.tokens - n >= -self.capacity;
+        self.tokens -= if enough { n } else { 0.0 };
         enough
     }
 }
 
-/// Signatures checked: for each known address a purse for what comes in a life that is proved, or answers a question that
-/// is out, and a smaller one for what does not; and of each kind one for all addresses together. Only who sees the
-/// traffic can guess the number of a life, so a flood in a peer's name spends the smaller purse and the peer is heard.
+/// Rate limits on signature checks. Each known address has one bucket for datagrams that belong to a
+/// confirmed incarnation or answer an outstanding probe, and a smaller one for all others; two more buckets,
+/// one of each kind, limit all addresses together.
+///
+/// The start number of an incarnation is known only to those that see its traffic. A flood under a peer's
+/// name therefore drains the smaller bucket, and the peer itself is still heard.
 #[derive(Clone, Debug)]
-pub struct Checks {
+pub struct SignatureChecks {
     per_address: f64,
-    each: Vec<[Option<Purse>; 2]>,
-    all: [Purse; 2],
+    by_address: Vec<[Option<TokenBucket>; 2]>,
+    all: [TokenBucket; 2],
 }
 
-/// Share of the checks that is for lives not proved.
-const STRANGE: f64 = 0.2;
+/// Share of the checks for datagrams of unconfirmed incarnations.
+const UNCONFIRMED_SHARE: f64 = 0.2;
 
-impl Checks {
-    /// `addresses`: how many are known, `per_address`: checks a second for one, `all`: for all together.
-    pub fn new(now: Micros, addresses: usize, per_address: f64, all: f64) -> Checks {
-        let share = |x: f64| Purse::new(now, x, x);
-        Checks {
+impl SignatureChecks {
+    /// Creates full buckets. `addresses` is the number of known addresses, `per_address` the checks per
+    /// second for one, and `all` those for all of them together.
+    pub fn new(now: Micros, addresses: usize, per_address: f64, all: f64) -> SignatureChecks {
+        let share = |x: f64| TokenBucket::new(now, x, x);
+        SignatureChecks {
             per_address,
-            each: vec![[None, None]; addresses],
-            all: [share(all), share((all * STRANGE).max(1.0))],
+            by_address: vec![[None, None]; addresses],
+            all: [share(all), share((all * UNCONFIRMED_SHARE).max(1.0))],
         }
     }
-    /// Whether a signature of a datagram from this address may be checked; `proved`: it is of a life that is proved.
-    pub fn allow(&mut self, now: Micros, address: usize, proved: bool) -> bool {
-        let kind = usize::from(!proved);
-        let rate = if proved { self.per_address } else { (self.per_address * STRANGE).max(1.0) };
-        let Some(p) = self.each.get_mut(address).map(|each| &mut each[kind]) else { return false };
-        p.get_or_insert_with(|| Purse::new(now, rate, rate)).spend(now, 1.0) && self.all[kind].spend(now, 1.0)
+    /// Takes a token for checking the signature of a datagram from this address, and returns whether it may
+    /// be checked. `confirmed` says that the datagram belongs to a confirmed incarnation or answers a probe.
+    pub fn allow(&mut self, now: Micros, address: usize, confirmed: bool) -> bool {
+        let kind = usize::from(!confirmed);
+        let rate = if confirmed { self.per_address } else { (self.per_address * UNCONFIRMED_SHARE).max(1.0) };
+        let Some(p) = self.by_address.get_mut(address).map(|pair| &mut pair[kind]) else { return false };
+        p.get_or_insert_with(|| TokenBucket::new(now, rate, rate)).try_take(now, 1.0)
+            && self.all[kind].try_take(now, 1.0)
     }
 }
 
@@ -88,7 +95,7 @@
 
     #[test]
     fn a_flood_from_one_address_spends_its_own_purse() {
-        let mut c = Checks::new(0, 2, 50.0, 100.0);
+        let mut c = SignatureChecks::new(0, 2, 50.0, 100.0);
         let passed = (0..100_000).filter(|i| c.allow(i * 10, 0, false)).count();
         assert!((19..=21).contains(&passed), "{passed} in a second, a purse at first");
         assert!(c.allow(1_000_000, 0, true), "the peer itself is heard, as its life is proved");
@@ -100,8 +107,8 @@
 
     #[test]
     fn a_debt_is_bounded() {
-        let mut p = Purse::new(0, 100.0, 100.0);
-        assert_eq!((0..300).filter(|_| p.owe(0, 1.0)).count(), 200);
-        assert!(!p.spend(500_000, 1.0) && p.spend(1_100_000, 1.0));
+        let mut p = TokenBucket::new(0, 100.0, 100.0);
+        assert_eq!((0..300).filter(|_| p.try_borrow(0, 1.0)).count(), 200);
+        assert!(!p.try_take(500_000, 1.0) && p.try_take(1_100_000, 1.0));
     }
 }
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -1,64 +1,66 @@
-//! What this instance's own traffic showed of the members: the only source of what it says of them. It owns the count
-//! of own failures and the short memory of own good answers. It must never take in hearsay: a skip that a rumour
-//! helped is told with the own failures behind it, no more.
+//! Collects what this proxy's own traffic shows about the members. This is the only source of the claims
+//! that this instance sends: it counts own failures and keeps a short history of own successful answers.
+//!
+//! Hearsay never enters. A skip that other peers' claims helped to cause is reported only with the strength
+//! of the own failures behind it.
 use crate::wire::{self, Claim, Kind, MAX_CLAIMS, TIME_UNIT};
 use nickelgate::{Addr, Micros, Outcome, Role, Standing};
 use std::collections::BTreeMap;
 
-/// After this a failure says nothing any more; a skip lasts as long.
+/// A failure no longer counts after this time; a skip lasts as long.
 pub const EVIDENCE_LIFETIME: Micros = 5_000_000;
-/// Own good answers are remembered in steps of so long, 32 of them.
-const STEP: Micros = 250_000;
+/// Successful answers are remembered in 32 steps of this length.
+const ANSWER_STEP: Micros = 250_000;
 
-/// What own traffic showed of a member.
+/// What this proxy's own traffic has shown about a member.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Its last start, as listed.
+pub struct Observation {
+    /// Start time of its current incarnation, as listed.
     pub incarnation: u64,
-    /// What it is to the own router.
+    /// Its role for this proxy's router.
     pub role: Role,
-    /// When it last failed; 0: never.
-    pub failed: Micros,
-    /// When it last answered well; 0: never.
-    pub good: Micros,
-    /// Own failures in a row: 0 to 2, or 3 for three and more or a skip that they made.
+    /// When it last failed; 0 if never.
+    pub last_failure: Micros,
+    /// When it last answered successfully; 0 if never.
+    pub last_answer: Micros,
+    /// Consecutive own failures: 0 to 2, or 3 for three and more or for a skip caused by own failures alone.
     pub strength: u8,
     kind: Kind,
     skipped: bool,
-    helped: u32,
-    goods: u32,
-    step: Micros,
+    hearsay_skips: u32,
+    answer_mask: u32,
+    answer_step: Micros,
 }
 
-impl Seen {
-    fn new(s: &Standing) -> Seen {
-        Seen {
+impl Observation {
+    fn new(s: &Standing) -> Observation {
+        Observation {
             incarnation: s.incarnation,
             role: s.role,
-            failed: 0,
-            good: 0,
+            last_failure: 0,
+            last_answer: 0,
             strength: 0,
             kind: Kind::Silent,
             skipped: false,
-            helped: s.helped,
-            goods: 0,
-            step: 0,
+            hearsay_skips: s.helped,
+            answer_mask: 0,
+            answer_step: 0,
         }
     }
-    fn take(&mut self, s: &Standing) {
+    fn update_from(&mut self, s: &Standing) {
         self.role = s.role;
-        if s.good > self.good {
-            let step = s.good / STEP;
-            self.goods = u32::try_from(step.saturating_sub(self.step))
-                .map_or(0, |n| self.goods.checked_shl(n).unwrap_or(0))
+        if s.good > self.last_answer {
+            let step = s.good / ANSWER_STEP;
+            self.answer_mask = u32::try_from(step.saturating_sub(self.answer_step))
+                .map_or(0, |n| self.answer_mask.checked_shl(n).unwrap_or(0))
                 | 1;
-            (self.step, self.good) = (step, s.good);
+            (self.answer_step, self.last_answer) = (step, s.good);
         }
-        if s.failed > self.failed {
-            // Failures count as a row until an own good answer comes between.
-            let row = if self.good >= self.failed { 0 } else { self.strength };
-            self.strength = (row + 1).min(3);
-            self.failed = s.failed;
+        if s.failed > self.last_failure {
+            // A successful answer in between ends a series of consecutive failures.
+            let previous = if self.last_answer >= self.last_failure { 0 } else { self.strength };
+            self.strength = (previous + 1).min(3);
+            self.last_failure = s.failed;
             self.kind = match s.why {
                 Some(Outcome::Reset) => Kind::Broken,
                 Some(Outcome::ConnectFailed) => Kind::Unreachable,
@@ -66,32 +68,36 @@
                 Some(_) => Kind::Refusing,
             };
         }
-        if s.skipped && !self.skipped && s.helped == self.helped {
+        if s.skipped && !self.skipped && s.helped == self.hearsay_skips {
             self.strength = 3;
         }
-        (self.skipped, self.helped) = (s.skipped, s.helped);
+        (self.skipped, self.hearsay_skips) = (s.skipped, s.helped);
     }
-    /// Whether it answered well at some time after `from` and not after `to`, as far as that is remembered.
-    pub fn good_between(&self, from: Micros, to: Micros) -> bool {
-        let mut goods = self.goods;
-        let mut step = self.step;
-        while goods != 0 {
-            // A step stands for its end, the last one for the answer itself, so that none counts as too late.
-            let at = if step == self.step { self.good } else { step * STEP };
-            if goods & 1 == 1 && at > from && at <= to {
+    /// Returns whether the member answered successfully after `from` and not after `to`, as far as the
+    /// history goes back.
+    pub fn answered_between(&self, from: Micros, to: Micros) -> bool {
+        let mut answer_mask = self.answer_mask;
+        let mut step = self.answer_step;
+        while answer_mask != 0 {
+            // A step is dated by its start, and the newest one by the answer itself, so that no answer is
+            // dated too late.
+            let at = if step == self.answer_step { self.last_answer } else { step * ANSWER_STEP };
+            if answer_mask & 1 == 1 && at > from && at <= to {
                 return true;
             }
-            (goods, step) = (goods >> 1, step.saturating_sub(1));
+            (answer_mask, step) = (answer_mask >> 1, step.saturating_sub(1));
         }
         false
     }
-    /// Own failures stand and no good answer came since.
-    pub fn suspect(&self, now: Micros) -> bool {
-        self.strength > 0 && self.failed > self.good && now < self.failed + EVIDENCE_LIFETIME
+    /// Returns whether own failures stand that no successful answer has followed.
+    pub fn is_suspect(&self, now: Micros) -> bool {
+        self.strength > 0
+            && self.last_failure > self.last_answer
+            && now < self.last_failure + EVIDENCE_LIFETIME
     }
 }
 
-/// What own traffic showed of all members, and what is to be told of them.
+/// What this proxy's own traffic has shown about all members, and the claims that follow from it.
 ///
 /// ```
 /// use nickelgate::{Addr, Outcome, Role, Standing};
@@ -117,50 +123,53 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Every member that is listed.
-    pub members: BTreeMap<Addr, Seen>,
-    told: Vec<(Addr, u8)>,
+    /// Every listed member.
+    pub members: BTreeMap<Addr, Observation>,
+    last_claimed: Vec<(Addr, u8)>,
 }
 
 impl Evidence {
-    /// Takes in the present standings, all of them; true where what is to be told has changed.
+    /// Updates all members from the current standings, which have to be complete. Returns whether the set of
+    /// claims has changed.
     pub fn update(&mut self, now: Micros, standings: &[Standing]) -> bool {
         self.members
             .retain(|a, seen| standings.iter().any(|s| s.member == *a && s.incarnation == seen.incarnation));
         for s in standings {
-            self.members.entry(s.member).or_insert_with(|| Seen::new(s)).take(s);
+            self.members.entry(s.member).or_insert_with(|| Observation::new(s)).update_from(s);
         }
-        let tell: Vec<(Addr, u8)> =
-            self.members.iter().filter(|(_, s)| s.suspect(now)).map(|(a, s)| (*a, s.strength)).collect();
-        let changed = tell != self.told;
-        self.told = tell;
+        let claimable: Vec<(Addr, u8)> =
+            self.members.iter().filter(|(_, s)| s.is_suspect(now)).map(|(a, s)| (*a, s.strength)).collect();
+        let changed = claimable != self.last_claimed;
+        self.last_claimed = claimable;
         changed
     }
 
-    /// An own probe ended: a good one is an own good answer, a failed one an own failure.
-    pub fn probed(&mut self, now: Micros, member: Addr, good: bool) {
+    /// Records the end of an own probe: success counts as a successful answer, failure as a failure.
+    pub fn record_probe(&mut self, now: Micros, member: Addr, answered: bool) {
         let Some(seen) = self.members.get_mut(&member) else { return };
-        if good {
-            // It tells that the connection works and no more: what was silent or refusing stays so.
+        if answered {
+            // A probe only shows that a connection can be made, so it does not clear a member that is silent
+            // or refusing.
             if matches!(seen.kind, Kind::Unreachable | Kind::Broken) {
-                seen.good = now;
+                seen.last_answer = now;
             }
         } else {
             seen.strength = (seen.strength + 1).min(3);
-            (seen.failed, seen.kind) = (now, Kind::Unreachable);
+            (seen.last_failure, seen.kind) = (now, Kind::Unreachable);
         }
     }
 
-    /// What is to be told now, the strongest and newest first, with ages.
+    /// Returns the current claims with their ages, the strongest and then the newest first.
     pub fn claims(&self, now: Micros) -> Vec<Claim> {
-        let mut all: Vec<(&Addr, &Seen)> = self.members.iter().filter(|(_, s)| s.suspect(now)).collect();
-        all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.failed)), **a));
-        let claim = |(a, s): (&Addr, &Seen)| Claim {
+        let mut all: Vec<(&Addr, &Observation)> =
+            self.members.iter().filter(|(_, s)| s.is_suspect(now)).collect();
+        all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.last_failure)), **a));
+        let claim = |(a, s): (&Addr, &Observation)| Claim {
             member: *a,
             short_incarnation: wire::short_incarnation(s.incarnation),
             kind: s.kind,
             strength: s.strength,
-            age: u16::try_from(now.saturating_sub(s.failed) / TIME_UNIT).unwrap_or(u16::MAX),
+            age: u16::try_from(now.saturating_sub(s.last_failure) / TIME_UNIT).unwrap_or(u16::MAX),
         };
         all.into_iter().take(MAX_CLAIMS).map(claim).collect()
     }
@@ -218,8 +227,8 @@
             e.update(t, &[standing(0, t, false, 0)]);
         }
         let seen = e.members.values().next().unwrap();
-        assert!(seen.good_between(13 * s, 15 * s) && seen.good_between(10 * s, 11 * s));
-        assert!(!seen.good_between(11 * s, 13 * s) && !seen.good_between(14 * s, 15 * s));
-        assert!(!seen.good_between(0, 5 * s));
+        assert!(seen.answered_between(13 * s, 15 * s) && seen.answered_between(10 * s, 11 * s));
+        assert!(!seen.answered_between(11 * s, 13 * s) && !seen.answered_between(14 * s, 15 * s));
+        assert!(!seen.answered_between(0, 5 * s));
     }
 }
--- a/gossip/src/instance/send.rs
+++ b/gossip/src/instance/send.rs
@@ -1,134 +1,154 @@
-//! What an instance sends: probes and answers out of the purse of membership, statements out of the other. It owns the
-//! making of datagrams and to whom they go. It must never send past a purse, save the one farewell at its end, nor sign
-//! another's word: what is handed on goes as it came.
-use super::{Gossip, SAVED};
+//! Builds and sends datagrams: probes and answers from the membership budget, statements from the statement
+//! budget. Nothing is sent beyond a budget, except the leave message at shutdown. Datagrams of other peers
+//! are forwarded unchanged with their author's signature and are never signed again.
+use super::{Gossip, STATEMENT_BURST_BYTES};
 use crate::keys::SIGNATURE_BYTES;
-use crate::members::{self, Order};
+use crate::members::{self, ProbeMessage};
 use crate::told::Output;
 use crate::wire::{self, Head, Hint};
 use nickelgate::Micros;
 
-/// Peers that a statement of the own goes to straight.
-pub(super) const FANOUT: usize = 4;
-/// Peers that another's statement is handed on to, once, where not all got it straight.
-const HAND_ON: usize = 2;
-/// A changed statement is told once more after this, as any datagram may be lost, then after the longer span for as
-/// long as it has claims; an empty one is told twice.
-const SOON: Micros = 150_000;
-const AGAIN: Micros = 2_000_000;
-/// One author's statements are handed on no closer together, and only while so much of the purse is left: a peer that
-/// says much takes nothing from what this instance has to say itself.
-const HANDED: Micros = 1_000_000;
-const RESERVE: f64 = SAVED / 2.0;
-/// Hints on a ping or an answer.
-const HINTED: usize = 4;
+/// Number of peers to which this instance sends its own statements directly.
+pub(super) const STATEMENT_FANOUT: usize = 4;
+/// Number of peers to which another peer's statement is forwarded, once, when the author's fan-out does not
+/// reach all peers.
+const FORWARD_FANOUT: usize = 2;
+/// A changed statement is repeated after `FIRST_REPEAT_DELAY`, because any datagram may be lost, and then
+/// every `REPEAT_INTERVAL` while it has claims. An empty statement is sent twice.
+const FIRST_REPEAT_DELAY: Micros = 150_000;
+const REPEAT_INTERVAL: Micros = 2_000_000;
+/// Minimum time between two forwarded datagrams of one author. Forwarding also stops when fewer than
+/// `FORWARD_RESERVE_BYTES` are left in the statement budget, so that a peer that sends a lot cannot use up
+/// the bytes that this instance needs for its own statements.
+const MIN_FORWARD_INTERVAL: Micros = 1_000_000;
+const FORWARD_RESERVE_BYTES: f64 = STATEMENT_BURST_BYTES / 2.0;
+/// Number of hints on a ping or an answer.
+const HINTS_PER_DATAGRAM: usize = 4;
 
 impl Gossip {
-    pub(super) fn head(&mut self, now: Micros) -> Head {
+    pub(super) fn next_head(&mut self, now: Micros) -> Head {
         self.seq = self.seq.wrapping_add(1);
-        let uptime = (now.saturating_sub(self.born) / wire::TIME_UNIT) as u32;
+        let uptime = (now.saturating_sub(self.started_at) / wire::TIME_UNIT) as u32;
         Head { key: self.own.id(), start: self.start, seq: self.seq, uptime }
     }
 
-    pub(super) fn post(&mut self, to: usize, bytes: Vec<u8>, out: &mut Output) {
+    pub(super) fn queue_datagram(&mut self, to: usize, bytes: Vec<u8>, out: &mut Output) {
         let Some(p) = self.directory.peers.get(to) else { return };
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
         out.send.push((p.addr, bytes));
     }
 
-    /// Signs and sends what membership needs: it may run into debt, as far as a purse holds.
-    pub(super) fn post_needed(&mut self, now: Micros, to: usize, mut bytes: Vec<u8>, out: &mut Output) {
-        if self.keep.owe(now, (bytes.len() + SIGNATURE_BYTES) as f64) {
+    /// Signs and sends a membership datagram if the budget allows it. The budget may go into debt by up to
+    /// its capacity; beyond that the datagram is not sent.
+    pub(super) fn send_membership(&mut self, now: Micros, to: usize, mut bytes: Vec<u8>, out: &mut Output) {
+        if self.membership_bucket.try_borrow(now, (bytes.len() + SIGNATURE_BYTES) as f64) {
             self.own.sign(&mut bytes);
-            self.post(to, bytes, out);
+            self.queue_datagram(to, bytes, out);
         }
     }
 
     pub(super) fn hints(&mut self, now: Micros) -> Vec<Hint> {
-        let hints = self.members.hints(now, HINTED, &mut self.rng);
-        hints.into_iter().map(|(i, lost)| Hint { peer: self.directory.id(i), lost }).collect()
+        let hints = self.members.hints(now, HINTS_PER_DATAGRAM, &mut self.rng);
+        hints
+            .into_iter()
+            .map(|(i, unresponsive)| Hint { peer: self.directory.name_id(i), unresponsive })
+            .collect()
     }
 
-    pub(super) fn carry_out(&mut self, now: Micros, orders: Vec<Order>, out: &mut Output) {
-        for o in orders {
+    pub(super) fn send_probe_messages(&mut self, now: Micros, messages: Vec<ProbeMessage>, out: &mut Output) {
+        for o in messages {
             match o {
-                Order::Ping { peer, nonce } => {
-                    let (head, hints) = (self.head(now), self.hints(now));
-                    let (to, me) = (self.directory.id(peer), self.directory.id(self.directory.me));
-                    self.post_needed(now, peer, wire::ping(head, to, me, nonce, &hints), out);
+                ProbeMessage::Ping { peer, nonce } => {
+                    let (head, hints) = (self.next_head(now), self.hints(now));
+                    let (to, me) =
+                        (self.directory.name_id(peer), self.directory.name_id(self.directory.own_index));
+                    self.send_membership(now, peer, wire::ping(head, to, me, nonce, &hints), out);
                 }
-                Order::Help { helper, target, nonce } => {
-                    let head = self.head(now);
-                    let (to, target) = (self.directory.id(helper), self.directory.id(target));
-                    self.post_needed(now, helper, wire::help(head, to, target, nonce), out);
+                ProbeMessage::PingRequest { helper, target, nonce } => {
+                    let head = self.next_head(now);
+                    let (to, target) = (self.directory.name_id(helper), self.directory.name_id(target));
+                    self.send_membership(now, helper, wire::ping_request(head, to, target, nonce), out);
                 }
             }
         }
     }
 
-    /// Some live peers, none of them twice.
-    fn some(&mut self, n: usize, not: &[usize]) -> Vec<usize> {
+    /// Returns up to `n` distinct live peers at random, leaving out `excluded`.
+    fn pick_live_peers(&mut self, n: usize, excluded: &[usize]) -> Vec<usize> {
         let mut chosen: Vec<usize> = Vec::new();
         for _ in 0..n {
-            let fit = |i: usize, _: &members::Peer| {
-                self.members.is_live(i) && !not.contains(&i) && !chosen.contains(&i)
+            let eligible = |i: usize, _: &members::Peer| {
+                self.members.is_live(i) && !excluded.contains(&i) && !chosen.contains(&i)
             };
-            let Some(i) = members::pick(&self.members.peers, &mut self.rng, fit) else { break };
+            let Some(i) = members::pick_random(&self.members.peers, &mut self.rng, eligible) else { break };
             chosen.push(i);
         }
         chosen
     }
 
-    /// Tells all that is held suspect, in one datagram, signed once and sent to some.
-    pub(super) fn state_claims(&mut self, now: Micros, out: &mut Output) {
-        (self.stated, self.due) = (now, None);
+    /// Sends the current claims in one statement, signed once, to a few peers, and schedules the repetition.
+    pub(super) fn send_statement(&mut self, now: Micros, out: &mut Output) {
+        (self.last_statement_at, self.statement_due) = (now, None);
         let claims = self.evidence.claims(now);
         if claims.is_empty() {
-            self.farewell = self.farewell.saturating_sub(1);
+            self.empty_statements_left = self.empty_statements_left.saturating_sub(1);
         } else {
-            self.farewell = 2;
+            self.empty_statements_left = 2;
         }
-        if self.farewell > 0 {
-            self.due = Some(now + if std::mem::take(&mut self.changed) { SOON } else { AGAIN });
+        if self.empty_statements_left > 0 {
+            self.statement_due = Some(
+                now + if std::mem::take(&mut self.claims_changed) {
+                    FIRST_REPEAT_DELAY
+                } else {
+                    REPEAT_INTERVAL
+                },
+            );
         }
-        let to = self.some(FANOUT, &[]);
-        let head = self.head(now);
+        let to = self.pick_live_peers(STATEMENT_FANOUT, &[]);
+        let head = self.next_head(now);
         let mut bytes = wire::statement(head, &claims);
         self.own.sign(&mut bytes);
-        self.offer(now, &to, &bytes, 0.0, out);
+        self.send_statement_to(now, &to, &bytes, 0.0, out);
     }
 
-    /// Sends a statement to each as far as the purse goes, and leaves so much in it.
-    fn offer(&mut self, now: Micros, to: &[usize], bytes: &[u8], reserve: f64, out: &mut Output) {
+    /// Sends a statement to each peer while the budget has at least `reserve` bytes and enough for the
+    /// datagram; counts those that were withheld.
+    fn send_statement_to(&mut self, now: Micros, to: &[usize], bytes: &[u8], reserve: f64, out: &mut Output) {
         for peer in to {
-            if self.tell.holds(now, reserve) && self.tell.spend(now, bytes.len() as f64) {
-                self.post(*peer, bytes.to_vec(), out);
+            if self.statement_bucket.has(now, reserve)
+                && self.statement_bucket.try_take(now, bytes.len() as f64)
+            {
+                self.queue_datagram(*peer, bytes.to_vec(), out);
             } else {
                 self.counts.withheld += 1;
             }
         }
     }
 
-    /// Ends by will: some are told, and hand it on.
+    /// Tells a few peers that this instance is shutting down. They forward the message.
     pub fn leave(&mut self, now: Micros, out: &mut Output) {
-        let now = self.forward(now);
-        let head = self.head(now);
+        let now = self.monotonic(now);
+        let head = self.next_head(now);
         let mut bytes = wire::leave(head);
         self.own.sign(&mut bytes);
-        for peer in self.some(FANOUT * 2, &[]) {
-            self.post(peer, bytes.clone(), out);
+        for peer in self.pick_live_peers(STATEMENT_FANOUT * 2, &[]) {
+            self.queue_datagram(peer, bytes.clone(), out);
         }
     }
 
-    /// Passes a datagram on as it came, with its author's signature.
-    pub(super) fn hand_on(&mut self, now: Micros, author: usize, bytes: &[u8], out: &mut Output) {
-        let Some(last) = self.handed.get_mut(author).filter(|at| now >= **at + HANDED) else { return };
-        if self.busy {
+    /// Forwards a datagram unchanged, with its author's signature, unless this author's datagrams were
+    /// forwarded too recently or the proxy is overloaded.
+    pub(super) fn forward_datagram(&mut self, now: Micros, author: usize, bytes: &[u8], out: &mut Output) {
+        let Some(last) = self.forwarded_at.get_mut(author).filter(|at| now >= **at + MIN_FORWARD_INTERVAL)
+        else {
+            return;
+        };
+        if self.overloaded {
             return;
         }
         *last = now;
-        let to = self.some(HAND_ON, &[author]);
-        self.offer(now, &to, bytes, RESERVE, out);
+        let to = self.pick_live_peers(FORWARD_FANOUT, &[author]);
+        self.send_statement_to(now, &to, bytes, FORWARD_RESERVE_BYTES, out);
     }
 }
--- a/gossip/src/keys.rs
+++ b/gossip/src/keys.rs
@@ -1,40 +1,44 @@
-//! Who may speak: the peers of the operators' file, their addresses and their keys (Ed25519, RFC 8032). It owns the
-//! look-up from a key's id to its peer, and the making and checking of signatures. It must never learn a key from
-//! the network, nor hold one key for two peers: a key that a group shares would let one liar speak for all.
+//! The peers in the operators' settings with their addresses and keys (Ed25519, RFC 8032). Maps the id of a
+//! key to its peer, and makes and verifies signatures.
+//!
+//! Keys are never learned from the network, and no two peers may have the same key: with a shared key one
+//! lying peer could speak for all of them.
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Bytes of a signature.
+/// Length of a signature.
 pub const SIGNATURE_BYTES: usize = 64;
-/// Peers that a file may name.
+/// Maximum number of configured peers.
 pub const MAX_PEERS: usize = 4096;
-/// Keys of one peer that count at once: the one in use and the one that follows or precedes it.
+/// Maximum number of valid keys of one peer: the current one, and the next or previous one during a key
+/// change.
 pub const MAX_KEYS_PER_PEER: usize = 2;
-/// What is signed begins with this, so that a signature made for another purpose never fits.
+/// Prefix of everything that is signed, so that a signature made for another purpose is never valid here.
 const DOMAIN: &[u8] = b"threadward-gossip-1";
 
-/// The first four bytes of a SHA-256: ids of peers (of the name) and of keys (of the public key).
+/// Returns the first four bytes of the SHA-256 (at least 1), used as the id of a peer (hash of its name) and
+/// of a key (hash of the public key).
 pub fn short_id(bytes: &[u8]) -> u32 {
     let hash = Sha256::digest(bytes);
     u32::from_be_bytes([hash[0], hash[1], hash[2], hash[3]]).max(1)
 }
 
-/// One instance, as the operators' file names it.
+/// A gossip instance as configured by the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerConfig {
-    /// Its name; no other peer has it.
+    /// Its name, which is unique.
     pub name: String,
-    /// Where it sends from and is sent to.
+    /// The address that it sends from and receives at.
     pub addr: SocketAddr,
-    /// Public keys, one or two; none: the peer is withdrawn and nothing that it signs counts.
+    /// One or two public keys. Without any key the peer is withdrawn, and nothing that it signs counts.
     pub keys: Vec<[u8; 32]>,
-    /// It is asked first by an instance that starts.
+    /// Whether instances that start contact it first.
     pub seed: bool,
 }
 
-/// A new secret's public key, as operators put it into the file.
+/// Returns the public key of a secret, as operators put it into the settings.
 ///
 /// ```
 /// use threadward_gossip::public_key;
@@ -51,7 +55,7 @@
     SigningKey::from_bytes(secret).verifying_key().to_bytes()
 }
 
-/// The own secret.
+/// This instance's secret key.
 #[derive(Clone)]
 pub struct OwnKey {
     key: SigningKey,
@@ -59,24 +63,24 @@
 }
 
 impl OwnKey {
-    /// From its 32 bytes; any will do, so they have to be drawn at random.
+    /// Creates the key from its 32 bytes. Any bytes are valid, so they have to be random.
     pub fn new(secret: &[u8; 32]) -> OwnKey {
         let key = SigningKey::from_bytes(secret);
         let id = short_id(&key.verifying_key().to_bytes());
         OwnKey { key, id }
     }
-    /// The id of its public key, as datagrams carry it.
+    /// Returns the id of its public key, as datagrams carry it.
     pub fn id(&self) -> u32 {
         self.id
     }
-    /// Appends the signature.
+    /// Appends the signature to a datagram.
     pub fn sign(&self, datagram: &mut Vec<u8>) {
         let signature = self.key.sign(&[DOMAIN, datagram].concat());
         datagram.extend_from_slice(&signature.to_bytes());
     }
 }
 
-/// The peers and their keys, checked.
+/// The validated peers and their keys.
 ///
 /// ```
 /// use threadward_gossip::keys::{public_key, short_id, Directory, OwnKey, PeerConfig, SIGNATURE_BYTES};
@@ -89,31 +93,35 @@
 /// };
 /// let d = Directory::new("a", &OwnKey::new(&[1; 32]), vec![peer("a", 1), peer("b", 2)])?;
 /// let b = OwnKey::new(&[2; 32]);
-/// assert_eq!((d.me, d.author(b.id()), d.peer(short_id(b"b"))), (0, Some(1), Some(1)));
+/// assert_eq!(
+///     (d.own_index, d.peer_by_key_id(b.id()), d.peer_by_name_id(short_id(b"b"))),
+///     (0, Some(1), Some(1))
+/// );
 /// let mut datagram = b"word".to_vec();
 /// b.sign(&mut datagram);
 /// let (signed, signature) = datagram.split_last_chunk::<SIGNATURE_BYTES>().unwrap();
 /// assert!(d.verify(b.id(), signed, signature));
-/// assert!(!d.verify(b.id(), b"ward", signature) && !d.verify(short_id(&public_key(&[1; 32])), signed, signature));
+/// assert!(!d.verify(b.id(), b"ward", signature));
+/// assert!(!d.verify(short_id(&public_key(&[1; 32])), signed, signature));
 /// # Ok::<(), String>(())
 /// ```
 #[derive(Clone, Default)]
 pub struct Directory {
-    /// As the file has them: all others name a peer by its place here.
+    /// The peers in configured order; all other modules identify a peer by its index here.
     pub peers: Vec<PeerConfig>,
-    /// The own place.
-    pub me: usize,
-    ids: Vec<u32>,
-    by_id: BTreeMap<u32, usize>,
-    by_key: BTreeMap<u32, (usize, VerifyingKey)>,
+    /// Index of this instance.
+    pub own_index: usize,
+    name_ids: Vec<u32>,
+    by_name_id: BTreeMap<u32, usize>,
+    by_key_id: BTreeMap<u32, (usize, VerifyingKey)>,
     addresses: BTreeMap<SocketAddr, usize>,
 }
 
 impl Directory {
-    /// `name`: the own one.
+    /// Validates the peers. `name` is the name of this instance.
     ///
     /// # Errors
-    /// One line that says what is wrong with the peers.
+    /// Returns one line that says what is wrong with the peers.
     pub fn new(name: &str, own: &OwnKey, peers: Vec<PeerConfig>) -> Result<Directory, String> {
         if peers.len() > MAX_PEERS {
             return Err(format!("{} peers, {MAX_PEERS} at most", peers.len()));
@@ -129,49 +137,51 @@
                 return Err(format!("peer '{name}' has {} keys, {MAX_KEYS_PER_PEER} at most", p.keys.len()));
             }
             let id = short_id(name.as_bytes());
-            d.ids.push(id);
-            if d.by_id.insert(id, i).is_some() {
+            d.name_ids.push(id);
+            if d.by_name_id.insert(id, i).is_some() {
                 return Err(format!("the name of peer '{name}' has the id of another one; rename it"));
             }
             for key in &p.keys {
                 let usable = VerifyingKey::from_bytes(key).ok().filter(|k| !k.is_weak());
                 let key = usable.ok_or_else(|| format!("peer '{name}': a key that is no Ed25519 key"))?;
-                if d.by_key.insert(short_id(&key.to_bytes()), (i, key)).is_some() {
+                if d.by_key_id.insert(short_id(&key.to_bytes()), (i, key)).is_some() {
                     return Err(format!("peer '{name}': a key that stands twice; each peer needs its own"));
                 }
             }
             let next = d.addresses.len();
             d.addresses.entry(p.addr).or_insert(next);
         }
-        d.me = d.peers.iter().position(|p| p.name == name).ok_or(format!("no peer is named '{name}'"))?;
-        match d.by_key.get(&own.id()) {
-            Some((i, key)) if *i == d.me && *key == own.key.verifying_key() => Ok(d),
+        d.own_index =
+            d.peers.iter().position(|p| p.name == name).ok_or(format!("no peer is named '{name}'"))?;
+        match d.by_key_id.get(&own.id()) {
+            Some((i, key)) if *i == d.own_index && *key == own.key.verifying_key() => Ok(d),
             _ => Err(format!("the own secret belongs to no key of peer '{name}'")),
         }
     }
-    /// The id of a peer's name; 0: there is no such peer.
-    pub fn id(&self, peer: usize) -> u32 {
-        self.ids.get(peer).copied().unwrap_or(0)
+    /// Returns the id of a peer's name, or 0 if there is no such peer.
+    pub fn name_id(&self, peer: usize) -> u32 {
+        self.name_ids.get(peer).copied().unwrap_or(0)
     }
-    /// The peer of that id.
-    pub fn peer(&self, id: u32) -> Option<usize> {
-        self.by_id.get(&id).copied()
+    /// Returns the peer with the given name id.
+    pub fn peer_by_name_id(&self, id: u32) -> Option<usize> {
+        self.by_name_id.get(&id).copied()
     }
-    /// The peer that a key belongs to.
-    pub fn author(&self, key: u32) -> Option<usize> {
-        self.by_key.get(&key).map(|(i, _)| *i)
+    /// Returns the peer that a key belongs to.
+    pub fn peer_by_key_id(&self, key_id: u32) -> Option<usize> {
+        self.by_key_id.get(&key_id).map(|(i, _)| *i)
     }
-    /// The place of a known address among all of them.
-    pub fn address(&self, a: SocketAddr) -> Option<usize> {
+    /// Returns the index of a known address among all distinct addresses.
+    pub fn address_index(&self, a: SocketAddr) -> Option<usize> {
         self.addresses.get(&a).copied()
     }
-    /// How many peers may speak at all: what quorums are drawn from.
+    /// Returns the number of peers that have a key, from which quorums are calculated.
     pub fn eligible(&self) -> usize {
         self.peers.iter().filter(|p| !p.keys.is_empty()).count()
     }
-    /// Whether a datagram's signature is that of this key. Strict: no second encoding of a signature passes.
-    pub fn verify(&self, key: u32, signed: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool {
-        let Some((_, k)) = self.by_key.get(&key) else { return false };
+    /// Returns whether the signature was made with the given key. Verification is strict: a second encoding
+    /// of the same signature is not valid.
+    pub fn verify(&self, key_id: u32, signed: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool {
+        let Some((_, k)) = self.by_key_id.get(&key_id) else { return false };
         k.verify_strict(&[DOMAIN, signed].concat(), &Signature::from_bytes(signature)).is_ok()
     }
 }
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,8 +1,13 @@
-//! Gossip between steering proxies: which of them live, and what they hold suspect of the members, so that one need not
-//! pay for a lesson that others have learned. It owns one instance's part in that: it is given the time, datagrams
-//! and what own traffic showed, and returns datagrams, changes of membership and what is believed. It must never
-//! open a socket or read a clock, choose a member, or hand on another's word as its own. `docs/gossip.md` has the
-//! design, `docs/operate-gossip.md` is for operators. All times are microseconds on the caller's clock.
+//! Gossip between steering proxies: tracks which proxies are live and shares what they have found out about
+//! failing members, so that a proxy can avoid a member that others have already seen fail.
+//!
+//! A [`Gossip`] is one instance of the protocol. It takes the time, received datagrams and the observations
+//! of the proxy's own traffic, and returns datagrams to send, changes of membership, and the members
+//! suspected because of other peers' claims. It opens no socket, reads no clock and does not route requests.
+//! It never sends another peer's claims as its own: those are only forwarded with their author's signature.
+//!
+//! `docs/gossip.md` describes the design, `docs/operate-gossip.md` is for operators. All times are in
+//! microseconds on the caller's clock.
 //!
 //! ```
 //! use nickelgate::{Addr, Outcome, Role, Standing};
@@ -10,10 +15,10 @@
 //! use threadward_gossip::{public_key, Suspicion, Gossip, Notice, Output, PeerConfig, Settings};
 //!
 //! // Three proxies, each with a key of its own.
-//! let at = |i: u8| SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(i)));
+//! let addr = |i: u8| SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(i)));
 //! let peer = |i: u8| PeerConfig {
 //!     name: format!("p{i}"),
-//!     addr: at(i),
+//!     addr: addr(i),
 //!     keys: vec![public_key(&[i + 1; 32])],
 //!     seed: true,
 //! };
@@ -23,10 +28,11 @@
 //! };
 //! let mut all = (0..3).map(new).collect::<Result<Vec<_>, _>>()?;
 //!
-//! // Two hubs. From 12 s on, proxies 0 and 1 see the first one fail, three times in a row; proxy 2 asks it nothing.
-//! let hub = |n| Addr { ip: [10, 0, 0, n], port: 80 };
-//! let seen = |n, failed| Standing {
-//!     member: hub(n),
+//! // Two parents. From 12 s on, proxies 0 and 1 see the first one fail three times in a row; proxy 2 sends it
+//! // nothing.
+//! let parent = |n| Addr { ip: [10, 0, 0, n], port: 80 };
+//! let standing = |n, failed| Standing {
+//!     member: parent(n),
 //!     incarnation: 0,
 //!     role: Role::Parent,
 //!     strikes: 0,
@@ -36,30 +42,30 @@
 //!     good: 0,
 //!     helped: 0,
 //! };
-//! let mut news = Vec::new();
+//! let mut notices = Vec::new();
 //! for now in (0..13_000_000).step_by(50_000) {
 //!     for i in 0..3 {
 //!         let mut out = Output::default();
 //!         let failed = if i < 2 && now >= 12_000_000 { now.min(12_100_000) } else { 0 };
-//!         all[i].observe(now, &[seen(1, failed), seen(2, 0)], &mut out);
+//!         all[i].observe(now, &[standing(1, failed), standing(2, 0)], &mut out);
 //!         all[i].tick(now, &mut out);
-//!         // The caller is the network.
+//!         // This loop plays the network.
 //!         let mut sent: Vec<_> = out.send.drain(..).map(|(to, bytes)| (i, to, bytes)).collect();
-//!         news.extend(out.notices.into_iter().map(|n| (i, n)));
+//!         notices.extend(out.notices.into_iter().map(|n| (i, n)));
 //!         while let Some((from, to, bytes)) = sent.pop() {
 //!             let to = usize::from(to.port() - 7000);
 //!             let mut out = Output::default();
-//!             all[to].receive(now, at(from as u8), &bytes, &mut out);
+//!             all[to].receive(now, addr(from as u8), &bytes, &mut out);
 //!             sent.extend(out.send.into_iter().map(|(next, bytes)| (to, next, bytes)));
-//!             news.extend(out.notices.into_iter().map(|n| (to, n)));
+//!             notices.extend(out.notices.into_iter().map(|n| (to, n)));
 //!         }
 //!     }
 //! }
 //! assert_eq!(all[2].quorum().live, 3);
-//! assert_eq!(all[2].suspected_members(), [hub(1)]);
-//! let doubt = Suspicion { member: hub(1), incarnation: 0, suspected: true, witnesses: 2 };
-//! assert!(news.contains(&(2, Notice::Suspicion(doubt))));
-//! assert!(all[0].suspected_members().is_empty(), "one other's word is too little");
+//! assert_eq!(all[2].suspected_members(), [parent(1)]);
+//! let suspicion = Suspicion { member: parent(1), incarnation: 0, suspected: true, witnesses: 2 };
+//! assert!(notices.contains(&(2, Notice::Suspicion(suspicion))));
+//! assert!(all[0].suspected_members().is_empty(), "one other witness is not enough");
 //! # Ok::<(), String>(())
 //! ```
 #![forbid(unsafe_code)]
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -1,246 +1,256 @@
-//! Which instances are live, by this one's own proof: an answer to its fresh number, straight or by way of a helper.
-//! It owns the states, the order of probes and what is asked but not answered. It must never take another's word for
-//! a state: hints move a probe forward, no more, so a liar can neither bury the living nor raise the dead, and it
-//! can't raise the traffic either.
+//! Membership: tracks which peers are live. A peer counts as live only when it has answered a fresh nonce of
+//! this instance, directly or through a helper (as in SWIM).
+//!
+//! Hints from other peers only move a probe forward. A lying peer can therefore neither make a live peer
+//! look dead nor a dead one look live, and it cannot increase the number of probes.
 use crate::session::Session;
 use nickelgate::Micros;
 use rand_chacha::ChaCha8Rng;
 use rand_core::RngCore;
 use std::collections::VecDeque;
 
-/// A probe that has no answer by then is handed to helpers as well.
-pub const ALONE: Micros = 250_000;
-/// And has failed by then.
-pub const FAILED: Micros = 750_000;
-/// Helpers for one probe.
-const HELPERS: usize = 2;
-/// Failed probes in a row after which a live one is dead; the first makes it suspect.
-const FAILURES: u32 = 3;
-/// Peers that wait for an early probe, at most.
-const HURRY: usize = 32;
-/// Of the probes in a period every so many-th goes to one that is not live.
-const OTHERS: u32 = 4;
-/// While the first round is not over, so many probes a period go out.
-const JOINING: usize = 4;
-/// Changes are passed on as hints for so long.
-const NEWS: Micros = 10_000_000;
-
-/// What is known of a peer.
+/// If a probe has no answer after this time, helpers are asked to ping the peer as well.
+pub const DIRECT_PROBE_TIMEOUT: Micros = 250_000;
+/// A probe without an answer after this time has failed.
+pub const PROBE_TIMEOUT: Micros = 750_000;
+/// Number of helpers asked per probe.
+const HELPERS_PER_PROBE: usize = 2;
+/// A suspect peer is dead after this many consecutive failed probes; the first failure makes a live peer
+/// suspect.
+const DEAD_AFTER_FAILURES: u32 = 3;
+/// Maximum number of peers waiting for an early probe.
+const MAX_URGENT_PEERS: usize = 32;
+/// One of every this many probes goes to a peer that is not live.
+const NON_LIVE_PROBE_INTERVAL: u32 = 4;
+/// Number of probes sent per period while some peers have never been probed.
+const JOIN_PROBES_PER_PERIOD: usize = 4;
+/// How long a change of state is passed on as a hint.
+const HINT_LIFETIME: Micros = 10_000_000;
+
+/// State of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum State {
-    /// Nothing was proved since this instance's start.
+    /// The peer has not been confirmed since this instance started.
     #[default]
     Unknown,
-    /// It answered a fresh number of ours.
+    /// The peer answered a fresh nonce of this instance.
     Live,
-    /// It was live and a probe failed.
+    /// The peer was live, and a probe failed.
     Suspect,
-    /// Three probes in a row failed.
+    /// Three consecutive probes failed.
     Dead,
-    /// It ended by will.
+    /// The peer announced that it was shutting down.
     Left,
 }
 
-/// One peer, by this instance's own proof.
+/// What this instance itself has found out about a peer.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
     /// Its state.
     pub state: State,
-    /// Its life that was proved last.
+    /// Its last confirmed incarnation.
     pub session: Option<Session>,
-    /// When it was last proved live.
-    pub proved: Micros,
-    /// When it was last heard in its present life.
-    pub heard: Micros,
-    changed: Micros,
-    failures: u32,
-    /// Probes sent to it since this instance's start.
-    tried: u32,
-    /// Withdrawn by the file: never probed, never live.
+    /// When it was last confirmed live.
+    pub confirmed_at: Micros,
+    /// When a datagram of its current incarnation was last received.
+    pub received_at: Micros,
+    changed_at: Micros,
+    consecutive_failures: u32,
+    /// Number of probes sent to it since this instance started.
+    probes_sent: u32,
+    /// The peer has no keys in the settings: it is never probed and never live.
     withdrawn: bool,
     seed: bool,
 }
 
-/// A question that is out.
+/// A probe that has not been answered yet.
 #[derive(Clone, Debug)]
 struct Probe {
     peer: usize,
     nonce: u64,
-    sent: Micros,
-    helped: bool,
+    sent_at: Micros,
+    helpers_asked: bool,
 }
 
-/// What is to be sent, with the nonce that the answer has to echo.
+/// A datagram to send, with the nonce that the answer has to echo.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// A ping straight to a peer.
+pub enum ProbeMessage {
+    /// A ping sent directly to a peer.
     Ping { peer: usize, nonce: u64 },
-    /// A request to another peer, that it ping the target.
-    Help { helper: usize, target: usize, nonce: u64 },
+    /// A request to a helper to ping the target.
+    PingRequest { helper: usize, target: usize, nonce: u64 },
 }
 
-/// A change of state, for the log and the counts.
+/// A change of state, for the log and the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Which peer.
+    /// Index of the peer.
     pub peer: usize,
-    /// What it was.
+    /// The previous state.
     pub from: State,
-    /// What it is now.
+    /// The new state.
     pub to: State,
 }
 
-/// All peers, each by its place in the file, and the probes that are out.
+/// All peers, identified by their index in the settings, and the outstanding probes.
 ///
 /// ```
 /// use rand_chacha::{rand_core::SeedableRng, ChaCha8Rng};
-/// use threadward_gossip::members::{Members, Order, State, FAILED};
+/// use threadward_gossip::members::{Members, ProbeMessage, State, PROBE_TIMEOUT};
 ///
 /// let mut rng = ChaCha8Rng::seed_from_u64(1);
 /// let mut m = Members::new(0, 1_000_000);
 /// m.configure(0, &[(None, true, false); 2]);
-/// let mut orders = Vec::new();
-/// m.due(1_000_000, false, &mut rng, &mut orders);
-/// let [Order::Ping { peer: 1, nonce }] = orders[..] else { panic!("{orders:?}") };
-/// assert_eq!(m.echoed(1, nonce), Some(1_000_000), "when that question was sent");
-/// m.proved(1_001_000, 1, nonce, &[]);
-/// assert_eq!((m.peers[1].state, m.live()), (State::Live, 2));
+/// let mut messages = Vec::new();
+/// m.poll(1_000_000, false, &mut rng, &mut messages);
+/// let [ProbeMessage::Ping { peer: 1, nonce }] = messages[..] else { panic!("{messages:?}") };
+/// assert_eq!(m.probe_sent_at(1, nonce), Some(1_000_000), "when that question was sent");
+/// m.confirm_live(1_001_000, 1, nonce, &[]);
+/// assert_eq!((m.peers[1].state, m.live_count()), (State::Live, 2));
 /// // A probe without an answer makes it suspect, whatever others say of it.
 /// m.hint(1, true);
-/// assert_eq!(m.live(), 2);
-/// m.due(2_000_000, false, &mut rng, &mut orders);
-/// m.due(2_000_000 + FAILED, false, &mut rng, &mut orders);
-/// assert_eq!((m.peers[1].state, m.live()), (State::Suspect, 1));
+/// assert_eq!(m.live_count(), 2);
+/// m.poll(2_000_000, false, &mut rng, &mut messages);
+/// m.poll(2_000_000 + PROBE_TIMEOUT, false, &mut rng, &mut messages);
+/// assert_eq!((m.peers[1].state, m.live_count()), (State::Suspect, 1));
 /// ```
 pub struct Members {
-    /// What is known of each.
+    /// What is known about each peer.
     pub peers: Vec<Peer>,
-    me: usize,
+    own_index: usize,
     /// Time between probes.
     pub period: Micros,
-    next: Micros,
-    round: VecDeque<usize>,
-    hurry: VecDeque<usize>,
+    next_probe_at: Micros,
+    round_robin: VecDeque<usize>,
+    urgent: VecDeque<usize>,
     probes: Vec<Probe>,
-    count: u32,
-    /// What changed since the caller last emptied this.
+    probe_count: u32,
+    /// Changes of state since the caller last emptied this list.
     pub changes: Vec<Change>,
 }
 
-/// Probes that may be out at once.
-const PROBES: usize = 32;
+/// Maximum number of outstanding probes.
+const MAX_OUTSTANDING_PROBES: usize = 32;
 
 impl Members {
-    /// None at all, until [`Members::configure`]; `me`: the own place.
-    pub fn new(me: usize, period: Micros) -> Members {
+    /// Creates an empty set of members; [`Members::configure`] adds the peers. `own_index` is the index of
+    /// this instance.
+    pub fn new(own_index: usize, period: Micros) -> Members {
         Members {
             peers: Vec::new(),
-            me,
+            own_index,
             period,
-            next: 0,
-            round: VecDeque::new(),
-            hurry: VecDeque::new(),
+            next_probe_at: 0,
+            round_robin: VecDeque::new(),
+            urgent: VecDeque::new(),
             probes: Vec::new(),
-            count: 0,
+            probe_count: 0,
             changes: Vec::new(),
         }
     }
 
-    /// Takes over the peers of a file: `kept` gives the former place of each, if it has one, then whether it is a
-    /// seed and whether it is withdrawn.
-    pub fn configure(&mut self, me: usize, kept: &[(Option<usize>, bool, bool)]) {
+    /// Applies the configured peers. `configured` holds for each peer its former index, if it had one,
+    /// whether it is a seed, and whether it has been withdrawn.
+    pub fn configure(&mut self, own_index: usize, configured: &[(Option<usize>, bool, bool)]) {
         let old = std::mem::take(&mut self.peers);
         let take = |(from, seed, withdrawn): &(Option<usize>, bool, bool)| {
             let before = from.filter(|_| !withdrawn).and_then(|i| old.get(i).cloned()).unwrap_or_default();
             Peer { seed: *seed, withdrawn: *withdrawn, ..before }
         };
-        self.peers = kept.iter().map(take).collect();
-        self.me = me;
-        self.round.clear();
-        self.hurry.clear();
+        self.peers = configured.iter().map(take).collect();
+        self.own_index = own_index;
+        self.round_robin.clear();
+        self.urgent.clear();
         self.probes.clear();
     }
 
-    /// Peers that are live, this one among them.
-    pub fn live(&self) -> usize {
+    /// Returns the number of live peers, including this instance.
+    pub fn live_count(&self) -> usize {
         1 + (0..self.peers.len()).filter(|i| self.is_live(*i)).count()
     }
 
-    /// Whether that peer, another one, is live.
+    /// Returns whether the given peer, other than this instance, is live.
     pub fn is_live(&self, peer: usize) -> bool {
-        peer != self.me && self.peers.get(peer).is_some_and(|p| p.state == State::Live)
+        peer != self.own_index && self.peers.get(peer).is_some_and(|p| p.state == State::Live)
     }
 
-    fn set(&mut self, now: Micros, peer: usize, to: State) {
+    fn set_state(&mut self, now: Micros, peer: usize, to: State) {
         let Some(p) = self.peers.get_mut(peer) else { return };
         let from = std::mem::replace(&mut p.state, to);
         if from != to {
-            p.changed = now;
+            p.changed_at = now;
             self.changes.push(Change { peer, from, to });
         }
     }
 
-    /// The question that an answer of this peer echoes, if it is still out: when it was sent.
-    pub fn echoed(&self, peer: usize, nonce: u64) -> Option<Micros> {
-        self.probes.iter().find(|p| p.peer == peer && p.nonce == nonce).map(|p| p.sent)
+    /// Returns when the outstanding probe that this nonce belongs to was sent, or `None` if there is none to
+    /// this peer.
+    pub fn probe_sent_at(&self, peer: usize, nonce: u64) -> Option<Micros> {
+        self.probes.iter().find(|p| p.peer == peer && p.nonce == nonce).map(|p| p.sent_at)
     }
 
-    /// The peer proved that it lives. `same_address`: the peers that the file has at its address.
-    pub fn proved(&mut self, now: Micros, peer: usize, nonce: u64, same_address: &[usize]) {
+    /// Marks a peer live after it answered the given nonce. `same_address` lists the peers configured with
+    /// its address.
+    pub fn confirm_live(&mut self, now: Micros, peer: usize, nonce: u64, same_address: &[usize]) {
         self.probes.retain(|p| p.nonce != nonce);
         if let Some(p) = self.peers.get_mut(peer) {
-            (p.proved, p.heard, p.failures) = (now, now, 0);
+            (p.confirmed_at, p.received_at, p.consecutive_failures) = (now, now, 0);
         }
-        self.set(now, peer, State::Live);
-        // Another instance has the address now: the former one has to prove itself anew.
+        self.set_state(now, peer, State::Live);
+        // Another instance now answers at this address, so the former one has to be confirmed again.
         for other in same_address.iter().filter(|o| **o != peer) {
             if self.is_live(*other) {
-                self.set(now, *other, State::Suspect);
-                self.hurry(*other);
+                self.set_state(now, *other, State::Suspect);
+                self.probe_soon(*other);
             }
         }
     }
 
-    /// Something new of the proved life came in.
-    pub fn heard(&mut self, now: Micros, peer: usize) {
+    /// Records that a new datagram of the peer's confirmed incarnation was received.
+    pub fn record_received(&mut self, now: Micros, peer: usize) {
         if let Some(p) = self.peers.get_mut(peer) {
-            p.heard = now;
+            p.received_at = now;
         }
     }
 
-    /// The peer ended by will.
-    pub fn left(&mut self, now: Micros, peer: usize) {
-        self.set(now, peer, State::Left);
+    /// Marks a peer as having shut down on purpose.
+    pub fn mark_left(&mut self, now: Micros, peer: usize) {
+        self.set_state(now, peer, State::Left);
     }
 
-    /// Probes it early. The queue is short and the rate of probes stays as it is.
-    pub fn hurry(&mut self, peer: usize) {
-        let usable = peer != self.me && self.peers.get(peer).is_some_and(|p| !p.withdrawn);
-        if usable && self.hurry.len() < HURRY && !self.hurry.contains(&peer) {
-            self.hurry.push_back(peer);
+    /// Queues a peer for an early probe. The queue is bounded, and the rate of probes does not change.
+    pub fn probe_soon(&mut self, peer: usize) {
+        let can_be_probed = peer != self.own_index && self.peers.get(peer).is_some_and(|p| !p.withdrawn);
+        if can_be_probed && self.urgent.len() < MAX_URGENT_PEERS && !self.urgent.contains(&peer) {
+            self.urgent.push_back(peer);
         }
     }
 
-    /// Another's word on a peer, which is looked into where it differs from what is known.
-    pub fn hint(&mut self, peer: usize, lost: bool) {
+    /// Handles another peer's hint. A peer is probed early if the hint differs from its known state, or if
+    /// it had left.
+    pub fn hint(&mut self, peer: usize, unresponsive: bool) {
         let Some(state) = self.peers.get(peer).map(|p| p.state) else { return };
-        if lost == (state == State::Live) && state != State::Left {
-            self.hurry(peer);
+        if unresponsive == (state == State::Live) && state != State::Left {
+            self.probe_soon(peer);
         }
     }
 
-    /// What to say in passing: the newest changes, then a live one at random, so that those who join hear of all.
-    pub fn hints(&self, now: Micros, most: usize, rng: &mut ChaCha8Rng) -> Vec<(usize, bool)> {
-        let new = |i: &usize| {
+    /// Returns hints to send along with a message: the most recent changes of state, then one random live
+    /// peer, so that peers that join learn about all others.
+    pub fn hints(&self, now: Micros, max_hints: usize, rng: &mut ChaCha8Rng) -> Vec<(usize, bool)> {
+        let is_recent = |i: &usize| {
             let p = &self.peers[*i];
-            p.changed > 0 && now < p.changed + NEWS && !p.withdrawn && p.state != State::Left
+            p.changed_at > 0 && now < p.changed_at + HINT_LIFETIME && !p.withdrawn && p.state != State::Left
         };
-        let mut news: Vec<usize> = (0..self.peers.len()).filter(new).collect();
-        news.sort_by_key(|i| std::cmp::Reverse(self.peers[*i].changed));
-        let mut hints: Vec<(usize, bool)> =
-            news.into_iter().take(most / 2).map(|i| (i, self.peers[i].state != State::Live)).collect();
-        if let Some(i) = pick(&self.peers, rng, |i, _| self.is_live(i)) {
+        let mut changed: Vec<usize> = (0..self.peers.len()).filter(is_recent).collect();
+        changed.sort_by_key(|i| std::cmp::Reverse(self.peers[*i].changed_at));
+        let mut hints: Vec<(usize, bool)> = changed
+            .into_iter()
+            .take(max_hints / 2)
+            .map(|i| (i, self.peers[i].state != State::Live))
+            .collect();
+        if let Some(i) = pick_random(&self.peers, rng, |i, _| self.is_live(i)) {
             if !hints.iter().any(|h| h.0 == i) {
                 hints.push((i, false));
             }
@@ -248,135 +258,158 @@
         hints
     }
 
-    /// When [`Members::due`] has something to do next.
+    /// Returns when [`Members::poll`] next has something to do.
     pub fn next_due(&self) -> Micros {
-        let waits = |p: &Probe| p.sent + if p.helped { FAILED } else { ALONE };
-        self.probes.iter().map(waits).min().unwrap_or(Micros::MAX).min(self.next)
+        let deadline =
+            |p: &Probe| p.sent_at + if p.helpers_asked { PROBE_TIMEOUT } else { DIRECT_PROBE_TIMEOUT };
+        self.probes.iter().map(deadline).min().unwrap_or(Micros::MAX).min(self.next_probe_at)
     }
 
-    /// What is to be sent by now.
-    /// `rich`: there is enough to send for more than one probe a period, while some were never probed.
-    pub fn due(&mut self, now: Micros, rich: bool, rng: &mut ChaCha8Rng, orders: &mut Vec<Order>) {
+    /// Appends the messages that are due by `now`, and marks probes without an answer as failed. `may_join`
+    /// says that the budget allows more than one probe per period while some peers have never been probed.
+    pub fn poll(
+        &mut self,
+        now: Micros,
+        may_join: bool,
+        rng: &mut ChaCha8Rng,
+        messages: &mut Vec<ProbeMessage>,
+    ) {
         let mut failed = Vec::new();
         for i in 0..self.probes.len() {
             let p = self.probes[i].clone();
-            if !p.helped && now >= p.sent + ALONE {
-                self.probes[i].helped = true;
+            if !p.helpers_asked && now >= p.sent_at + DIRECT_PROBE_TIMEOUT {
+                self.probes[i].helpers_asked = true;
                 let mut helpers = Vec::new();
-                for _ in 0..HELPERS {
+                for _ in 0..HELPERS_PER_PROBE {
                     let other = |i: usize, _: &Peer| i != p.peer && self.is_live(i) && !helpers.contains(&i);
-                    let Some(helper) = pick(&self.peers, rng, other) else { break };
+                    let Some(helper) = pick_random(&self.peers, rng, other) else { break };
                     helpers.push(helper);
                 }
                 let state = self.peers.get(p.peer).map(|p| p.state);
-                let known = matches!(state, Some(State::Live | State::Suspect));
-                for helper in helpers.into_iter().filter(|_| known) {
-                    orders.push(Order::Help { helper, target: p.peer, nonce: p.nonce });
+                let recently_live = matches!(state, Some(State::Live | State::Suspect));
+                for helper in helpers.into_iter().filter(|_| recently_live) {
+                    messages.push(ProbeMessage::PingRequest { helper, target: p.peer, nonce: p.nonce });
                 }
             }
-            if now >= p.sent + FAILED {
+            if now >= p.sent_at + PROBE_TIMEOUT {
                 failed.push(p);
             }
         }
-        self.probes.retain(|p| now < p.sent + FAILED);
+        self.probes.retain(|p| now < p.sent_at + PROBE_TIMEOUT);
         for p in failed {
-            self.failed(now, &p);
+            self.probe_failed(now, &p);
         }
-        if now < self.next {
+        if now < self.next_probe_at {
             return;
         }
-        self.next = if self.next + self.period > now { self.next + self.period } else { now + self.period };
-        let untried = |p: &Peer| p.tried == 0 && !p.withdrawn;
-        let joining = rich && self.peers.iter().enumerate().any(|(i, p)| i != self.me && untried(p));
-        for _ in 0..if joining { JOINING } else { 1 } {
-            let Some(peer) = self.choose(rng) else { return };
-            if self.probes.len() >= PROBES || self.probes.iter().any(|p| p.peer == peer) {
+        self.next_probe_at = if self.next_probe_at + self.period > now {
+            self.next_probe_at + self.period
+        } else {
+            now + self.period
+        };
+        let untried = |p: &Peer| p.probes_sent == 0 && !p.withdrawn;
+        let joining =
+            may_join && self.peers.iter().enumerate().any(|(i, p)| i != self.own_index && untried(p));
+        for _ in 0..if joining { JOIN_PROBES_PER_PERIOD } else { 1 } {
+            let Some(peer) = self.choose_target(rng) else { return };
+            if self.probes.len() >= MAX_OUTSTANDING_PROBES || self.probes.iter().any(|p| p.peer == peer) {
                 continue;
             }
             let nonce = rng.next_u64().max(1);
-            self.probes.push(Probe { peer, nonce, sent: now, helped: false });
-            self.peers[peer].tried = self.peers[peer].tried.saturating_add(1);
-            orders.push(Order::Ping { peer, nonce });
+            self.probes.push(Probe { peer, nonce, sent_at: now, helpers_asked: false });
+            self.peers[peer].probes_sent = self.peers[peer].probes_sent.saturating_add(1);
+            messages.push(ProbeMessage::Ping { peer, nonce });
         }
     }
 
-    /// A question that rides on an answer: the other's life is not proved yet, or long ago.
-    pub fn ask_back(&mut self, now: Micros, peer: usize, start: u64, rng: &mut ChaCha8Rng) -> u64 {
+    /// Registers a probe that is sent along with an answer, and returns its nonce. Returns 0 if none is
+    /// needed or possible: the given incarnation is already confirmed live, a probe of the peer is
+    /// outstanding, or too many are.
+    pub fn probe_back(&mut self, now: Micros, peer: usize, start: u64, rng: &mut ChaCha8Rng) -> u64 {
         let Some(p) = self.peers.get(peer) else { return 0 };
-        let proved = p.state == State::Live && p.session.as_ref().is_some_and(|s| s.start == start);
+        let confirmed = p.state == State::Live && p.session.as_ref().is_some_and(|s| s.start == start);
         let asked = self.probes.iter().any(|q| q.peer == peer);
-        if proved || asked || self.probes.len() >= PROBES {
+        if confirmed || asked || self.probes.len() >= MAX_OUTSTANDING_PROBES {
             return 0;
         }
         let nonce = rng.next_u64().max(1);
-        self.probes.push(Probe { peer, nonce, sent: now, helped: true });
+        self.probes.push(Probe { peer, nonce, sent_at: now, helpers_asked: true });
         nonce
     }
 
-    fn failed(&mut self, now: Micros, probe: &Probe) {
+    fn probe_failed(&mut self, now: Micros, probe: &Probe) {
         let Some(p) = self.peers.get_mut(probe.peer) else { return };
-        // It may be deaf, or its answers lost; but it lives.
-        if p.heard >= probe.sent {
+        // A datagram has arrived from the peer since. Our probe or its answer may have been lost, but the
+        // peer is live.
+        if p.received_at >= probe.sent_at {
             return;
         }
-        p.failures += 1;
+        p.consecutive_failures += 1;
         match p.state {
-            State::Live => self.set(now, probe.peer, State::Suspect),
-            State::Suspect if p.failures >= FAILURES => return self.set(now, probe.peer, State::Dead),
+            State::Live => self.set_state(now, probe.peer, State::Suspect),
+            State::Suspect if p.consecutive_failures >= DEAD_AFTER_FAILURES => {
+                return self.set_state(now, probe.peer, State::Dead)
+            }
             State::Suspect => {}
             _ => return,
         }
-        self.hurry(probe.peer);
+        self.probe_soon(probe.peer);
     }
 
-    /// The next to probe: those in a hurry every other time, seeds until one has answered, each live one in turn, and
-    /// now and then one that is not live, so that what was apart finds together again.
-    fn choose(&mut self, rng: &mut ChaCha8Rng) -> Option<usize> {
-        self.count = self.count.wrapping_add(1);
-        if !self.count.is_multiple_of(OTHERS) {
-            if let Some(peer) = self.hurry.pop_front() {
+    /// Chooses the next peer to probe, and advances the counter. Peers queued for an early probe come first
+    /// except in every fourth choice; seeds are probed until one peer is live; live and never probed peers
+    /// take turns in random order. Every fourth choice goes to a peer that is not live, so that the two
+    /// sides of a healed partition find each other again.
+    fn choose_target(&mut self, rng: &mut ChaCha8Rng) -> Option<usize> {
+        self.probe_count = self.probe_count.wrapping_add(1);
+        if !self.probe_count.is_multiple_of(NON_LIVE_PROBE_INTERVAL) {
+            if let Some(peer) = self.urgent.pop_front() {
                 return Some(peer);
             }
         }
-        let me = self.me;
-        let alone = self.live() == 1;
-        let seeds = |i: usize, p: &Peer| i != me && p.seed && !p.withdrawn;
-        let apart = |i: usize, p: &Peer| i != me && !p.withdrawn && p.state != State::Live;
-        let first = if alone { pick(&self.peers, rng, seeds) } else { None };
-        if self.count.is_multiple_of(OTHERS) || alone {
-            if let Some(peer) = first.or_else(|| pick(&self.peers, rng, apart)) {
+        let own_index = self.own_index;
+        let alone = self.live_count() == 1;
+        let seeds = |i: usize, p: &Peer| i != own_index && p.seed && !p.withdrawn;
+        let not_live = |i: usize, p: &Peer| i != own_index && !p.withdrawn && p.state != State::Live;
+        let first = if alone { pick_random(&self.peers, rng, seeds) } else { None };
+        if self.probe_count.is_multiple_of(NON_LIVE_PROBE_INTERVAL) || alone {
+            if let Some(peer) = first.or_else(|| pick_random(&self.peers, rng, not_live)) {
                 return Some(peer);
             }
         }
         for _ in 0..2 {
-            while let Some(peer) = self.round.pop_front() {
+            while let Some(peer) = self.round_robin.pop_front() {
                 let p = self.peers.get(peer);
-                if p.is_some_and(|p| p.state == State::Live || p.tried == 0 && !p.withdrawn) {
+                if p.is_some_and(|p| p.state == State::Live || p.probes_sent == 0 && !p.withdrawn) {
                     return Some(peer);
                 }
             }
-            let mut all: Vec<usize> = (0..self.peers.len()).filter(|i| *i != me).collect();
+            let mut all: Vec<usize> = (0..self.peers.len()).filter(|i| *i != own_index).collect();
             for i in (1..all.len()).rev() {
-                all.swap(i, below(rng, i + 1));
+                all.swap(i, random_below(rng, i + 1));
             }
-            self.round = all.into();
+            self.round_robin = all.into();
         }
-        pick(&self.peers, rng, apart)
+        pick_random(&self.peers, rng, not_live)
     }
 }
 
-/// A number below `n`, which is small.
-pub fn below(rng: &mut ChaCha8Rng, n: usize) -> usize {
+/// Returns a random number below `n`, which has to be small.
+pub fn random_below(rng: &mut ChaCha8Rng, n: usize) -> usize {
     ((u64::from(rng.next_u32()) * n as u64) >> 32) as usize
 }
 
-/// One of those that a test lets through, each as likely.
-pub fn pick(peers: &[Peer], rng: &mut ChaCha8Rng, test: impl Fn(usize, &Peer) -> bool) -> Option<usize> {
+/// Returns one of the peers that pass `test`, each with the same probability.
+pub fn pick_random(
+    peers: &[Peer],
+    rng: &mut ChaCha8Rng,
+    test: impl Fn(usize, &Peer) -> bool,
+) -> Option<usize> {
     let n = peers.iter().enumerate().filter(|(i, p)| test(*i, p)).count();
     if n == 0 {
         return None;
     }
-    let at = below(rng, n);
+    let at = random_below(rng, n);
     peers.iter().enumerate().filter(|(i, p)| test(*i, p)).nth(at).map(|(i, _)| i)
 }
 
@@ -393,7 +426,7 @@
         (m, ChaCha8Rng::seed_from_u64(1))
     }
 
-    /// Runs for a while; `answers` says which peers answer, straight.
+    /// Runs for `span`. The peers in `answers` answer direct pings.
     fn run(
         m: &mut Members,
         rng: &mut ChaCha8Rng,
@@ -404,13 +437,13 @@
         let (end, mut sent) = (*now + span, 0);
         while *now < end {
             *now = m.next_due().max(*now + 1);
-            let mut orders = Vec::new();
-            m.due(*now, true, rng, &mut orders);
-            sent += orders.len();
-            for o in orders {
-                if let Order::Ping { peer, nonce } = o {
+            let mut messages = Vec::new();
+            m.poll(*now, true, rng, &mut messages);
+            sent += messages.len();
+            for o in messages {
+                if let ProbeMessage::Ping { peer, nonce } = o {
                     if answers.contains(&peer) {
-                        m.proved(*now, peer, nonce, &[]);
+                        m.confirm_live(*now, peer, nonce, &[]);
                     }
                 }
             }
@@ -423,14 +456,14 @@
         let (mut m, mut rng) = members(4);
         let mut now = 0;
         run(&mut m, &mut rng, &mut now, 8 * S, &[1, 2, 3]);
-        assert_eq!(m.live(), 4);
+        assert_eq!(m.live_count(), 4);
         m.changes.clear();
         run(&mut m, &mut rng, &mut now, 12 * S, &[1, 2]);
-        assert_eq!(m.live(), 3);
+        assert_eq!(m.live_count(), 3);
         let seen: Vec<(usize, State)> = m.changes.iter().map(|c| (c.peer, c.to)).collect();
         assert_eq!(seen, [(3, State::Suspect), (3, State::Dead)]);
         run(&mut m, &mut rng, &mut now, 20 * S, &[1, 2, 3]);
-        assert_eq!(m.live(), 4, "what was apart finds together again");
+        assert_eq!(m.live_count(), 4, "what was apart finds together again");
     }
 
     #[test]
@@ -441,7 +474,7 @@
         let (mut a, mut b) = (0, 0);
         run(&mut quiet, &mut rng, &mut a, 30 * S, &all);
         run(&mut told, &mut other, &mut b, 30 * S, &all);
-        assert_eq!((quiet.live(), told.live()), (16, 16));
+        assert_eq!((quiet.live_count(), told.live_count()), (16, 16));
         let (mut sent, mut sent_told) = (0, 0);
         told.changes.clear();
         for _ in 0..60 {
@@ -461,7 +494,7 @@
         let mut now = 0;
         run(&mut m, &mut rng, &mut now, 8 * S, &[1]);
         assert!(m.is_live(1));
-        m.proved(now, 2, 0, &[1, 2]);
+        m.confirm_live(now, 2, 0, &[1, 2]);
         assert_eq!((m.peers[1].state, m.peers[2].state), (State::Suspect, State::Live));
     }
 }
--- a/gossip/src/session.rs
+++ b/gossip/src/session.rs
@@ -1,33 +1,36 @@
-//! Whether a datagram is new: one life of one peer, proved by an answer to a fresh number of ours. It owns the window
-//! of sequences and the reckoning of ages. It must never rest on a clock of another instance or on an order of
-//! starts: clocks go back and starts are drawn at random, so only an echo proves which life is the present one.
+//! Checks whether a datagram is new. A session stands for one incarnation of a peer, confirmed by an answer
+//! to a fresh nonce of this instance; it holds the window of received sequence numbers and calculates the
+//! age of datagrams.
+//!
+//! Nothing depends on another instance's clock or on an order of start numbers: clocks go back and start
+//! numbers are random, so only an echoed nonce shows which incarnation is the current one.
 use crate::wire::{Head, TIME_UNIT};
 use nickelgate::Micros;
 
-/// Datagrams older than this say nothing any more.
-pub const OLDEST: Micros = 10_000_000;
-/// An anchor is replaced by one of a shorter round trip, and after this by any.
-const ANCHOR: Micros = 30_000_000;
-/// Former lives that are remembered to tell them from unknown ones.
-const FORMER: usize = 4;
+/// Maximum age of a datagram that is still accepted.
+pub const MAX_DATAGRAM_AGE: Micros = 10_000_000;
+/// An anchor is replaced by one with a shorter round trip, and by any other one after this time.
+const ANCHOR_LIFETIME: Micros = 30_000_000;
+/// Number of former incarnations that are remembered, to tell them from unknown ones.
+const MAX_FORMER_STARTS: usize = 4;
 
-/// Why a datagram's content is not taken.
+/// Why the content of a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stale {
-    /// Nothing of this life was proved yet.
+pub enum Rejection {
+    /// The incarnation that signed it has not been confirmed.
     Unproven,
-    /// It was signed in a life that has ended.
+    /// It was signed in an incarnation that has ended.
     Former,
-    /// It came before.
+    /// It has been received before.
     Duplicate,
-    /// It lies before the window, or took too long.
+    /// Its sequence number lies before the window, or it is too old.
     Old,
 }
 
-/// The present life of a peer.
+/// The current incarnation of a peer.
 ///
 /// ```
-/// use threadward_gossip::session::{Session, Stale};
+/// use threadward_gossip::session::{Session, Rejection};
 /// use threadward_gossip::wire::Head;
 ///
 /// // It was asked at 1.000 s and answered at 1.004 s, 0.5 s after its start, with its seventh datagram.
@@ -36,89 +39,93 @@
 /// let next = head(8, 60);
 /// assert_eq!(s.check(1_124_000, &next), Ok(20_000), "made 100 ms after the answer, here after 120");
 /// s.accept(&next);
-/// assert_eq!(s.check(1_124_000, &next), Err(Stale::Duplicate));
+/// assert_eq!(s.check(1_124_000, &next), Err(Rejection::Duplicate));
 /// // One that was overtaken on its way is new all the same, once.
 /// s.accept(&head(10, 60));
 /// let late = head(9, 60);
 /// assert!(s.check(1_125_000, &late).is_ok());
 /// s.accept(&late);
-/// assert_eq!(s.check(1_125_000, &late), Err(Stale::Duplicate));
-/// assert_eq!(s.check(1_124_000, &Head { start: 98, ..next }), Err(Stale::Unproven));
+/// assert_eq!(s.check(1_125_000, &late), Err(Rejection::Duplicate));
+/// assert_eq!(s.check(1_124_000, &Head { start: 98, ..next }), Err(Rejection::Unproven));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Session {
-    /// The number of that life, drawn at its start.
+    /// The random number that the peer drew when it started.
     pub start: u64,
-    /// Its time since start, and the clock here when that was told.
-    uptime: u32,
-    at: Micros,
-    round: Micros,
-    highest: u32,
-    seen: u64,
-    former: [u64; FORMER],
+    /// The peer's time since its start and the local time at the same moment, from which ages are
+    /// calculated, and the round trip of that exchange.
+    anchor_uptime: u32,
+    anchored_at: Micros,
+    round_trip: Micros,
+    highest_seq: u32,
+    received_mask: u64,
+    former_starts: [u64; MAX_FORMER_STARTS],
 }
 
 impl Session {
-    /// A life that was just proved by an answer to what was sent at `sent`.
-    pub fn new(sent: Micros, now: Micros, head: &Head, before: Option<&Session>) -> Session {
-        let mut former = before.map_or([0; FORMER], |b| b.former);
-        if let Some(b) = before {
-            former.rotate_right(1);
-            former[0] = b.start;
+    /// Creates a session for an incarnation that has just been confirmed by an answer to a datagram sent at
+    /// `sent`.
+    pub fn new(sent: Micros, now: Micros, head: &Head, previous: Option<&Session>) -> Session {
+        let mut former_starts = previous.map_or([0; MAX_FORMER_STARTS], |b| b.former_starts);
+        if let Some(b) = previous {
+            former_starts.rotate_right(1);
+            former_starts[0] = b.start;
         }
         Session {
             start: head.start,
-            uptime: head.uptime,
-            at: now,
-            round: now.saturating_sub(sent),
-            highest: head.seq,
-            // All that came before the proof counts as seen: it may be a recording.
-            seen: u64::MAX,
-            former,
+            anchor_uptime: head.uptime,
+            anchored_at: now,
+            round_trip: now.saturating_sub(sent),
+            highest_seq: head.seq,
+            // Everything from before the confirmation counts as received, because it may be a replayed
+            // recording.
+            received_mask: u64::MAX,
+            former_starts,
         }
     }
 
-    /// A further proof of the same life: times are reckoned from the one with the shortest way.
+    /// Records another confirmation of the same incarnation. Ages are calculated from the exchange with the
+    /// shortest round trip.
     pub fn anchor(&mut self, sent: Micros, now: Micros, head: &Head) {
-        let round = now.saturating_sub(sent);
-        if round <= self.round || now > self.at + ANCHOR {
-            (self.uptime, self.at, self.round) = (head.uptime, now, round);
+        let round_trip = now.saturating_sub(sent);
+        if round_trip <= self.round_trip || now > self.anchored_at + ANCHOR_LIFETIME {
+            (self.anchor_uptime, self.anchored_at, self.round_trip) = (head.uptime, now, round_trip);
         }
     }
 
-    /// How old a datagram is, and whether it is new.
+    /// Checks that a datagram is new, and returns its age.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn check(&self, now: Micros, head: &Head) -> Result<Micros, Stale> {
+    /// Returns why it is rejected.
+    pub fn check(&self, now: Micros, head: &Head) -> Result<Micros, Rejection> {
         if head.start != self.start {
-            let former = self.former.contains(&head.start);
-            return Err(if former { Stale::Former } else { Stale::Unproven });
+            let former = self.former_starts.contains(&head.start);
+            return Err(if former { Rejection::Former } else { Rejection::Unproven });
         }
-        let ahead = head.seq.wrapping_sub(self.highest) as i32;
+        let ahead = head.seq.wrapping_sub(self.highest_seq) as i32;
         if ahead <= -64 {
-            return Err(Stale::Old);
+            return Err(Rejection::Old);
         }
-        if ahead <= 0 && self.seen >> -ahead & 1 == 1 {
-            return Err(Stale::Duplicate);
+        if ahead <= 0 && self.received_mask >> -ahead & 1 == 1 {
+            return Err(Rejection::Duplicate);
         }
-        let since = i64::from(head.uptime.wrapping_sub(self.uptime) as i32) * TIME_UNIT as i64;
-        let made = self.at as i64 + since;
-        let age = (now as i64 - made).max(0) as Micros;
-        if age > OLDEST {
-            return Err(Stale::Old);
+        let since = i64::from(head.uptime.wrapping_sub(self.anchor_uptime) as i32) * TIME_UNIT as i64;
+        let sent_at = self.anchored_at as i64 + since;
+        let age = (now as i64 - sent_at).max(0) as Micros;
+        if age > MAX_DATAGRAM_AGE {
+            return Err(Rejection::Old);
         }
         Ok(age)
     }
 
-    /// Its signature is good: it is not taken again.
+    /// Marks a datagram with a valid signature as received, so that it is not accepted again.
     pub fn accept(&mut self, head: &Head) {
-        let ahead = head.seq.wrapping_sub(self.highest) as i32;
+        let ahead = head.seq.wrapping_sub(self.highest_seq) as i32;
         if ahead > 0 {
-            self.seen = self.seen.checked_shl(ahead as u32).unwrap_or(0) | 1;
-            self.highest = head.seq;
+            self.received_mask = self.received_mask.checked_shl(ahead as u32).unwrap_or(0) | 1;
+            self.highest_seq = head.seq;
         } else if ahead > -64 {
-            self.seen |= 1 << -ahead;
+            self.received_mask |= 1 << -ahead;
         }
     }
 }
@@ -134,14 +141,14 @@
     #[test]
     fn replays_within_and_past_the_window_are_refused() {
         let mut s = Session::new(1_000_000, 1_002_000, &head(5, 100, 40), None);
-        assert_eq!(s.check(1_002_000, &head(5, 99, 40)), Err(Stale::Duplicate), "from before the proof");
+        assert_eq!(s.check(1_002_000, &head(5, 99, 40)), Err(Rejection::Duplicate), "from before the proof");
         for seq in [101, 103, 160] {
             assert!(s.check(1_100_000, &head(5, seq, 50)).is_ok());
             s.accept(&head(5, seq, 50));
-            assert_eq!(s.check(1_100_000, &head(5, seq, 50)), Err(Stale::Duplicate));
+            assert_eq!(s.check(1_100_000, &head(5, seq, 50)), Err(Rejection::Duplicate));
         }
         assert!(s.check(1_100_000, &head(5, 102, 50)).is_ok(), "late but new");
-        assert_eq!(s.check(1_100_000, &head(5, 96, 50)), Err(Stale::Old));
+        assert_eq!(s.check(1_100_000, &head(5, 96, 50)), Err(Rejection::Old));
         s.accept(&head(5, 1000, 50));
         assert_eq!(s.check(1_102_000, &head(5, 999, 50)), Ok(0), "late, after a gap");
     }
@@ -149,10 +156,10 @@
     #[test]
     fn ages_need_no_common_clock() {
         let s = Session::new(500_000_000, 500_004_000, &head(5, 1, 77), None);
-        // 3 s later by the peer's own reckoning, heard 3.5 s later here.
+        // Sent 3 s later by the peer's clock, received 3.5 s later by the local one.
         assert_eq!(s.check(503_504_000, &head(5, 2, 377)), Ok(500_000));
-        assert_eq!(s.check(520_000_000, &head(5, 2, 377)), Err(Stale::Old), "withheld for 17 s");
-        // One whose count is ahead is as new as can be, and no newer.
+        assert_eq!(s.check(520_000_000, &head(5, 2, 377)), Err(Rejection::Old), "withheld for 17 s");
+        // A peer whose uptime runs ahead gets the age 0 and never a negative one.
         assert_eq!(s.check(500_100_000, &head(5, 2, 900)), Ok(0));
     }
 
@@ -160,7 +167,7 @@
     fn a_former_life_stays_ended() {
         let a = Session::new(0, 1, &head(9, 1, 0), None);
         let b = Session::new(0, 1, &head(2, 1, 0), Some(&a));
-        assert_eq!(b.check(2, &head(9, 500, 0)), Err(Stale::Former));
-        assert_eq!(b.check(2, &head(3, 500, 0)), Err(Stale::Unproven));
+        assert_eq!(b.check(2, &head(9, 500, 0)), Err(Rejection::Former));
+        assert_eq!(b.check(2, &head(3, 500, 0)), Err(Rejection::Unproven));
     }
 }
--- a/gossip/src/settings.rs
+++ b/gossip/src/settings.rs
@@ -1,32 +1,32 @@
-//! What the operators' file says of gossip, and whether it will do. It owns the bounds on each figure. It must never mend
-//! a figure: one line says what is wrong, and nothing is taken over.
+//! The operators' gossip settings and their validation. An invalid value is reported in one line and never
+//! corrected; nothing is applied in that case.
 use crate::keys::{Directory, OwnKey, PeerConfig};
 use nickelgate::Micros;
 
-/// What the operators' file says.
+/// The operators' settings.
 #[derive(Clone)]
 pub struct Settings {
-    /// The own name among the peers.
+    /// Name of this instance among the peers.
     pub name: String,
-    /// The own secret; its public key is one of the own peer's.
+    /// This instance's secret key; its public key is listed with this instance's peer entry.
     pub secret: [u8; 32],
-    /// All instances, this one among them.
+    /// All instances, including this one.
     pub peers: Vec<PeerConfig>,
     /// Time between probes, 100 ms to 60 s.
     pub probe_period: Micros,
-    /// Bytes that statements may take in a second, 50 to a million. What membership takes is bounded by the period
-    /// alone.
+    /// Bytes per second that statements may use in any case, 50 to 1,000,000. Membership traffic is limited
+    /// by the probe period alone.
     pub statement_bytes_per_s: f64,
-    /// Bytes that they may take beyond that for each request served, 0 to 64.
+    /// Additional bytes that statements may use for each request served, 0 to 64.
     pub statement_bytes_per_request: f64,
-    /// Signatures checked a second for one address, 1 to 10,000.
+    /// Signatures checked per second for one address, 1 to 10,000.
     pub signature_checks_per_s: f64,
-    /// Liars borne; without it a third of the others, rounded down.
+    /// Number of lying instances to tolerate; by default a third of the others, rounded down.
     pub tolerated_faults: Option<usize>,
 }
 
 impl Settings {
-    /// Those of a file that sets no more than it has to.
+    /// Returns the settings with the default for every optional value.
     pub fn new(name: &str, secret: [u8; 32], peers: Vec<PeerConfig>) -> Settings {
         Settings {
             name: name.into(),
@@ -41,10 +41,10 @@
     }
 }
 
-/// Whether settings will do, without an instance of them.
+/// Validates settings without creating an instance.
 ///
 /// # Errors
-/// One line that says what is wrong.
+/// Returns one line that says what is wrong.
 ///
 /// ```
 /// use threadward_gossip::{validate, public_key, PeerConfig, Settings};
@@ -59,18 +59,18 @@
 /// assert_eq!(validate(&s), Err("the own secret belongs to no key of peer 'a'".into()));
 /// ```
 pub fn validate(s: &Settings) -> Result<(), String> {
-    checked(s, &OwnKey::new(&s.secret)).map(drop)
+    validated_directory(s, &OwnKey::new(&s.secret)).map(drop)
 }
 
-pub(crate) fn checked(s: &Settings, own: &OwnKey) -> Result<Directory, String> {
+pub(crate) fn validated_directory(s: &Settings, own: &OwnKey) -> Result<Directory, String> {
     let directory = Directory::new(&s.name, own, s.peers.clone())?;
-    let within = |what: &str, x: f64, least: f64, most: f64| {
-        let fits = x.is_finite() && (least..=most).contains(&x);
-        fits.then_some(()).ok_or(format!("'{what}' has to lie from {least} to {most}"))
+    let require_range = |what: &str, x: f64, min: f64, max: f64| {
+        let in_range = x.is_finite() && (min..=max).contains(&x);
+        in_range.then_some(()).ok_or(format!("'{what}' has to lie from {min} to {max}"))
     };
-    within("period_ms", s.probe_period as f64 / 1e3, 100.0, 60_000.0)?;
-    within("floor_bytes_per_s", s.statement_bytes_per_s, 50.0, 1e6)?;
-    within("bytes_per_request", s.statement_bytes_per_request, 0.0, 64.0)?;
-    within("checks_per_s", s.signature_checks_per_s, 1.0, 1e4)?;
+    require_range("period_ms", s.probe_period as f64 / 1e3, 100.0, 60_000.0)?;
+    require_range("floor_bytes_per_s", s.statement_bytes_per_s, 50.0, 1e6)?;
+    require_range("bytes_per_request", s.statement_bytes_per_request, 0.0, 64.0)?;
+    require_range("checks_per_s", s.signature_checks_per_s, 1.0, 1e4)?;
     Ok(directory)
 }
--- a/gossip/src/told.rs
+++ b/gossip/src/told.rs
@@ -1,38 +1,38 @@
-//! What an instance tells whoever drives it: datagrams to send, news, counts and why a datagram was dropped. It owns these
-//! words and their order. It must never hold a rule: the instance fills them.
+//! What an instance returns to its caller: datagrams to send, notices of changes, counts, and the reasons
+//! for dropped datagrams.
 use crate::belief::Suspicion;
 use crate::members::State;
-use crate::session::Stale;
+use crate::session::Rejection;
 use nickelgate::Addr;
 use std::net::SocketAddr;
 
 /// Why a datagram was dropped, in the order of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dropped {
-    /// Longer than 256 bytes, or too short to be one.
+    /// Longer than 256 bytes, or too short to contain a signature.
     Size,
-    /// From an address of no peer, or not from the author's own where that is asked for.
+    /// Not from the address of a known peer, or not from the author's own address where that is required.
     Source,
-    /// A field out of place, another version.
+    /// Malformed field, or another version.
     Malformed,
-    /// Signed with a key that is no peer's, or was withdrawn; or by this instance itself.
+    /// Signed with an unknown or withdrawn key, or with this instance's own key.
     Key,
-    /// It came before, or was signed in a life that has ended.
+    /// Received before, or signed in an incarnation that has ended.
     Replayed,
-    /// It took too long, or lies before the window.
+    /// Too old, or its sequence number lies before the window.
     Old,
-    /// The author's present life is not proved yet.
+    /// The author's current incarnation has not been confirmed yet.
     Unproven,
-    /// An answer to nothing that was asked, or a question to somebody else.
+    /// An answer to nothing that was asked, or a message addressed to another peer.
     Unasked,
-    /// Signatures of that address had been checked often enough in this second.
+    /// The limit on signature checks for this address, or for all addresses, was exhausted.
     Flood,
-    /// The signature is not the author's.
+    /// The signature is invalid.
     Forged,
 }
 
 impl Dropped {
-    /// All of them, in the order of the checks.
+    /// All reasons, in the order of the checks.
     pub const ALL: [Dropped; 10] = [
         Dropped::Size,
         Dropped::Source,
@@ -47,72 +47,73 @@
     ];
 }
 
-impl From<Stale> for Dropped {
-    fn from(s: Stale) -> Dropped {
+impl From<Rejection> for Dropped {
+    fn from(s: Rejection) -> Dropped {
         match s {
-            Stale::Unproven => Dropped::Unproven,
-            Stale::Former | Stale::Duplicate => Dropped::Replayed,
-            Stale::Old => Dropped::Old,
+            Rejection::Unproven => Dropped::Unproven,
+            Rejection::Former | Rejection::Duplicate => Dropped::Replayed,
+            Rejection::Old => Dropped::Old,
         }
     }
 }
 
-/// What was counted since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams given out to be sent.
+    /// Datagrams returned to be sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of those datagrams.
     pub sent_bytes: u64,
-    /// Datagrams that came in and passed every check.
+    /// Received datagrams that passed all checks.
     pub received: u64,
-    /// Those that did not, in the order of [`Dropped::ALL`].
+    /// Received datagrams that did not, in the order of [`Dropped::ALL`].
     pub dropped: [u64; Dropped::ALL.len()],
     /// Signatures checked.
     pub signatures_checked: u64,
-    /// Statements not sent for want of bytes.
+    /// Copies of statements that were not sent because the byte budget was exhausted.
     pub withheld: u64,
-    /// Lives that took the place of another within seconds: one key at two instances, or one that keeps failing.
+    /// Incarnations that replaced another one within five probe periods: two instances with the same key,
+    /// or one that restarts repeatedly.
     pub conflicts: u64,
 }
 
-/// What an instance wants told or sent.
+/// A change that the caller may log or act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// Another state of a peer.
+    /// The state of a peer changed.
     Peer {
-        /// Its name in the file.
+        /// Its configured name.
         name: String,
-        /// What it was.
+        /// The previous state.
         from: State,
-        /// What it is now.
+        /// The new state.
         to: State,
     },
-    /// A member is believed suspect from now on, or no longer.
+    /// A member is suspected from now on, or no longer.
     Suspicion(Suspicion),
-    /// What was believed still is: told again before it runs out.
+    /// A suspicion continues; sent again before the previous notice expires.
     SuspicionContinues {
         /// The member.
         member: Addr,
-        /// The start of the member that is meant.
+        /// The member's start time that identifies the incarnation meant.
         incarnation: u64,
     },
-    /// Credit of a witness fell under what is heard, or rose over it.
+    /// The credit of a witness fell below the level at which its claims count, or rose above it again.
     WitnessTrust {
-        /// The witness's name in the file.
+        /// The witness's configured name.
         name: String,
-        /// Whether its word counts now.
+        /// Whether its claims count now.
         trusted: bool,
     },
-    /// Whether this side has more than half of all from now on; else nobody is believed.
+    /// Whether a majority of the eligible instances is live from now on. Without a majority no claim counts.
     Majority(bool),
 }
 
-/// What a call gives its caller: it appends and takes nothing away.
+/// Results of a call. Every call only appends.
 #[derive(Default)]
 pub struct Output {
-    /// Datagrams to send, each whole and to one address.
+    /// Datagrams to send, each to one address.
     pub send: Vec<(SocketAddr, Vec<u8>)>,
-    /// What changed, in order.
+    /// Changes, in order.
     pub notices: Vec<Notice>,
 }
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -1,56 +1,58 @@
-//! The datagrams between instances: at most 256 bytes, fixed fields in network order, a signature at the end. It owns
-//! their layout. It must never allocate while reading, trust a length, or pass over bytes that it does not know.
+//! The datagrams between instances: at most 256 bytes, fixed fields in network byte order, and a signature
+//! at the end. Reading does not allocate, trusts no length field, and rejects datagrams with unknown or
+//! surplus bytes.
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 1 | version (high four bits) and kind |
 //! | 4 | id of the author's key |
-//! | 8 | number of the author's start, drawn at random |
-//! | 4 | sequence of the author's datagrams since that start |
+//! | 8 | the author's start number, random |
+//! | 4 | sequence number of the author's datagrams since that start |
 //! | 4 | time since that start, in units of 10 ms |
-//! | 0 to 171 | what the kind holds |
-//! | 64 | Ed25519 signature over all before it |
+//! | 0 to 171 | content, which depends on the kind |
+//! | 64 | Ed25519 signature over all bytes before it |
 use crate::keys::SIGNATURE_BYTES;
 use nickelgate::{Addr, Micros};
 
-/// Bytes of the longest datagram.
+/// Maximum length of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The one version that is read.
+/// The only version that is accepted.
 pub const VERSION: u8 = 1;
-const HEAD: usize = 21;
-const LEAST: usize = HEAD + SIGNATURE_BYTES;
-const CLAIM: usize = 14;
-const HINT: usize = 5;
-/// Claims that one statement holds.
-pub const MAX_CLAIMS: usize = (MAX_DATAGRAM_BYTES - LEAST - 1) / CLAIM;
-/// Hints that ride on a ping or an answer.
+/// Bytes before the content: version and kind, key id, start number, sequence number and uptime.
+const HEAD_BYTES: usize = 21;
+const MIN_DATAGRAM_BYTES: usize = HEAD_BYTES + SIGNATURE_BYTES;
+const CLAIM_BYTES: usize = 14;
+const HINT_BYTES: usize = 5;
+/// Maximum number of claims in a statement.
+pub const MAX_CLAIMS: usize = (MAX_DATAGRAM_BYTES - MIN_DATAGRAM_BYTES - 1) / CLAIM_BYTES;
+/// Maximum number of hints on a ping or an answer.
 pub const MAX_HINTS: usize = 6;
 /// Unit of times on the wire.
 pub const TIME_UNIT: Micros = 10_000;
 
-/// What every datagram says of its author.
+/// The part of every datagram that describes its author.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The id of its key.
+    /// Id of its key.
     pub key: u32,
-    /// The number of its life, drawn at its start.
+    /// Random number that it drew at its start; identifies its incarnation.
     pub start: u64,
-    /// Its datagrams since then.
+    /// Sequence number of the datagram since that start.
     pub seq: u32,
-    /// Time since then, in [`TIME_UNIT`].
+    /// Time since that start, in [`TIME_UNIT`].
     pub uptime: u32,
 }
 
-/// How a member failed, as its own traffic showed it to the author.
+/// How a member failed, as seen by the author's own traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Attempts or fills outlasted patience.
+    /// Attempts or fills timed out.
     Silent = 1,
-    /// Connections broke under requests.
+    /// Connections broke while requests were in progress.
     Broken = 2,
-    /// No connection came up.
+    /// No connection could be made.
     Unreachable = 3,
-    /// It refused, or could not get at what is behind it.
+    /// It refused requests, or could not reach the server behind it.
     Refusing = 4,
 }
 
@@ -66,74 +68,77 @@
     }
 }
 
-/// One suspicion of the author's own.
+/// A suspicion that rests on the author's own traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The member.
     pub member: Addr,
-    /// Low half of the member's start in milliseconds: a later life is another member.
+    /// Low 32 bits of the member's start time in milliseconds. A later incarnation counts as a different
+    /// member.
     pub short_incarnation: u32,
     /// How it last failed.
     pub kind: Kind,
-    /// Own failures in a row: 1, 2, or 3 for a skip that own failures alone made.
+    /// Consecutive own failures: 1, 2, or 3 for a skip caused by own failures alone.
     pub strength: u8,
     /// Time since the last of them when the statement was made, in [`TIME_UNIT`].
     pub age: u16,
 }
 
-/// The low half of a start in milliseconds.
+/// Returns the low 32 bits of a start time in milliseconds; `incarnation` is in microseconds.
 pub fn short_incarnation(incarnation: u64) -> u32 {
     (incarnation / 1000) as u32
 }
 
-/// What is said in passing of another peer. It only moves a probe forward.
+/// Information about another peer that is sent along with a message. It can only cause an earlier probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hint {
-    /// The id of its name.
+    /// Id of its name.
     pub peer: u32,
-    /// It does not answer the author; else it lately did.
-    pub lost: bool,
+    /// Whether it does not answer the author; if false, it answered recently.
+    pub unresponsive: bool,
 }
 
-/// The claims of a statement, still as bytes.
+/// The claims of a statement, still encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claims<'a>(&'a [u8]);
-/// The hints of a ping or an answer, still as bytes.
+/// The hints of a ping or an answer, still encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hints<'a>(&'a [u8]);
 
-/// What a datagram holds. Peers are told by the ids of their names; `nonce` is a fresh number that the answer echoes.
+/// The content of a datagram. Peers are identified by the ids of their names; `nonce` is a fresh number that
+/// the answer has to echo.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body<'a> {
-    /// Asks for a sign of life; the answer goes to `answer_to`, by way of the author where that is another.
+    /// Asks for a sign of life. The answer is addressed to `answer_to` and goes through the author if that
+    /// is another peer.
     Ping { to: u32, answer_to: u32, nonce: u64, hints: Hints<'a> },
-    /// The sign of life; `nonce`, if not 0, asks for the like.
+    /// Answers a ping by echoing its nonce. A `nonce` other than 0 asks for an answer in turn.
     Ack { to: u32, echo: u64, nonce: u64, hints: Hints<'a> },
-    /// Asks another to ping the target with this nonce.
-    Help { to: u32, target: u32, nonce: u64 },
-    /// The author ends by will.
+    /// Asks another peer to ping the target with this nonce.
+    PingRequest { to: u32, target: u32, nonce: u64 },
+    /// The author is shutting down.
     Leave,
-    /// All that the author holds suspect now; earlier statements end with it.
+    /// Everything that the author currently suspects; replaces its earlier statements.
     Statement(Claims<'a>),
 }
 
-/// A datagram in its parts, its signature not yet checked.
+/// A decoded datagram whose signature has not been verified yet.
 pub struct Datagram<'a> {
-    /// What it says of its author.
+    /// The description of its author.
     pub head: Head,
-    /// What else it says.
+    /// Its content.
     pub body: Body<'a>,
-    /// The bytes that are signed.
+    /// The signed bytes.
     pub signed: &'a [u8],
-    /// The signature, which is still to be checked.
+    /// The signature, still to be verified.
     pub signature: &'a [u8; SIGNATURE_BYTES],
 }
 
 impl<'a> Claims<'a> {
-    /// One after the other.
+    /// Decodes the claims one by one.
     pub fn iter(self) -> impl Iterator<Item = Claim> + Clone + use<'a> {
-        self.0.chunks_exact(CLAIM).filter_map(|c| {
+        self.0.chunks_exact(CLAIM_BYTES).filter_map(|c| {
             Some(Claim {
                 member: Addr { ip: [c[0], c[1], c[2], c[3]], port: u16::from_be_bytes([c[4], c[5]]) },
                 short_incarnation: u32::from_be_bytes([c[6], c[7], c[8], c[9]]),
@@ -146,14 +151,15 @@
 }
 
 impl<'a> Hints<'a> {
-    /// One after the other.
+    /// Decodes the hints one by one.
     pub fn iter(self) -> impl Iterator<Item = Hint> + Clone + use<'a> {
-        let hint = |h: &[u8]| Hint { peer: u32::from_be_bytes([h[0], h[1], h[2], h[3]]), lost: h[4] != 0 };
-        self.0.chunks_exact(HINT).map(hint)
+        let hint =
+            |h: &[u8]| Hint { peer: u32::from_be_bytes([h[0], h[1], h[2], h[3]]), unresponsive: h[4] != 0 };
+        self.0.chunks_exact(HINT_BYTES).map(hint)
     }
 }
 
-/// Takes fields off the front; nothing where they are not there.
+/// Takes fields off the front of a slice; returns `None` when it is too short.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -171,14 +177,14 @@
     fn u64(&mut self) -> Option<u64> {
         self.take().map(u64::from_be_bytes)
     }
-    /// A count and so many entries, up to the end.
-    fn list(&mut self, size: usize, most: usize) -> Option<&'a [u8]> {
+    /// Takes a count and that many entries, which have to fill the rest.
+    fn list(&mut self, entry_bytes: usize, max_entries: usize) -> Option<&'a [u8]> {
         let n = usize::from(self.u8()?);
-        (n <= most && self.0.len() == n * size).then(|| std::mem::take(&mut self.0))
+        (n <= max_entries && self.0.len() == n * entry_bytes).then(|| std::mem::take(&mut self.0))
     }
 }
 
-/// Reads a datagram; nothing where it is malformed. Every byte has to have its place.
+/// Decodes a datagram; returns `None` if it is malformed. Every byte has to be accounted for.
 ///
 /// ```
 /// use threadward_gossip::keys::OwnKey;
@@ -186,7 +192,7 @@
 ///
 /// let own = OwnKey::new(&[1; 32]);
 /// let head = Head { key: own.id(), start: 8, seq: 1, uptime: 0 };
-/// let hint = Hint { peer: 5, lost: true };
+/// let hint = Hint { peer: 5, unresponsive: true };
 /// let mut bytes = ping(head, 2, 3, 4, &[hint]);
 /// own.sign(&mut bytes);
 /// let d = read(&bytes).unwrap();
@@ -209,19 +215,19 @@
     let body = match first & 15 {
         1 => {
             let (to, answer_to, nonce) = (r.u32()?, r.u32()?, r.u64()?);
-            Body::Ping { to, answer_to, nonce, hints: Hints(r.list(HINT, MAX_HINTS)?) }
+            Body::Ping { to, answer_to, nonce, hints: Hints(r.list(HINT_BYTES, MAX_HINTS)?) }
         }
         2 => {
             let (to, echo, nonce) = (r.u32()?, r.u64()?, r.u64()?);
-            Body::Ack { to, echo, nonce, hints: Hints(r.list(HINT, MAX_HINTS)?) }
+            Body::Ack { to, echo, nonce, hints: Hints(r.list(HINT_BYTES, MAX_HINTS)?) }
         }
-        3 => Body::Help { to: r.u32()?, target: r.u32()?, nonce: r.u64()? },
+        3 => Body::PingRequest { to: r.u32()?, target: r.u32()?, nonce: r.u64()? },
         4 => Body::Leave,
         5 => {
-            let claims = Claims(r.list(CLAIM, MAX_CLAIMS)?);
-            let whole = |c: Claim| (1..=3).contains(&c.strength);
-            let n = claims.iter().filter(|c| whole(*c)).count();
-            if n * CLAIM != claims.0.len() {
+            let claims = Claims(r.list(CLAIM_BYTES, MAX_CLAIMS)?);
+            let is_valid = |c: Claim| (1..=3).contains(&c.strength);
+            let n = claims.iter().filter(|c| is_valid(*c)).count();
+            if n * CLAIM_BYTES != claims.0.len() {
                 return None;
             }
             Body::Statement(claims)
@@ -231,8 +237,8 @@
     r.0.is_empty().then_some(Datagram { head, body, signed, signature })
 }
 
-/// Begins a datagram of a kind.
-fn begin(head: Head, kind: u8) -> Vec<u8> {
+/// Starts a datagram of the given kind with its head.
+fn write_head(head: Head, kind: u8) -> Vec<u8> {
     let mut b = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     b.push(VERSION << 4 | kind);
     b.extend_from_slice(&head.key.to_be_bytes());
@@ -242,52 +248,52 @@
     b
 }
 
-fn put_hints(b: &mut Vec<u8>, hints: &[Hint]) {
+fn write_hints(b: &mut Vec<u8>, hints: &[Hint]) {
     let hints = &hints[..hints.len().min(MAX_HINTS)];
     b.push(hints.len() as u8);
     for h in hints {
         b.extend_from_slice(&h.peer.to_be_bytes());
-        b.push(u8::from(h.lost));
+        b.push(u8::from(h.unresponsive));
     }
 }
 
-/// A ping, to be signed; of the hints the first [`MAX_HINTS`].
+/// Encodes a ping, without the signature. Only the first [`MAX_HINTS`] hints are sent.
 pub fn ping(head: Head, to: u32, answer_to: u32, nonce: u64, hints: &[Hint]) -> Vec<u8> {
-    let mut b = begin(head, 1);
+    let mut b = write_head(head, 1);
     b.extend_from_slice(&to.to_be_bytes());
     b.extend_from_slice(&answer_to.to_be_bytes());
     b.extend_from_slice(&nonce.to_be_bytes());
-    put_hints(&mut b, hints);
+    write_hints(&mut b, hints);
     b
 }
 
-/// An answer, to be signed; of the hints the first [`MAX_HINTS`].
+/// Encodes an answer, without the signature. Only the first [`MAX_HINTS`] hints are sent.
 pub fn ack(head: Head, to: u32, echo: u64, nonce: u64, hints: &[Hint]) -> Vec<u8> {
-    let mut b = begin(head, 2);
+    let mut b = write_head(head, 2);
     b.extend_from_slice(&to.to_be_bytes());
     b.extend_from_slice(&echo.to_be_bytes());
     b.extend_from_slice(&nonce.to_be_bytes());
-    put_hints(&mut b, hints);
+    write_hints(&mut b, hints);
     b
 }
 
-/// A request for a ping, to be signed.
-pub fn help(head: Head, to: u32, target: u32, nonce: u64) -> Vec<u8> {
-    let mut b = begin(head, 3);
+/// Encodes a request to ping another peer, without the signature.
+pub fn ping_request(head: Head, to: u32, target: u32, nonce: u64) -> Vec<u8> {
+    let mut b = write_head(head, 3);
     b.extend_from_slice(&to.to_be_bytes());
     b.extend_from_slice(&target.to_be_bytes());
     b.extend_from_slice(&nonce.to_be_bytes());
     b
 }
 
-/// A farewell, to be signed.
+/// Encodes a leave message, without the signature.
 pub fn leave(head: Head) -> Vec<u8> {
-    begin(head, 4)
+    write_head(head, 4)
 }
 
-/// A statement, to be signed; of the claims the first [`MAX_CLAIMS`].
+/// Encodes a statement, without the signature. Only the first [`MAX_CLAIMS`] claims are sent.
 pub fn statement(head: Head, claims: &[Claim]) -> Vec<u8> {
-    let mut b = begin(head, 5);
+    let mut b = write_head(head, 5);
     let claims = &claims[..claims.len().min(MAX_CLAIMS)];
     b.push(claims.len() as u8);
     for c in claims {
@@ -304,7 +310,7 @@
 mod tests {
     use super::*;
 
-    const HEAD_OF: Head = Head { key: 7, start: 8, seq: 9, uptime: 10 };
+    const TEST_HEAD: Head = Head { key: 7, start: 8, seq: 9, uptime: 10 };
 
     fn signed(mut b: Vec<u8>) -> Vec<u8> {
         b.extend_from_slice(&[0; SIGNATURE_BYTES]);
@@ -313,10 +319,10 @@
 
     #[test]
     fn what_is_written_is_read() {
-        let hints = [Hint { peer: 3, lost: true }, Hint { peer: 4, lost: false }];
-        let b = signed(ping(HEAD_OF, 1, 2, 3, &hints));
+        let hints = [Hint { peer: 3, unresponsive: true }, Hint { peer: 4, unresponsive: false }];
+        let b = signed(ping(TEST_HEAD, 1, 2, 3, &hints));
         let d = read(&b).unwrap();
-        assert_eq!(d.head, HEAD_OF);
+        assert_eq!(d.head, TEST_HEAD);
         let Body::Ping { to: 1, answer_to: 2, nonce: 3, hints: h } = d.body else { panic!() };
         assert_eq!(h.iter().collect::<Vec<_>>(), hints);
         let claim = Claim {
@@ -326,7 +332,7 @@
             strength: 2,
             age: 7,
         };
-        let b = signed(statement(HEAD_OF, &[claim; 40]));
+        let b = signed(statement(TEST_HEAD, &[claim; 40]));
         assert!(b.len() <= MAX_DATAGRAM_BYTES && MAX_CLAIMS == 12);
         let Body::Statement(c) = read(&b).unwrap().body else { panic!() };
         assert_eq!(c.iter().collect::<Vec<_>>(), vec![claim; MAX_CLAIMS]);
@@ -334,17 +340,17 @@
 
     #[test]
     fn what_has_no_place_is_refused() {
-        let good = signed(statement(HEAD_OF, &[]));
+        let good = signed(statement(TEST_HEAD, &[]));
         assert!(read(&good).is_some());
         for n in 0..good.len() {
             assert!(read(&good[..n]).is_none(), "cut to {n}");
         }
-        let mut long = statement(HEAD_OF, &[]);
+        let mut long = statement(TEST_HEAD, &[]);
         long.push(0);
         assert!(read(&signed(long)).is_none(), "a byte too many");
         let none =
             Claim { member: Addr::default(), short_incarnation: 0, kind: Kind::Silent, strength: 0, age: 0 };
-        assert!(read(&signed(statement(HEAD_OF, &[none]))).is_none(), "a strength of none");
+        assert!(read(&signed(statement(TEST_HEAD, &[none]))).is_none(), "a strength of none");
         let mut other = good.clone();
         other[0] = 2 << 4 | 5;
         assert!(read(&other).is_none(), "another version");
--- a/gossip/tests/bytes.rs
+++ b/gossip/tests/bytes.rs
@@ -1,4 +1,5 @@
-//! Any bytes at all end in a counted drop with its reason: random ones, and mutated real datagrams.
+//! Guards against malformed input: any byte sequence, random or a mutated real datagram, has to end in
+//! exactly one counted drop and must not cause a panic, an answer or a change.
 use nickelgate::Micros;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -20,7 +21,8 @@
     Gossip::new(now, s, [i + 50; 32]).unwrap()
 }
 
-/// Two instances that have found each other, and a datagram of every kind that went from the first to the second.
+/// Returns an instance that has confirmed another one, and all datagrams that it received from that one: at
+/// least one of every kind.
 fn pair() -> (Gossip, Vec<Vec<u8>>) {
     let (mut a, mut b) = (instance(0, 1_000_000), instance(1, 1_000_000));
     let mut seen = Vec::new();
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -131,7 +131,7 @@
             // A probe that confirms a suspicion counts any other answer as none.
             let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
             talk.node.plan(|p, now| p.probed(now, member, outcome, report));
-            talk.call(|g, now, out| g.probed(now, member, good, out));
+            talk.call(|g, now, out| g.record_probe(now, member, good, out));
         });
     }
 
