--- a/gossip/src/belief.rs
+++ b/gossip/src/belief.rs
@@ -79,9 +79,9 @@
 ///
 /// let q = Quorum { eligible: 10, live: 6, tolerated_faults: None };
 /// assert_eq!((q.tolerated_faults(), q.required_witnesses(), q.has_majority()), (3, 4, true));
-/// assert!(!Quorum { live: 5, ..q }.has_majority(), "half is no majority");
+/// assert!(!Quorum { live: 5, ..q }.has_majority(), "half is not a majority");
 /// let few = Quorum { eligible: 3, live: 3, tolerated_faults: None };
-/// assert_eq!((few.tolerated_faults(), few.required_witnesses()), (0, 2), "never on the word of one");
+/// assert_eq!((few.tolerated_faults(), few.required_witnesses()), (0, 2), "one witness is never enough");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorum {
@@ -118,9 +118,9 @@
 /// use threadward_gossip::evidence::Evidence;
 /// use threadward_gossip::wire::{Claim, Kind};
 ///
-/// let hub = |n| Addr { ip: [10, 0, 0, n], port: 80 };
-/// let seen = |n| Standing {
-///     member: hub(n),
+/// let parent = |n| Addr { ip: [10, 0, 0, n], port: 80 };
+/// let standing = |n| Standing {
+///     member: parent(n),
 ///     incarnation: 0,
 ///     role: Role::Parent,
 ///     strikes: 0,
@@ -131,16 +131,16 @@
 ///     helped: 0,
 /// };
 /// let (mut own, mut b) = (Evidence::default(), Belief::default());
-/// own.update(0, &[seen(1), seen(2)]);
+/// own.update(0, &[standing(1), standing(2)]);
 /// b.configure(&[None; 4]);
 /// let q = Quorum { eligible: 4, live: 4, tolerated_faults: None };
-/// let claim = Claim { member: hub(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
+/// let claim = Claim { member: parent(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
 /// b.record_statement(1_000_000, 1, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q).is_empty(), "one witness");
 /// b.record_statement(1_000_000, 2, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q)[0].suspected);
-/// // An own good answer outranks them, and costs them credit.
-/// own.update(1_500_000, &[Standing { good: 1_500_000, ..seen(1) }, seen(2)]);
+/// // An answer that this proxy received outranks them and reduces their credit.
+/// own.update(1_500_000, &[Standing { good: 1_500_000, ..standing(1) }, standing(2)]);
 /// b.update_credit(1_500_000, &own);
 /// assert!(!b.evaluate(1_500_000, &own, q)[0].suspected && b.credit(1) < b.credit(3));
 /// ```
@@ -189,9 +189,9 @@
                     && o.short_incarnation == c.short_incarnation
                     && o.failed_at.abs_diff(failed_at) < 100_000
             };
-            let before = old.iter().find(same);
-            let judged = before.is_some_and(|o| o.judged);
-            let failed_at = before.map_or(failed_at, |o| o.failed_at);
+            let previous = old.iter().find(same);
+            let judged = previous.is_some_and(|o| o.judged);
+            let failed_at = previous.map_or(failed_at, |o| o.failed_at);
             w.claims.push(ReceivedClaim {
                 member: c.member,
                 short_incarnation: c.short_incarnation,
@@ -228,21 +228,21 @@
                 w.credit = w.credit.max((w.credit + CREDIT_RECOVERY * spans as f64).min(INITIAL_CREDIT));
             }
             for c in w.claims.iter_mut().filter(|c| !c.judged) {
-                let Some(seen) = own
+                let Some(observed) = own
                     .members
                     .get(&c.member)
                     .filter(|s| wire::short_incarnation(s.incarnation) == c.short_incarnation)
                 else {
                     continue;
                 };
-                if seen.answered_between(c.failed_at, c.failed_at + REFUTATION_WINDOW) {
+                if observed.answered_between(c.failed_at, c.failed_at + REFUTATION_WINDOW) {
                     c.judged = true;
                     if now >= w.refuted_at + MIN_REFUTATION_INTERVAL {
                         w.credit *= REFUTED_CREDIT_FACTOR;
                         w.refuted_at = now;
                     }
-                } else if seen.is_suspect(now)
-                    && seen.last_failure.abs_diff(c.failed_at) < CONFIRMATION_WINDOW
+                } else if observed.is_suspect(now)
+                    && observed.last_failure.abs_diff(c.failed_at) < CONFIRMATION_WINDOW
                 {
                     c.judged = true;
                     if now >= w.confirmed_at + EVIDENCE_LIFETIME {
@@ -261,15 +261,16 @@
             self.witnesses.iter().flatten().filter(|w| w.credit >= MIN_TRUSTED_CREDIT && q.has_majority())
         {
             for c in &w.claims {
-                let Some(seen) = own.members.get(&c.member) else { continue };
+                let Some(observed) = own.members.get(&c.member) else { continue };
                 let age = now.saturating_sub(c.failed_at);
                 // An answer that this proxy received since then outranks the claim.
-                if wire::short_incarnation(seen.incarnation) != c.short_incarnation
+                if wire::short_incarnation(observed.incarnation) != c.short_incarnation
                     || age >= EVIDENCE_LIFETIME
-                    || seen.last_answer >= c.failed_at
+                    || observed.last_answer >= c.failed_at
                 {
                     continue;
                 }
+                // Indexed by strength: one failure, two failures, a skip.
                 let weight = [0.0, 0.7, 0.85, 1.0][usize::from(c.strength.min(3))];
                 let vote = w.credit * weight * f64::powf(0.5, age as f64 / VOTE_HALF_LIFE_MICROS);
                 let v = votes.entry(c.member).or_default();
@@ -283,14 +284,14 @@
             let already = self.suspected.contains_key(a);
             v.0 >= required && (already || v.1 >= required as f64 * VOTES_PER_WITNESS)
         };
-        let mut held: Vec<(Addr, Micros, Role, usize, f64)> = votes
+        let mut candidates: Vec<(Addr, Micros, Role, usize, f64)> = votes
             .iter()
             .filter(|(a, v)| qualifies(a, v))
             .filter_map(|(a, v)| own.members.get(a).map(|s| (*a, s.incarnation, s.role, v.0, v.1)))
             .collect();
-        held.sort_by(|x, y| y.4.total_cmp(&x.4).then(x.0.cmp(&y.0)));
+        candidates.sort_by(|x, y| y.4.total_cmp(&x.4).then(x.0.cmp(&y.0)));
         let mut remaining = [Role::Cache, Role::Parent, Role::Origin].map(|r| (r, max_suspected(own, r)));
-        held.retain(|h| match remaining.iter_mut().find(|(r, _)| *r == h.2) {
+        candidates.retain(|h| match remaining.iter_mut().find(|(r, _)| *r == h.2) {
             Some((_, n)) if *n > 0 => {
                 *n -= 1;
                 true
@@ -299,7 +300,7 @@
         });
         let mut changes = Vec::new();
         self.suspected.retain(|a, (incarnation, n)| {
-            let stays = held.iter().any(|h| h.0 == *a && h.1 == *incarnation);
+            let stays = candidates.iter().any(|h| h.0 == *a && h.1 == *incarnation);
             if !stays {
                 changes.push(Suspicion {
                     member: *a,
@@ -310,7 +311,7 @@
             }
             stays
         });
-        for (a, incarnation, _, n, _) in held {
+        for (a, incarnation, _, n, _) in candidates {
             if self.suspected.insert(a, (incarnation, n)).is_none() {
                 changes.push(Suspicion { member: a, incarnation, suspected: true, witnesses: n });
             }
@@ -344,7 +345,7 @@
 
     const S: Micros = 1_000_000;
 
-    fn hub(n: u8) -> Addr {
+    fn parent(n: u8) -> Addr {
         Addr { ip: [10, 0, 0, n], port: 1 }
     }
 
@@ -352,7 +353,7 @@
         let why = Some(Outcome::Timeout);
         let (strikes, skipped) = (u32::from(failed > good), false);
         Standing {
-            member: hub(n),
+            member: parent(n),
             incarnation: 0,
             role: Role::Parent,
             strikes,
@@ -365,7 +366,7 @@
     }
 
     fn claim(n: u8, strength: u8, age: u16) -> Claim {
-        Claim { member: hub(n), short_incarnation: 0, kind: Kind::Silent, strength, age }
+        Claim { member: parent(n), short_incarnation: 0, kind: Kind::Silent, strength, age }
     }
 
     fn belief(n: usize) -> (Belief, Evidence, Quorum) {
@@ -377,7 +378,7 @@
     }
 
     #[test]
-    fn one_witness_moves_nothing_however_often() {
+    fn one_witness_alone_never_causes_a_suspicion() {
         let (mut b, own, q) = belief(4);
         for t in 0..1000 {
             b.record_statement(S + t * 1000, 1, 0, (1..=4).map(|n| claim(n, 3, 0)));
@@ -386,12 +387,12 @@
         b.record_statement(2 * S, 2, 0, [claim(1, 3, 0)].into_iter());
         assert_eq!(
             b.evaluate(2 * S, &own, q),
-            [Suspicion { member: hub(1), incarnation: 0, suspected: true, witnesses: 2 }]
+            [Suspicion { member: parent(1), incarnation: 0, suspected: true, witnesses: 2 }]
         );
     }
 
     #[test]
-    fn f_liars_among_three_f_and_one_move_nothing() {
+    fn the_tolerated_number_of_liars_never_causes_a_suspicion() {
         for n in [4, 5, 7, 10, 40] {
             let (mut b, own, q) = belief(n);
             let f = (n - 1) / 3;
@@ -405,7 +406,7 @@
     }
 
     #[test]
-    fn a_minority_believes_nothing() {
+    fn without_a_majority_no_claim_counts() {
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
             b.record_statement(S, w, 0, [claim(1, 3, 0)].into_iter());
@@ -419,7 +420,7 @@
     }
 
     #[test]
-    fn own_good_answers_outrank_and_refute() {
+    fn own_answers_outrank_claims_and_reduce_credit() {
         let (mut b, mut own, q) = belief(4);
         let good = |t| (1..=4).map(|n| standing(n, 0, t)).collect::<Vec<_>>();
         let mut t = S;
@@ -442,7 +443,7 @@
     }
 
     #[test]
-    fn own_failures_confirm() {
+    fn own_failures_confirm_claims_and_raise_credit() {
         let (mut b, mut own, _) = belief(4);
         b.record_statement(10 * S, 1, 0, [claim(1, 3, 0)].into_iter());
         own.update(10 * S, &[standing(1, 10 * S, 0)]);
@@ -452,14 +453,14 @@
     }
 
     #[test]
-    fn hearsay_holds_a_third_at_most_and_ends_with_age() {
+    fn hearsay_suspects_at_most_a_third_and_expires() {
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
             b.record_statement(S, w, 0, (1..=4).map(|n| claim(n, 1 + n % 3, 0)));
         }
         let held = b.evaluate(S, &own, q);
-        assert_eq!(held.len(), 1, "of four hubs: {held:?}");
-        assert_eq!(held[0].member, hub(2), "the one with the strongest word");
+        assert_eq!(held.len(), 1, "of four parents: {held:?}");
+        assert_eq!(held[0].member, parent(2), "the one with the strongest claims");
         assert!(!b.evaluate(S + EVIDENCE_LIFETIME, &own, q)[0].suspected);
         // A claim that arrives late is already old.
         b.record_statement(20 * S, 1, 3 * S, [claim(1, 3, 300)].into_iter());
@@ -468,7 +469,7 @@
     }
 
     #[test]
-    fn a_former_life_of_a_member_and_unlisted_ones_do_not_count() {
+    fn claims_about_former_incarnations_and_unlisted_members_do_not_count() {
         let (mut b, own, q) = belief(4);
         for w in 1..4 {
             let former = Claim { short_incarnation: 7, ..claim(1, 3, 0) };
--- a/gossip/src/budget.rs
+++ b/gossip/src/budget.rs
@@ -16,11 +16,13 @@
     pub fn new(now: Micros, rate: f64, capacity: f64) -> TokenBucket {
         TokenBucket { rate, capacity, tokens: capacity, refilled_at: now }
     }
+    /// Adds the tokens for the time since the last refill.
     fn refill(&mut self, now: Micros) {
         let span = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.tokens = (self.tokens + span * self.rate).min(self.capacity);
         self.refilled_at = self.refilled_at.max(now);
     }
+    /// Refills at the old rate and then changes it.
     pub fn set_rate(&mut self, now: Micros, rate: f64) {
         self.refill(now);
         self.rate = rate;
@@ -94,15 +96,15 @@
     use super::*;
 
     #[test]
-    fn a_flood_from_one_address_spends_its_own_purse() {
+    fn a_flood_from_one_address_uses_only_its_own_budget() {
         let mut c = SignatureChecks::new(0, 2, 50.0, 100.0);
         let passed = (0..100_000).filter(|i| c.allow(i * 10, 0, false)).count();
-        assert!((19..=21).contains(&passed), "{passed} in a second, a purse at first");
-        assert!(c.allow(1_000_000, 0, true), "the peer itself is heard, as its life is proved");
+        assert!((19..=21).contains(&passed), "{passed} in a second, with a full bucket at first");
+        assert!(c.allow(1_000_000, 0, true), "the peer itself is heard, as its incarnation is confirmed");
         let passed = 1 + (0..100_000).filter(|i| c.allow(1_000_000 + i * 10, 0, true)).count();
-        assert!((99..=101).contains(&passed), "{passed} of a life that is proved");
-        assert!(c.allow(2_000_000, 1, true), "the other address is heard all the same");
-        assert!(!c.allow(1_000_000, 2, true), "an address that is not known has none");
+        assert!((99..=101).contains(&passed), "{passed} of a confirmed incarnation");
+        assert!(c.allow(2_000_000, 1, true), "the other address is not affected");
+        assert!(!c.allow(1_000_000, 2, true), "an unknown address has no bucket");
     }
 
     #[test]
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -115,7 +115,7 @@
 ///     helped: 0,
 /// };
 /// let mut own = Evidence::default();
-/// assert!(own.update(2_000_000, &[s]), "there is something to tell");
+/// assert!(own.update(2_000_000, &[s]), "the claims have changed");
 /// let claims = own.claims(2_300_000);
 /// assert_eq!((claims[0].kind, claims[0].strength, claims[0].age), (Kind::Unreachable, 1, 30));
 /// assert!(own.update(2_400_000, &[Standing { good: 2_400_000, ..s }]));
@@ -132,8 +132,9 @@
     /// Updates all members from the current standings, which have to be complete. Returns whether the set of
     /// claims has changed.
     pub fn update(&mut self, now: Micros, standings: &[Standing]) -> bool {
-        self.members
-            .retain(|a, seen| standings.iter().any(|s| s.member == *a && s.incarnation == seen.incarnation));
+        self.members.retain(|a, observed| {
+            standings.iter().any(|s| s.member == *a && s.incarnation == observed.incarnation)
+        });
         for s in standings {
             self.members.entry(s.member).or_insert_with(|| Observation::new(s)).update_from(s);
         }
@@ -144,18 +145,19 @@
         changed
     }
 
-    /// Records the end of an own probe: success counts as a successful answer, failure as a failure.
+    /// Records the end of an own probe: a failure counts as an own failure, a success as a successful answer
+    /// if the member was unreachable or its connections broke.
     pub fn record_probe(&mut self, now: Micros, member: Addr, answered: bool) {
-        let Some(seen) = self.members.get_mut(&member) else { return };
+        let Some(observed) = self.members.get_mut(&member) else { return };
         if answered {
             // A probe only shows that a connection can be made, so it does not clear a member that is silent
             // or refusing.
-            if matches!(seen.kind, Kind::Unreachable | Kind::Broken) {
-                seen.last_answer = now;
+            if matches!(observed.kind, Kind::Unreachable | Kind::Broken) {
+                observed.last_answer = now;
             }
         } else {
-            seen.strength = (seen.strength + 1).min(3);
-            (seen.last_failure, seen.kind) = (now, Kind::Unreachable);
+            observed.strength = (observed.strength + 1).min(3);
+            (observed.last_failure, observed.kind) = (now, Kind::Unreachable);
         }
     }
 
@@ -196,7 +198,7 @@
     }
 
     #[test]
-    fn only_own_failures_are_told_and_they_end() {
+    fn only_own_failures_become_claims_and_they_expire() {
         let mut e = Evidence::default();
         let s = 1_000_000;
         assert!(!e.update(10 * s, &[standing(0, 9 * s, false, 0)]));
@@ -205,30 +207,30 @@
         assert_eq!(
             (c.len(), c[0].strength, c[0].age, c[0].kind),
             (1, 1, 5, Kind::Broken),
-            "helped by a rumour"
+            "a skip that hearsay helped to cause"
         );
         assert!(e.update(12 * s, &[standing(12 * s, 9 * s, true, 1)]));
         assert_eq!(e.claims(12 * s)[0].strength, 2);
         assert!(e.update(13 * s, &[standing(12 * s, 13 * s, false, 1)]), "it answered");
         assert!(e.claims(13 * s).is_empty());
         assert!(e.update(14 * s, &[standing(14 * s, 13 * s, true, 1)]));
-        assert_eq!(e.claims(14 * s)[0].strength, 3, "a skip of its own");
+        assert_eq!(e.claims(14 * s)[0].strength, 3, "a skip caused by own failures");
         assert!(e.update(20 * s, &[standing(14 * s, 13 * s, true, 1)]), "too old");
         e.update(21 * s, &[standing(21 * s, 13 * s, true, 1)]);
         e.update(22 * s, &[Standing { incarnation: 5, ..standing(0, 0, false, 0) }]);
-        assert!(e.claims(22 * s).is_empty(), "a later life of the member");
+        assert!(e.claims(22 * s).is_empty(), "a later incarnation of the member");
     }
 
     #[test]
-    fn good_answers_are_remembered_in_steps() {
+    fn successful_answers_are_remembered_in_steps() {
         let mut e = Evidence::default();
         let s = 1_000_000;
         for t in [10 * s, 10 * s + 700_000, 14 * s] {
             e.update(t, &[standing(0, t, false, 0)]);
         }
-        let seen = e.members.values().next().unwrap();
-        assert!(seen.answered_between(13 * s, 15 * s) && seen.answered_between(10 * s, 11 * s));
-        assert!(!seen.answered_between(11 * s, 13 * s) && !seen.answered_between(14 * s, 15 * s));
-        assert!(!seen.answered_between(0, 5 * s));
+        let observed = e.members.values().next().unwrap();
+        assert!(observed.answered_between(13 * s, 15 * s) && observed.answered_between(10 * s, 11 * s));
+        assert!(!observed.answered_between(11 * s, 13 * s) && !observed.answered_between(14 * s, 15 * s));
+        assert!(!observed.answered_between(0, 5 * s));
     }
 }
--- a/gossip/src/instance.rs
+++ b/gossip/src/instance.rs
@@ -11,8 +11,8 @@
 use crate::evidence::Evidence;
 use crate::keys::{Directory, OwnKey, PeerConfig};
 use crate::members::{Members, State};
+use crate::output::{Counts, Notice, Output};
 use crate::settings::{validated_directory, Settings};
-use crate::told::{Counts, Notice, Output};
 use nickelgate::{Addr, Micros, Standing};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -184,6 +184,7 @@
         Ok(())
     }
 
+    /// Replaces the peers. What is known about a peer moves to its new index.
     fn apply_peers(&mut self, now: Micros, directory: Directory) {
         let old = std::mem::replace(&mut self.directory, directory);
         // Peers are identified by name. A peer with a new address is still the same one, once it has
@@ -285,7 +286,7 @@
         if self.statement_due.is_some_and(|at| now >= at) {
             self.send_statement(now, out);
         }
-        self.forwarded_pings.retain(|h| now < h.expires_at);
+        self.forwarded_pings.retain(|ping| now < ping.expires_at);
         self.update_beliefs(now, out);
     }
 
--- a/gossip/src/instance/receive.rs
+++ b/gossip/src/instance/receive.rs
@@ -3,8 +3,8 @@
 use super::send::STATEMENT_FANOUT;
 use super::{ForwardedPing, Gossip};
 use crate::keys::SIGNATURE_BYTES;
+use crate::output::{Dropped, Output};
 use crate::session::{Rejection, Session};
-use crate::told::{Dropped, Output};
 use crate::wire::{self, Body, Claims, Datagram, Head, Hints};
 use nickelgate::Micros;
 use std::net::SocketAddr;
@@ -75,13 +75,13 @@
             // The answer to a ping that was sent on behalf of another peer. It is passed back once, without
             // being interpreted.
             Body::Ack { to, echo, .. } => {
-                let asked = |h: &ForwardedPing| {
+                let is_answered = |h: &ForwardedPing| {
                     self.directory.name_id(h.asker) == to
                         && h.target == author
                         && h.nonce == echo
                         && now < h.expires_at
                 };
-                let at = self.forwarded_pings.iter().position(asked).ok_or(Dropped::Unasked)?;
+                let at = self.forwarded_pings.iter().position(is_answered).ok_or(Dropped::Unasked)?;
                 let asker = self.forwarded_pings.remove(at).map(|h| h.asker).ok_or(Dropped::Unasked)?;
                 if self.membership_bucket.try_borrow(now, bytes.len() as f64) {
                     self.queue_datagram(asker, bytes.to_vec(), out);
@@ -140,13 +140,18 @@
                 }
                 self.apply_hints(hints);
                 let from_asker = self.directory.name_id(author) == answer_to;
-                let back = if from_asker {
+                let probe_nonce = if from_asker {
                     self.members.probe_back(now, author, d.head.start, &mut self.rng)
                 } else {
                     0
                 };
                 let (head, hints) = (self.next_head(now), self.hints(now));
-                self.send_membership(now, author, wire::ack(head, answer_to, nonce, back, &hints), out);
+                self.send_membership(
+                    now,
+                    author,
+                    wire::ack(head, answer_to, nonce, probe_nonce, &hints),
+                    out,
+                );
             }
             Body::Ack { echo, nonce, hints, .. } => {
                 let Some(sent) = self.members.probe_sent_at(author, echo) else { return };
@@ -188,8 +193,8 @@
     /// Records it and marks the peer live.
     fn confirm(&mut self, now: Micros, author: usize, sent: Micros, nonce: u64, head: &Head) {
         let Some(p) = self.members.peers.get_mut(author) else { return };
-        let same = p.session.as_ref().is_some_and(|s| s.start == head.start);
-        if let Some(s) = p.session.as_mut().filter(|_| same) {
+        let known = p.session.as_ref().is_some_and(|s| s.start == head.start);
+        if let Some(s) = p.session.as_mut().filter(|_| known) {
             s.anchor(sent, now, head);
             s.accept(head);
         } else {
@@ -213,6 +218,7 @@
         self.members.confirm_live(now, author, nonce, &same_address);
     }
 
+    /// Applies the hints about known peers.
     fn apply_hints(&mut self, hints: Hints<'_>) {
         for h in hints.iter() {
             if let Some(peer) = self.directory.peer_by_name_id(h.peer) {
@@ -221,6 +227,7 @@
         }
     }
 
+    /// Records a statement and forwards it where its author does not reach all peers.
     #[allow(clippy::too_many_arguments)]
     fn apply_statement(
         &mut self,
--- a/gossip/src/instance/send.rs
+++ b/gossip/src/instance/send.rs
@@ -4,7 +4,7 @@
 use super::{Gossip, STATEMENT_BURST_BYTES};
 use crate::keys::SIGNATURE_BYTES;
 use crate::members::{self, ProbeMessage};
-use crate::told::Output;
+use crate::output::Output;
 use crate::wire::{self, Head, Hint};
 use nickelgate::Micros;
 
@@ -26,12 +26,14 @@
 const HINTS_PER_DATAGRAM: usize = 4;
 
 impl Gossip {
+    /// Returns the head of the next datagram and advances the sequence number.
     pub(super) fn next_head(&mut self, now: Micros) -> Head {
         self.seq = self.seq.wrapping_add(1);
         let uptime = (now.saturating_sub(self.started_at) / wire::TIME_UNIT) as u32;
         Head { key: self.own.id(), start: self.start, seq: self.seq, uptime }
     }
 
+    /// Counts a datagram and hands it to the caller for sending.
     pub(super) fn queue_datagram(&mut self, to: usize, bytes: Vec<u8>, out: &mut Output) {
         let Some(p) = self.directory.peers.get(to) else { return };
         self.counts.sent += 1;
@@ -48,6 +50,7 @@
         }
     }
 
+    /// Returns the hints for a ping or an answer.
     pub(super) fn hints(&mut self, now: Micros) -> Vec<Hint> {
         let hints = self.members.hints(now, HINTS_PER_DATAGRAM, &mut self.rng);
         hints
@@ -56,9 +59,10 @@
             .collect()
     }
 
+    /// Sends the pings and ping requests that are due.
     pub(super) fn send_probe_messages(&mut self, now: Micros, messages: Vec<ProbeMessage>, out: &mut Output) {
-        for o in messages {
-            match o {
+        for message in messages {
+            match message {
                 ProbeMessage::Ping { peer, nonce } => {
                     let (head, hints) = (self.next_head(now), self.hints(now));
                     let (to, me) =
--- a/gossip/src/keys.rs
+++ b/gossip/src/keys.rs
@@ -196,24 +196,24 @@
     }
 
     #[test]
-    fn a_bad_file_gets_one_message() {
+    fn invalid_peers_are_reported_in_one_message() {
         let own = OwnKey::new(&[1; 32]);
-        let say = |peers| Directory::new("a", &own, peers).err().unwrap_or_default();
-        assert_eq!(say(vec![peer("a", &[1]), peer("b", &[2, 3])]), "");
-        assert_eq!(say(vec![peer("a", &[1]), peer("a", &[2])]), "peer 'a' stands twice");
-        assert_eq!(say(vec![peer("b", &[2])]), "no peer is named 'a'");
-        assert_eq!(say(vec![peer("a", &[2])]), "the own secret belongs to no key of peer 'a'");
+        let error = |peers| Directory::new("a", &own, peers).err().unwrap_or_default();
+        assert_eq!(error(vec![peer("a", &[1]), peer("b", &[2, 3])]), "");
+        assert_eq!(error(vec![peer("a", &[1]), peer("a", &[2])]), "peer 'a' stands twice");
+        assert_eq!(error(vec![peer("b", &[2])]), "no peer is named 'a'");
+        assert_eq!(error(vec![peer("a", &[2])]), "the own secret belongs to no key of peer 'a'");
         assert_eq!(
-            say(vec![peer("a", &[1]), peer("b", &[1])]),
+            error(vec![peer("a", &[1]), peer("b", &[1])]),
             "peer 'b': a key that stands twice; each peer needs its own"
         );
-        assert_eq!(say(vec![peer("a", &[1, 2, 3])]), "peer 'a' has 3 keys, 2 at most");
+        assert_eq!(error(vec![peer("a", &[1, 2, 3])]), "peer 'a' has 3 keys, 2 at most");
         let weak = PeerConfig { keys: vec![[0; 32]], ..peer("b", &[]) };
-        assert_eq!(say(vec![peer("a", &[1]), weak]), "peer 'b': a key that is no Ed25519 key");
+        assert_eq!(error(vec![peer("a", &[1]), weak]), "peer 'b': a key that is no Ed25519 key");
     }
 
     #[test]
-    fn a_signature_fits_its_datagram_and_its_key_only() {
+    fn a_signature_is_valid_only_for_its_datagram_and_key() {
         let own = OwnKey::new(&[1; 32]);
         let d = Directory::new("a", &own, vec![peer("a", &[1]), peer("b", &[2])]).unwrap();
         let mut bytes = b"word".to_vec();
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -28,8 +28,8 @@
 //! };
 //! let mut all = (0..3).map(new).collect::<Result<Vec<_>, _>>()?;
 //!
-//! // Two parents. From 12 s on, proxies 0 and 1 see the first one fail three times in a row; proxy 2 sends it
-//! // nothing.
+//! // Two parents. From 12 s on, proxies 0 and 1 see the first one fail three times in a row; proxy 2 sends
+//! // it nothing.
 //! let parent = |n| Addr { ip: [10, 0, 0, n], port: 80 };
 //! let standing = |n, failed| Standing {
 //!     member: parent(n),
@@ -77,14 +77,14 @@
 mod instance;
 pub mod keys;
 pub mod members;
+mod output;
 pub mod session;
 mod settings;
-mod told;
 pub mod wire;
 
 pub use belief::{Quorum, Suspicion};
 pub use instance::{Gossip, SUSPICION_TTL};
 pub use keys::{public_key, PeerConfig};
 pub use members::State;
+pub use output::{Counts, Dropped, Notice, Output};
 pub use settings::{validate, Settings};
-pub use told::{Counts, Dropped, Notice, Output};
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -105,10 +105,10 @@
 /// let mut messages = Vec::new();
 /// m.poll(1_000_000, false, &mut rng, &mut messages);
 /// let [ProbeMessage::Ping { peer: 1, nonce }] = messages[..] else { panic!("{messages:?}") };
-/// assert_eq!(m.probe_sent_at(1, nonce), Some(1_000_000), "when that question was sent");
+/// assert_eq!(m.probe_sent_at(1, nonce), Some(1_000_000), "when that probe was sent");
 /// m.confirm_live(1_001_000, 1, nonce, &[]);
 /// assert_eq!((m.peers[1].state, m.live_count()), (State::Live, 2));
-/// // A probe without an answer makes it suspect, whatever others say of it.
+/// // A probe without an answer makes it suspect, hints from others do not.
 /// m.hint(1, true);
 /// assert_eq!(m.live_count(), 2);
 /// m.poll(2_000_000, false, &mut rng, &mut messages);
@@ -154,11 +154,11 @@
     /// whether it is a seed, and whether it has been withdrawn.
     pub fn configure(&mut self, own_index: usize, configured: &[(Option<usize>, bool, bool)]) {
         let old = std::mem::take(&mut self.peers);
-        let take = |(from, seed, withdrawn): &(Option<usize>, bool, bool)| {
-            let before = from.filter(|_| !withdrawn).and_then(|i| old.get(i).cloned()).unwrap_or_default();
-            Peer { seed: *seed, withdrawn: *withdrawn, ..before }
+        let keep_known = |(from, seed, withdrawn): &(Option<usize>, bool, bool)| {
+            let known = from.filter(|_| !withdrawn).and_then(|i| old.get(i).cloned()).unwrap_or_default();
+            Peer { seed: *seed, withdrawn: *withdrawn, ..known }
         };
-        self.peers = configured.iter().map(take).collect();
+        self.peers = configured.iter().map(keep_known).collect();
         self.own_index = own_index;
         self.round_robin.clear();
         self.urgent.clear();
@@ -175,6 +175,7 @@
         peer != self.own_index && self.peers.get(peer).is_some_and(|p| p.state == State::Live)
     }
 
+    /// Changes the state of a peer and records the change if there is one.
     fn set_state(&mut self, now: Micros, peer: usize, to: State) {
         let Some(p) = self.peers.get_mut(peer) else { return };
         let from = std::mem::replace(&mut p.state, to);
@@ -328,8 +329,8 @@
     pub fn probe_back(&mut self, now: Micros, peer: usize, start: u64, rng: &mut ChaCha8Rng) -> u64 {
         let Some(p) = self.peers.get(peer) else { return 0 };
         let confirmed = p.state == State::Live && p.session.as_ref().is_some_and(|s| s.start == start);
-        let asked = self.probes.iter().any(|q| q.peer == peer);
-        if confirmed || asked || self.probes.len() >= MAX_OUTSTANDING_PROBES {
+        let outstanding = self.probes.iter().any(|q| q.peer == peer);
+        if confirmed || outstanding || self.probes.len() >= MAX_OUTSTANDING_PROBES {
             return 0;
         }
         let nonce = rng.next_u64().max(1);
@@ -337,6 +338,7 @@
         nonce
     }
 
+    /// Handles a probe that timed out: counts the failure and makes the peer suspect or dead.
     fn probe_failed(&mut self, now: Micros, probe: &Probe) {
         let Some(p) = self.peers.get_mut(probe.peer) else { return };
         // A datagram has arrived from the peer since. Our probe or its answer may have been lost, but the
@@ -440,8 +442,8 @@
             let mut messages = Vec::new();
             m.poll(*now, true, rng, &mut messages);
             sent += messages.len();
-            for o in messages {
-                if let ProbeMessage::Ping { peer, nonce } = o {
+            for message in messages {
+                if let ProbeMessage::Ping { peer, nonce } = message {
                     if answers.contains(&peer) {
                         m.confirm_live(*now, peer, nonce, &[]);
                     }
@@ -452,7 +454,7 @@
     }
 
     #[test]
-    fn the_silent_become_suspect_then_dead_and_come_back() {
+    fn silent_peers_become_suspect_then_dead_and_are_found_again() {
         let (mut m, mut rng) = members(4);
         let mut now = 0;
         run(&mut m, &mut rng, &mut now, 8 * S, &[1, 2, 3]);
@@ -460,36 +462,36 @@
         m.changes.clear();
         run(&mut m, &mut rng, &mut now, 12 * S, &[1, 2]);
         assert_eq!(m.live_count(), 3);
-        let seen: Vec<(usize, State)> = m.changes.iter().map(|c| (c.peer, c.to)).collect();
-        assert_eq!(seen, [(3, State::Suspect), (3, State::Dead)]);
+        let transitions: Vec<(usize, State)> = m.changes.iter().map(|c| (c.peer, c.to)).collect();
+        assert_eq!(transitions, [(3, State::Suspect), (3, State::Dead)]);
         run(&mut m, &mut rng, &mut now, 20 * S, &[1, 2, 3]);
-        assert_eq!(m.live_count(), 4, "what was apart finds together again");
+        assert_eq!(m.live_count(), 4, "peers that were apart find each other again");
     }
 
     #[test]
-    fn words_of_others_change_neither_states_nor_traffic() {
+    fn hints_change_neither_states_nor_the_number_of_probes() {
         let (mut quiet, mut rng) = members(16);
-        let (mut told, mut other) = members(16);
+        let (mut hinted, mut other) = members(16);
         let all: Vec<usize> = (1..16).collect();
         let (mut a, mut b) = (0, 0);
         run(&mut quiet, &mut rng, &mut a, 30 * S, &all);
-        run(&mut told, &mut other, &mut b, 30 * S, &all);
-        assert_eq!((quiet.live_count(), told.live_count()), (16, 16));
-        let (mut sent, mut sent_told) = (0, 0);
-        told.changes.clear();
+        run(&mut hinted, &mut other, &mut b, 30 * S, &all);
+        assert_eq!((quiet.live_count(), hinted.live_count()), (16, 16));
+        let (mut sent, mut sent_hinted) = (0, 0);
+        hinted.changes.clear();
         for _ in 0..60 {
             for peer in 0..16 {
-                told.hint(peer, true);
+                hinted.hint(peer, true);
             }
             sent += run(&mut quiet, &mut rng, &mut a, S, &all);
-            sent_told += run(&mut told, &mut other, &mut b, S, &all);
+            sent_hinted += run(&mut hinted, &mut other, &mut b, S, &all);
         }
-        assert!(told.changes.is_empty());
-        assert!(sent_told <= sent + 2, "{sent_told} over {sent}");
+        assert!(hinted.changes.is_empty());
+        assert!(sent_hinted <= sent + 2, "{sent_hinted} over {sent}");
     }
 
     #[test]
-    fn an_address_taken_over_makes_the_former_one_prove_itself() {
+    fn a_new_peer_at_an_address_makes_the_former_one_suspect() {
         let (mut m, mut rng) = members(4);
         let mut now = 0;
         run(&mut m, &mut rng, &mut now, 8 * S, &[1]);
--- a/gossip/src/session.rs
+++ b/gossip/src/session.rs
@@ -33,14 +33,15 @@
 /// use threadward_gossip::session::{Session, Rejection};
 /// use threadward_gossip::wire::Head;
 ///
-/// // It was asked at 1.000 s and answered at 1.004 s, 0.5 s after its start, with its seventh datagram.
+/// // The peer was pinged at 1.000 s and answered at 1.004 s, 0.5 s after its start, with its seventh
+/// // datagram.
 /// let head = |seq, uptime| Head { key: 1, start: 99, seq, uptime };
 /// let mut s = Session::new(1_000_000, 1_004_000, &head(7, 50), None);
 /// let next = head(8, 60);
-/// assert_eq!(s.check(1_124_000, &next), Ok(20_000), "made 100 ms after the answer, here after 120");
+/// assert_eq!(s.check(1_124_000, &next), Ok(20_000), "sent 100 ms after the answer, received after 120 ms");
 /// s.accept(&next);
 /// assert_eq!(s.check(1_124_000, &next), Err(Rejection::Duplicate));
-/// // One that was overtaken on its way is new all the same, once.
+/// // A datagram that was overtaken by a later one is still accepted, once.
 /// s.accept(&head(10, 60));
 /// let late = head(9, 60);
 /// assert!(s.check(1_125_000, &late).is_ok());
@@ -66,10 +67,10 @@
     /// Creates a session for an incarnation that has just been confirmed by an answer to a datagram sent at
     /// `sent`.
     pub fn new(sent: Micros, now: Micros, head: &Head, previous: Option<&Session>) -> Session {
-        let mut former_starts = previous.map_or([0; MAX_FORMER_STARTS], |b| b.former_starts);
-        if let Some(b) = previous {
+        let mut former_starts = previous.map_or([0; MAX_FORMER_STARTS], |p| p.former_starts);
+        if let Some(p) = previous {
             former_starts.rotate_right(1);
-            former_starts[0] = b.start;
+            former_starts[0] = p.start;
         }
         Session {
             start: head.start,
@@ -139,9 +140,13 @@
     }
 
     #[test]
-    fn replays_within_and_past_the_window_are_refused() {
+    fn replays_inside_and_before_the_window_are_rejected() {
         let mut s = Session::new(1_000_000, 1_002_000, &head(5, 100, 40), None);
-        assert_eq!(s.check(1_002_000, &head(5, 99, 40)), Err(Rejection::Duplicate), "from before the proof");
+        assert_eq!(
+            s.check(1_002_000, &head(5, 99, 40)),
+            Err(Rejection::Duplicate),
+            "from before the confirmation"
+        );
         for seq in [101, 103, 160] {
             assert!(s.check(1_100_000, &head(5, seq, 50)).is_ok());
             s.accept(&head(5, seq, 50));
@@ -158,13 +163,13 @@
         let s = Session::new(500_000_000, 500_004_000, &head(5, 1, 77), None);
         // Sent 3 s later by the peer's clock, received 3.5 s later by the local one.
         assert_eq!(s.check(503_504_000, &head(5, 2, 377)), Ok(500_000));
-        assert_eq!(s.check(520_000_000, &head(5, 2, 377)), Err(Rejection::Old), "withheld for 17 s");
+        assert_eq!(s.check(520_000_000, &head(5, 2, 377)), Err(Rejection::Old), "delayed for about 17 s");
         // A peer whose uptime runs ahead gets the age 0 and never a negative one.
         assert_eq!(s.check(500_100_000, &head(5, 2, 900)), Ok(0));
     }
 
     #[test]
-    fn a_former_life_stays_ended() {
+    fn a_former_incarnation_is_not_accepted_again() {
         let a = Session::new(0, 1, &head(9, 1, 0), None);
         let b = Session::new(0, 1, &head(2, 1, 0), Some(&a));
         assert_eq!(b.check(2, &head(9, 500, 0)), Err(Rejection::Former));
--- a/gossip/src/settings.rs
+++ b/gossip/src/settings.rs
@@ -62,6 +62,7 @@
     validated_directory(s, &OwnKey::new(&s.secret)).map(drop)
 }
 
+/// Validates settings and returns the directory of their peers.
 pub(crate) fn validated_directory(s: &Settings, own: &OwnKey) -> Result<Directory, String> {
     let directory = Directory::new(&s.name, own, s.peers.clone())?;
     let require_range = |what: &str, x: f64, min: f64, max: f64| {
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -57,6 +57,7 @@
 }
 
 impl Kind {
+    /// Decodes the byte on the wire.
     fn read(n: u8) -> Option<Kind> {
         Some(match n {
             1 => Kind::Silent,
@@ -248,6 +249,7 @@
     b
 }
 
+/// Appends the number of hints and the first [`MAX_HINTS`] of them.
 fn write_hints(b: &mut Vec<u8>, hints: &[Hint]) {
     let hints = &hints[..hints.len().min(MAX_HINTS)];
     b.push(hints.len() as u8);
@@ -318,7 +320,7 @@
     }
 
     #[test]
-    fn what_is_written_is_read() {
+    fn encoded_datagrams_decode_to_the_same_content() {
         let hints = [Hint { peer: 3, unresponsive: true }, Hint { peer: 4, unresponsive: false }];
         let b = signed(ping(TEST_HEAD, 1, 2, 3, &hints));
         let d = read(&b).unwrap();
@@ -339,7 +341,7 @@
     }
 
     #[test]
-    fn what_has_no_place_is_refused() {
+    fn malformed_datagrams_are_rejected() {
         let good = signed(statement(TEST_HEAD, &[]));
         assert!(read(&good).is_some());
         for n in 0..good.len() {
@@ -347,10 +349,10 @@
         }
         let mut long = statement(TEST_HEAD, &[]);
         long.push(0);
-        assert!(read(&signed(long)).is_none(), "a byte too many");
+        assert!(read(&signed(long)).is_none(), "one byte too many");
         let none =
             Claim { member: Addr::default(), short_incarnation: 0, kind: Kind::Silent, strength: 0, age: 0 };
-        assert!(read(&signed(statement(TEST_HEAD, &[none]))).is_none(), "a strength of none");
+        assert!(read(&signed(statement(TEST_HEAD, &[none]))).is_none(), "a strength of 0");
         let mut other = good.clone();
         other[0] = 2 << 4 | 5;
         assert!(read(&other).is_none(), "another version");
--- a/gossip/tests/bytes.rs
+++ b/gossip/tests/bytes.rs
@@ -21,11 +21,11 @@
     Gossip::new(now, s, [i + 50; 32]).unwrap()
 }
 
-/// Returns an instance that has confirmed another one, and all datagrams that it received from that one: at
-/// least one of every kind.
+/// Returns an instance that has confirmed another one, and all datagrams that it received from that one:
+/// pings, answers and a leave message.
 fn pair() -> (Gossip, Vec<Vec<u8>>) {
     let (mut a, mut b) = (instance(0, 1_000_000), instance(1, 1_000_000));
-    let mut seen = Vec::new();
+    let mut datagrams = Vec::new();
     for step in 0..200 {
         let now = 1_000_000 + step * 50_000;
         let mut to_b = Output::default();
@@ -44,13 +44,13 @@
             for (to, bytes) in std::mem::take(&mut to_b.send) {
                 if to == at(1) {
                     b.receive(now, at(0), &bytes, &mut to_a);
-                    seen.push(bytes);
+                    datagrams.push(bytes);
                 }
             }
         }
     }
     assert!(b.counts.received > 10 && b.counts.dropped.iter().all(|n| *n == 0));
-    (b, seen)
+    (b, datagrams)
 }
 
 fn dropped(g: &Gossip) -> u64 {
@@ -72,8 +72,8 @@
 
     #[test]
     fn mutated_datagrams_are_dropped(pick in any::<prop::sample::Index>(), flips in proptest::collection::vec((any::<prop::sample::Index>(), 1u8..), 1..6), cut in 0usize..40) {
-        let (mut g, seen) = pair();
-        let mut bytes = seen[pick.index(seen.len())].clone();
+        let (mut g, datagrams) = pair();
+        let mut bytes = datagrams[pick.index(datagrams.len())].clone();
         let original = bytes.clone();
         for (i, x) in &flips {
             let i = i.index(bytes.len());
