--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -17,7 +17,8 @@
 pub mod zoned;
 
 pub use nickelgate::{
-    Addr, Entry, Learned, Lifecycle, ListForm, Micros, Note, Outcome, Report, Role, Settings, Standing, Terms,
+    Addr, Entry, Learned, Lifecycle, ListForm, MemberHealth, Micros, Note, Outcome, Report, RequestPolicy,
+    Role, Settings,
 };
 pub use planner::{Caches, Planner};
 pub use stages::book::{Counter, Counters};
@@ -53,7 +54,7 @@
     /// What is to be written, of a class that is passed on.
     pub body: Vec<u8>,
     /// What operators set for it.
-    pub terms: Terms,
+    pub terms: RequestPolicy,
 }
 
 /// Bytes of an answer as a part of the buffer that they came in: handed on whole, never copied.
--- a/core/src/planner.rs
+++ b/core/src/planner.rs
@@ -11,7 +11,7 @@
 use crate::{
     Addr, Ask, Counter, Counters, Dispatch, End, Entry, Final, Learned, ListForm, Micros, Outcome, Reply,
 };
-use nickelgate::{Action, Completed, Event, Note, Report, Settings, Standing};
+use nickelgate::{Action, Completed, Event, MemberHealth, Note, Report, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet, VecDeque};
 
@@ -56,7 +56,7 @@
 ///     fn probe(&mut self, _: Addr) {}
 /// }
 ///
-/// let class = nickelgate::Class { aim: 200_000, deadline: 4_000_000, ..Default::default() };
+/// let class = nickelgate::Class { target_latency: 200_000, deadline: 4_000_000, ..Default::default() };
 /// let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
 /// let (way, limits) = (Way::default(), Limits { open: 1, bytes: 1 << 20, pause: 300_000 });
 /// let mut p = Planner::new(settings, 1, limits, Box::new(way.clone()));
@@ -182,7 +182,7 @@
     pub fn share(&mut self, of: usize, bytes: usize) {
         self.limits.bytes = bytes;
         self.processes = of.max(1);
-        self.router.beside(self.processes * self.cold.scale as usize - 1);
+        self.router.set_sibling_processes(self.processes * self.cold.scale as usize - 1);
     }
 
     /// The pause between two probes of a cache is what this says from here on; false: no cache is asked here.
@@ -260,7 +260,7 @@
         let (outcome, note, waited, report, payload) = match end {
             End::Answered(t) => (t.outcome, t.note, t.waited, t.report, t.payload),
             End::Broke(p) => (forced.unwrap_or(p.outcome()), Note::None, 0, Report::default(), None),
-            End::Stale => (Outcome::Moot, Note::None, 0, Report::default(), None),
+            End::Stale => (Outcome::NotSent, Note::None, 0, Report::default(), None),
             End::Withdrawn => (Outcome::Cancelled, Note::None, 0, Report::default(), None),
         };
         book::ended(&mut self.counters, outcome);
@@ -273,7 +273,17 @@
         }
         let done = job.reply.is_none();
         let elapsed = now.saturating_sub(sent);
-        let c = Completed { request: id, attempt, member, outcome, elapsed, done, note, waited, report };
+        let c = Completed {
+            request: id,
+            attempt,
+            member,
+            outcome,
+            elapsed,
+            request_done: done,
+            note,
+            source_wait: waited,
+            report,
+        };
         self.drive(Event::Completed(c));
     }
 
@@ -340,7 +350,7 @@
     pub fn keep_cold(&mut self, now: Micros, share: u32) -> u32 {
         self.tick(now);
         let wanted = self.cold.keep(self.now, share);
-        self.router.beside(self.processes * self.cold.scale as usize - 1);
+        self.router.set_sibling_processes(self.processes * self.cold.scale as usize - 1);
         wanted
     }
 
@@ -352,7 +362,7 @@
     /// Enough of the other proxies hold a member suspect for their word to count; `lasts` 0: no longer.
     pub fn rumour(&mut self, now: Micros, member: Addr, incarnation: u64, lasts: Micros) {
         self.tick(now);
-        self.drive(Event::Rumour { member, incarnation, lasts });
+        self.drive(Event::Suspected { member, incarnation, valid_for: lasts });
     }
 
     /// A probe of a member ended, with the load that it told, if any.
@@ -362,8 +372,8 @@
     }
 
     /// What own traffic showed of the members.
-    pub fn standings(&self) -> Vec<Standing> {
-        self.router.standings().collect()
+    pub fn standings(&self) -> Vec<MemberHealth> {
+        self.router.member_health().collect()
     }
 
     /// What the router has learned, for the process that comes after this one.
@@ -374,7 +384,7 @@
     /// Takes over what the process before this one learned.
     pub fn take_over(&mut self, now: Micros, learned: &Learned) {
         self.tick(now);
-        self.router.take_over(self.now, learned);
+        self.router.restore_learned(self.now, learned);
     }
 
     /// Carries out every timer that is due.
@@ -476,7 +486,7 @@
                 let a = job.attempts.get_mut(usize::from(n)).filter(|a| a.2)?;
                 // Where two attempts may not be out at once, the next one waits until the cache has been told.
                 let told_later = self.caches.withdraw(id, n);
-                if told_later && !self.settings.parallel && job.reply.is_some() {
+                if told_later && !self.settings.parallel_attempts && job.reply.is_some() {
                     return None;
                 }
                 a.2 = false;
@@ -488,9 +498,9 @@
                     member,
                     outcome: Outcome::Cancelled,
                     elapsed: self.now.saturating_sub(sent),
-                    done,
+                    request_done: done,
                     note: Note::None,
-                    waited: 0,
+                    source_wait: 0,
                     report: Report::default(),
                 }));
             }
--- a/core/src/probes.rs
+++ b/core/src/probes.rs
@@ -29,7 +29,7 @@
 /// use nickelgate::{Action, Addr, Entry, Event, ListForm, ReportColumns, Request, Settings};
 /// use threadward_core::probes::Watched;
 ///
-/// let columns = ReportColumns { x1: Some(0), ..ReportColumns::default() };
+/// let columns = ReportColumns { link_load: Some(0), ..ReportColumns::default() };
 /// let settings = Settings { probes: true, columns, ..Settings::default() };
 /// let addr = Addr { ip: [127, 0, 0, 1], port: 80 };
 /// let probes = |settings: Settings| {
@@ -38,7 +38,7 @@
 ///     w.handle(1_000_000, Event::Members { form: ListForm::Full, entries }, &mut all);
 ///     for id in 0..100 {
 ///         let now = 1_000_000 + id * 10_000;
-///         w.handle(now, Event::Request(Request { id, due: now + 1_000_000, ..Request::default() }), &mut all);
+///         w.handle(now, Event::Request(Request { id, expires_at: now + 1_000_000, ..Request::default() }), &mut all);
 ///     }
 ///     all.iter().filter(|a| **a == Action::Probe(addr)).count()
 /// };
@@ -54,7 +54,7 @@
 impl Watched {
     /// A router for these settings; it probes only where load is told in no other way.
     pub fn new(settings: Settings, seed: u64) -> Watched {
-        let told = settings.columns.x1.is_some() && !settings.reports_inline;
+        let told = settings.columns.link_load.is_some() && !settings.reports_inline;
         let prober = (settings.probes && told).then(|| Prober::new(&settings));
         Watched { router: Router::new(settings, seed), prober }
     }
@@ -168,7 +168,7 @@
             asked.out = false;
         }
         let lost = matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset);
-        if report.n > 0 && !lost {
+        if report.count > 0 && !lost {
             self.last = Some((member, report, now));
         }
         Event::Probed { member, outcome: if lost { outcome } else { Outcome::Ok }, report }
@@ -176,7 +176,7 @@
 
     /// The last report again, its link less full, once it has stood for too long: an old one must not shed fills.
     fn aged(&mut self, now: Micros) -> Option<Event> {
-        let x1 = self.settings.columns.x1?;
+        let x1 = self.settings.columns.link_load?;
         let (member, report, at) = self.last.as_mut().filter(|(_, _, at)| now >= *at + HALVES)?;
         *report.values.get_mut(x1)? /= 2.0;
         *at = now;
@@ -199,7 +199,7 @@
         Settings {
             probes: on,
             reports_inline: inline,
-            columns: ReportColumns { cpu: Some(0), x1: Some(1), ..ReportColumns::default() },
+            columns: ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() },
             parent_kind: Some(1),
             origin_kind: Some(2),
             routers_by_zone: vec![2],
@@ -215,7 +215,7 @@
     fn probed(w: &mut Watched, now: Micros) -> Vec<Addr> {
         let mut out = Vec::new();
         let due = now + 1_000 * MS;
-        w.handle(now, Event::Request(Request { id: now, due, ..Request::default() }), &mut out);
+        w.handle(now, Event::Request(Request { id: now, expires_at: due, ..Request::default() }), &mut out);
         out.iter().filter_map(|a| if let Action::Probe(a) = a { Some(*a) } else { None }).collect()
     }
 
@@ -229,7 +229,7 @@
         for now in (0..60_000).step_by(10).map(|t| 1_000_000 + t * MS) {
             for a in probed(&mut w, now) {
                 seen.entry(a).or_default().push(now);
-                let report = Report { n: 2, values: [0.1, 0.5, 0.0, 0.0] };
+                let report = Report { count: 2, values: [0.1, 0.5, 0.0, 0.0] };
                 let ended = Event::Probed { member: a, outcome: Outcome::Ok, report };
                 w.handle(now, ended, &mut Vec::new());
             }
@@ -267,7 +267,7 @@
             for a in probed(&mut w, now) {
                 seen[usize::from(a.ip[3] - 1)] += 1;
                 if a == at(2) {
-                    let report = Report { n: 2, ..Report::default() };
+                    let report = Report { count: 2, ..Report::default() };
                     w.handle(now, Event::Probed { member: a, outcome: Outcome::Ok, report }, &mut Vec::new());
                 }
             }
@@ -278,7 +278,7 @@
     #[test]
     fn only_silence_and_lost_connections_count_against_a_cache_and_old_reports_fade() {
         let mut p = Prober::new(&settings(true, false));
-        let report = Report { n: 2, values: [0.9, 4.0, 0.0, 0.0] };
+        let report = Report { count: 2, values: [0.9, 4.0, 0.0, 0.0] };
         let told = |e: Event| match e {
             Event::Probed { outcome, report, .. } => (outcome, report.values[1]),
             _ => unreachable!(),
--- a/core/src/stages.rs
+++ b/core/src/stages.rs
@@ -20,13 +20,13 @@
             id,
             class: ask.class,
             object: ask.object,
-            due: ask.due,
+            expires_at: ask.due,
             group: ask.group,
             part: ask.part,
-            kbytes: ask.kbytes,
-            repeat: ask.repeat,
-            terms: ask.terms,
-            write: s.classes.get(usize::from(ask.class)).is_some_and(|c| c.pass_on),
+            size_kb: ask.kbytes,
+            marked_retry: ask.repeat,
+            policy: ask.terms,
+            write: s.classes.get(usize::from(ask.class)).is_some_and(|c| c.pass_through),
             ..Request::default()
         }
     }
@@ -165,7 +165,7 @@
             parent_keeps_none: get.parent_keeps_none,
             renew: get.renew,
             due: job.ask.due.min(own),
-            id_once: !harmless || !s.parallel,
+            id_once: !harmless || !s.parallel_attempts,
             send_by: if get.send_by == 0 { Micros::MAX } else { get.send_by },
             decided: now,
             epoch,
@@ -354,7 +354,7 @@
             Outcome::ConnectFailed => Counter::EndConnect,
             Outcome::Reset => Counter::EndReset,
             Outcome::Cancelled => Counter::EndCancelled,
-            Outcome::Moot => Counter::EndMoot,
+            Outcome::NotSent => Counter::EndMoot,
         });
     }
 }
--- a/core/src/zoned.rs
+++ b/core/src/zoned.rs
@@ -155,19 +155,19 @@
         }
         if let Some((at, stood)) = self.ramps[z] {
             let way = self.cold(role) * Micros::from(stood) / 1000;
-            e.since = e.since.max(at.saturating_sub(way));
+            e.started_at = e.started_at.max(at.saturating_sub(way));
         }
         if self.uses[z] == Use::Tried {
-            e.since = 0;
+            e.started_at = 0;
         }
         e
     }
 
     fn cold(&self, role: Role) -> Micros {
         if role == Role::Parent {
-            self.settings.parent_cold
+            self.settings.parent_cold_period
         } else {
-            self.settings.cold
+            self.settings.cold_period
         }
     }
 
@@ -214,12 +214,12 @@
     /// Whether a member started so lately that it is cold, as the router sees it.
     pub(crate) fn cold_now(&self, now: Micros, member: Addr) -> bool {
         let e = self.list.get(&member).map(|e| self.shown(*e));
-        e.is_some_and(|e| e.since > 0 && now < e.since + self.cold(self.settings.role(&e)))
+        e.is_some_and(|e| e.started_at > 0 && now < e.started_at + self.cold(self.settings.role(&e)))
     }
 
     /// The event that holds a member in doubt.
     pub fn doubt(e: &Entry) -> Event {
-        Event::Rumour { member: e.addr, incarnation: e.incarnation, lasts: DOUBT }
+        Event::Suspected { member: e.addr, incarnation: e.incarnation, valid_for: DOUBT }
     }
 
     /// Whether this request is refused at once: what fits nowhere while the own zone is out, of least worth first.
@@ -231,9 +231,10 @@
     pub fn sent(&mut self, now: Micros, id: (u64, u16), class: u8, member: Addr, source: Addr) {
         let c = self.settings.classes.get(usize::from(class));
         // Twice the wanted time, or half of the client's patience: what comes later is as good as no answer.
-        let slow = c.map_or(Micros::MAX, |c| (2 * c.aim).min((c.deadline / 2).max(c.aim)));
+        let slow =
+            c.map_or(Micros::MAX, |c| (2 * c.target_latency).min((c.deadline / 2).max(c.target_latency)));
         // The router sends no second before a quarter of it; staff's hedges may be earlier.
-        let beaten = c.map_or(Micros::MAX, |c| c.aim / 4);
+        let beaten = c.map_or(Micros::MAX, |c| c.target_latency / 4);
         let [slow, beaten] = [slow, beaten].map(|span| now.saturating_add(span));
         self.out.insert(id, Out { member, source, sent: now, slow, beaten, counted: false });
         let zone = |a: &Addr| self.list.get(a).map(|e| e.zone);
@@ -254,7 +255,7 @@
             Outcome::Ok | Outcome::Miss => {
                 self.well(now, o.member);
                 // What a fill waited for its source is not the member's.
-                let waited = filled && c.waited * 2 > c.elapsed;
+                let waited = filled && c.source_wait * 2 > c.elapsed;
                 self.count(now, o.member, late && !waited);
                 if filled && o.source != o.member {
                     self.well(now, o.source);
@@ -267,19 +268,19 @@
             | Outcome::ConnectFailed
             | Outcome::Reset => {
                 match c.note {
-                    Note::SourceRefused | Note::SourceLost => self.count(now, o.source, true),
+                    Note::SourceRefused | Note::SourceFailed => self.count(now, o.source, true),
                     // The origin is no zone's, and a full member is there.
-                    Note::OriginFailed | Note::SourceLacks | Note::NoPlace => {}
+                    Note::OriginFailed | Note::SourceMiss | Note::FillSlotsFull => {}
                     _ if c.outcome == Outcome::Refused => {}
                     _ if !o.counted => self.blame(now, &o),
                     _ => {}
                 }
             }
             // Withdrawn for its silence, or another was quicker that was sent for the same reason.
-            Outcome::Cancelled if (!c.done || now >= o.beaten) && !o.counted => self.blame(now, &o),
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled if (!c.request_done || now >= o.beaten) && !o.counted => self.blame(now, &o),
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if let Some(cpu) = self.settings.columns.cpu.filter(|i| *i < usize::from(c.report.n.min(4))) {
+        if let Some(cpu) = self.settings.columns.cpu.filter(|i| *i < usize::from(c.report.count.min(4))) {
             let used = (c.report.values[cpu].clamp(0.0, 1.0) * 255.0) as u32;
             if let Some(zone) = self.list.get(&o.member).map(|e| e.zone) {
                 let (sum, n) = self.bucket(now).busy.entry(zone).or_default();
@@ -379,7 +380,7 @@
     /// The newest start among a zone's members, of those that take requests.
     pub fn newest(&self, zone: u16) -> Option<Micros> {
         let of = self.list.values().filter(|e| e.zone == zone && e.state == Lifecycle::Ready);
-        of.map(|e| e.since).filter(|s| *s > 0).max()
+        of.map(|e| e.started_at).filter(|s| *s > 0).max()
     }
 }
 
@@ -401,7 +402,7 @@
 impl Shed {
     fn new(s: &Settings) -> Shed {
         let mut order: Vec<usize> = (0..s.classes.len()).collect();
-        order.sort_by(|a, b| s.classes[*a].worth.total_cmp(&s.classes[*b].worth).then(a.cmp(b)));
+        order.sort_by(|a, b| s.classes[*a].value.total_cmp(&s.classes[*b].value).then(a.cmp(b)));
         Shed { asked: vec![0.0; s.classes.len()], order, ..Shed::default() }
     }
 
--- a/core/tests/left.rs
+++ b/core/tests/left.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
 use threadward_core::{
-    Addr, Ask, Caches, Dispatch, End, Entry, ListForm, Micros, Planner, Progress, Settings, Terms,
+    Addr, Ask, Caches, Dispatch, End, Entry, ListForm, Micros, Planner, Progress, RequestPolicy, Settings,
 };
 
 const MS: Micros = 1_000;
@@ -22,13 +22,14 @@
 }
 
 /// Attempts that were begun, where the first one ends so or stays out, and the client leaves 90 ms after it began or not.
-fn begun(terms: Terms, end: Option<End>, leaves: bool) -> usize {
-    let class = nickelgate::Class { aim: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
+fn begun(terms: RequestPolicy, end: Option<End>, leaves: bool) -> usize {
+    let class =
+        nickelgate::Class { target_latency: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
     let class = nickelgate::Class { effect: nickelgate::Effect::Retryable, ..class };
     let s = Settings {
         classes: vec![class],
         cancel: true,
-        parallel: true,
+        parallel_attempts: true,
         max_attempts: 2,
         ..Settings::default()
     };
@@ -57,8 +58,8 @@
 #[test]
 fn nothing_is_begun_for_a_client_that_left_while_its_request_waited() {
     let (pause, second) = (100 * MS, 100 * MS);
-    let paused = Terms { pause, ..Terms::default() };
-    let copied = Terms { second, ..Terms::default() };
+    let paused = RequestPolicy { retry_delay: pause, ..RequestPolicy::default() };
+    let copied = RequestPolicy { hedge_after: second, ..RequestPolicy::default() };
     let broke = || Some(End::Broke(Progress::NotConnected));
     assert_eq!(
         (begun(paused, broke(), false), begun(paused, broke(), true)),
@@ -67,7 +68,7 @@
     );
     assert_eq!((begun(copied, None, false), begun(copied, None, true)), (2, 1), "a second copy");
     assert_eq!(
-        (begun(Terms::default(), None, false), begun(Terms::default(), None, true)),
+        (begun(RequestPolicy::default(), None, false), begun(RequestPolicy::default(), None, true)),
         (2, 1),
         "silence"
     );
--- a/core/tests/stages.rs
+++ b/core/tests/stages.rs
@@ -7,5 +7,5 @@
 fn what_a_client_states_reaches_the_router() {
     let ask = Ask { kbytes: 412.5, part: 7, group: 3, object: 9, due: 1_000, ..Ask::default() };
     let r = take_in::request(4, &Settings::default(), &ask);
-    assert_eq!((r.id, r.kbytes, r.part, r.group, r.object, r.due), (4, 412.5, 7, 3, 9, 1_000));
+    assert_eq!((r.id, r.size_kb, r.part, r.group, r.object, r.expires_at), (4, 412.5, 7, 3, 9, 1_000));
 }
--- a/core/tests/withdrawn.rs
+++ b/core/tests/withdrawn.rs
@@ -30,8 +30,15 @@
 
 /// A planner whose first attempt has just been withdrawn because its cache is silent.
 fn silent(parallel: bool) -> (Planner, Rc<RefCell<Seen>>, u64, Micros) {
-    let class = nickelgate::Class { aim: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
-    let s = Settings { classes: vec![class], cancel: true, parallel, max_attempts: 6, ..Settings::default() };
+    let class =
+        nickelgate::Class { target_latency: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
+    let s = Settings {
+        classes: vec![class],
+        cancel: true,
+        parallel_attempts: parallel,
+        max_attempts: 6,
+        ..Settings::default()
+    };
     let seen = Rc::new(RefCell::new(Seen::default()));
     let limits = Limits { open: 10, bytes: 1 << 20, pause: 0 };
     let mut p = Planner::new(s, 1, limits, Box::new(Way(seen.clone())));
--- a/core/tests/zoned.rs
+++ b/core/tests/zoned.rs
@@ -43,24 +43,24 @@
 /// Two caches of the own zone 0, and two of a hub in zones 1 and 2 each, the second of zone 1 draining.
 fn world() -> World {
     let class = |worth| nickelgate::Class {
-        aim: 200 * MS,
+        target_latency: 200 * MS,
         deadline: 4_000 * MS,
-        worth,
+        value: worth,
         ..nickelgate::Class::default()
     };
     let s = Settings {
         classes: vec![class(2.0), class(1.0)],
         parent_kind: Some(1),
-        cold_from: 0.2,
-        cold: 10_000 * MS,
-        parent_cold_from: 0.1,
-        parent_cold: 10_000 * MS,
-        fall_multiple: 2.0,
-        parent_fall_multiple: 2.0,
-        fall: 2_000 * MS,
+        cold_start_share: 0.2,
+        cold_period: 10_000 * MS,
+        parent_cold_start_share: 0.1,
+        parent_cold_period: 10_000 * MS,
+        overload_multiple: 2.0,
+        parent_overload_multiple: 2.0,
+        overload_tolerance: 2_000 * MS,
         cancel: true,
-        parallel: true,
-        notes_all: true,
+        parallel_attempts: true,
+        all_notes_reported: true,
         max_attempts: 6,
         ..Settings::default()
     };
@@ -149,7 +149,7 @@
     }
     let after = w.tried(300)[1];
     assert!(after * 3 > warm * 2, "{after} of {warm} after the cold time");
-    let young = Entry { since: w.now, ..parent(1, 1) };
+    let young = Entry { started_at: w.now, ..parent(1, 1) };
     w.planner.members(w.now, ListForm::Delta, vec![young]);
     w.planner.follow_zones(w.now, &[Use::All, Use::Tried, Use::All], 0);
     let tried = w.tried(100)[1];
@@ -182,9 +182,9 @@
         member,
         outcome,
         elapsed,
-        done: false,
+        request_done: false,
         note: Note::None,
-        waited: 0,
+        source_wait: 0,
         report: Report::default(),
     };
     z.sent(T0, (1, 0), 0, cache(1).addr, parent(1, 1).addr);
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -57,7 +57,7 @@
         Ok(Addr { ip: self.take(at)?, port: self.u16(at + 4)? })
     }
     fn report(&self, at: usize) -> Result<Report, WireError> {
-        let mut r = Report { n: self.u8(at)?.min(4), values: [0.0; 4] };
+        let mut r = Report { count: self.u8(at)?.min(4), values: [0.0; 4] };
         for (i, v) in r.values.iter_mut().enumerate() {
             *v = self.f32(at + 1 + 4 * i)?;
         }
@@ -100,7 +100,7 @@
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         other => return bad(format!("unknown outcome {other}")),
     })
 }
@@ -113,9 +113,9 @@
         4 => Note::Joined,
         5 => Note::Stale,
         6 => Note::SourceRefused,
-        7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoPlace,
+        7 => Note::SourceFailed,
+        8 => Note::SourceMiss,
+        9 => Note::FillSlotsFull,
         10 => Note::OriginFailed,
         _ => Note::None,
     }
@@ -125,7 +125,7 @@
     Ok(Entry {
         zone: b.u16(0)?,
         addr: b.addr(2)?,
-        since: b.u64(8)?,
+        started_at: b.u64(8)?,
         incarnation: b.u64(8)?,
         cell: b.u16(16)?,
         weight: b.f32(18)?,
@@ -169,24 +169,24 @@
             class: rec.u8(11)?,
             tenant: rec.u16(12)?,
             object: rec.u64(14)?,
-            due: rec.u64(22)?,
-            kbytes: rec.f32(30)?,
+            expires_at: rec.u64(22)?,
+            size_kb: rec.f32(30)?,
             group: rec.f32(34)? as u16,
             part: rec.f32(38)? as u32,
-            repeat: rec.u8(42)? & 2 != 0,
+            marked_retry: rec.u8(42)? & 2 != 0,
             write: rec.u8(42)? & 4 != 0,
             ..Request::default()
         }),
-        4 => Event::Started { request: rec.u64(3)?, attempt: rec.u16(11)? },
+        4 => Event::StreamStarted { request: rec.u64(3)?, attempt: rec.u16(11)? },
         5 => Event::Completed(Completed {
             request: rec.u64(3)?,
             attempt: rec.u16(11)?,
             member: rec.addr(13)?,
             outcome: outcome(rec.u16(19)?)?,
             elapsed: u64::from(rec.u32(21)?),
-            done: rec.u8(25)? != 0,
+            request_done: rec.u8(25)? != 0,
             note: note(rec.u32(26)?),
-            waited: u64::from(rec.u32(30)?),
+            source_wait: u64::from(rec.u32(30)?),
             report: rec.report(34)?,
         }),
         6 => Event::Expired(rec.u64(3)?),
--- a/drill/tests/codec.rs
+++ b/drill/tests/codec.rs
@@ -118,7 +118,7 @@
 #[test]
 fn settings_are_read_leniently_but_must_be_an_object() {
     let s = parse_settings(SETTINGS.as_bytes()).expect("good");
-    assert_eq!((s.parent_kind, s.origin_kind, s.max_attempts, s.joins), (Some(2), Some(3), 6, true));
+    assert_eq!((s.parent_kind, s.origin_kind, s.max_attempts, s.fill_joining), (Some(2), Some(3), 6, true));
     assert_eq!(s.classes.len(), 1);
     assert!(parse_settings(b"{}").is_ok());
     assert_eq!(parse_settings(br#"{"family_info": {"mid_kind": -1}}"#).expect("good").parent_kind, None);
@@ -128,9 +128,15 @@
         "one_flow_kb_per_s": 1e-300}, "limits": {"most_tries": 1e300}}"#;
     let s = parse_settings(odd.as_bytes()).expect("good");
     let c = &s.classes[0];
-    assert_eq!((s.tick, c.aim, c.deadline), (1_000_000_000_000, 1_000_000_000_000, 1_000_000_000_000));
-    assert_eq!((c.worth, c.dedup_window, c.fresh), (0.0, 3_000_000, 8_000_000));
-    assert_eq!((s.parent_kind, s.origin_kind, s.max_attempts, s.flow_kb_per_s), (Some(1), None, 1_000, 0.0));
+    assert_eq!(
+        (s.min_event_interval, c.target_latency, c.deadline),
+        (1_000_000_000_000, 1_000_000_000_000, 1_000_000_000_000)
+    );
+    assert_eq!((c.value, c.dedup_window, c.fresh_for), (0.0, 3_000_000, 8_000_000));
+    assert_eq!(
+        (s.parent_kind, s.origin_kind, s.max_attempts, s.transfer_kb_per_s),
+        (Some(1), None, 1_000, 0.0)
+    );
     assert!(s.routers_by_zone.iter().try_fold(0u32, |sum, n| sum.checked_add(*n)).is_some());
     for bad in [&b"[1]"[..], b"{\"zone\": ", b"", b"\xff\xfe"] {
         assert!(parse_settings(bad).is_err());
--- a/gossip/src/belief.rs
+++ b/gossip/src/belief.rs
@@ -101,22 +101,22 @@
 /// What each witness says at present, its credit, and what follows from that. Peers are told by their place in the file.
 ///
 /// ```
-/// use nickelgate::{Addr, Role, Standing};
+/// use nickelgate::{Addr, Role, MemberHealth};
 /// use threadward_gossip::belief::{Belief, Quorum};
 /// use threadward_gossip::evidence::Evidence;
 /// use threadward_gossip::wire::{Claim, Kind};
 ///
 /// let hub = |n| Addr { ip: [10, 0, 0, n], port: 80 };
-/// let seen = |n| Standing {
+/// let seen = |n| MemberHealth {
 ///     member: hub(n),
 ///     incarnation: 0,
 ///     role: Role::Parent,
 ///     strikes: 0,
 ///     skipped: false,
-///     failed: 0,
-///     why: None,
-///     good: 0,
-///     helped: 0,
+///     last_failed_at: 0,
+///     last_failure: None,
+///     last_good_at: 0,
+///     suspicion_skips: 0,
 /// };
 /// let (mut own, mut b) = (Evidence::default(), Belief::default());
 /// own.update(0, &[seen(1), seen(2)]);
@@ -128,7 +128,7 @@
 /// b.hear(1_000_000, 2, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q)[0].believed);
 /// // An own good answer outranks them, and costs them credit.
-/// own.update(1_500_000, &[Standing { good: 1_500_000, ..seen(1) }, seen(2)]);
+/// own.update(1_500_000, &[MemberHealth { last_good_at: 1_500_000, ..seen(1) }, seen(2)]);
 /// b.judge(1_500_000, &own);
 /// assert!(!b.evaluate(1_500_000, &own, q)[0].believed && b.credit(1) < b.credit(3));
 /// ```
@@ -287,7 +287,7 @@
 mod tests {
     use super::*;
     use crate::wire::Kind;
-    use nickelgate::{Outcome, Standing};
+    use nickelgate::{MemberHealth, Outcome};
 
     const S: Micros = 1_000_000;
 
@@ -295,19 +295,19 @@
         Addr { ip: [10, 0, 0, n], port: 1 }
     }
 
-    fn standing(n: u8, failed: Micros, good: Micros) -> Standing {
+    fn standing(n: u8, failed: Micros, good: Micros) -> MemberHealth {
         let why = Some(Outcome::Timeout);
         let (strikes, skipped) = (u32::from(failed > good), false);
-        Standing {
+        MemberHealth {
             member: hub(n),
             incarnation: 0,
             role: Role::Parent,
             strikes,
             skipped,
-            failed,
-            why,
-            good,
-            helped: 0,
+            last_failed_at: failed,
+            last_failure: why,
+            last_good_at: good,
+            suspicion_skips: 0,
         }
     }
 
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -2,7 +2,7 @@
 //! of own failures and the short memory of own good answers. It must never take in hearsay: a skip that a rumour
 //! helped is told with the own failures behind it, no more.
 use crate::wire::{self, Claim, Kind, CLAIMS, UNIT};
-use nickelgate::{Addr, Micros, Outcome, Role, Standing};
+use nickelgate::{Addr, MemberHealth, Micros, Outcome, Role};
 use std::collections::BTreeMap;
 
 /// After this a failure says nothing any more; a skip lasts as long.
@@ -31,7 +31,7 @@
 }
 
 impl Seen {
-    fn new(s: &Standing) -> Seen {
+    fn new(s: &MemberHealth) -> Seen {
         Seen {
             incarnation: s.incarnation,
             role: s.role,
@@ -40,36 +40,36 @@
             strength: 0,
             kind: Kind::Silent,
             skipped: false,
-            helped: s.helped,
+            helped: s.suspicion_skips,
             goods: 0,
             step: 0,
         }
     }
-    fn take(&mut self, s: &Standing) {
+    fn take(&mut self, s: &MemberHealth) {
         self.role = s.role;
-        if s.good > self.good {
-            let step = s.good / STEP;
+        if s.last_good_at > self.good {
+            let step = s.last_good_at / STEP;
             self.goods = u32::try_from(step.saturating_sub(self.step))
                 .map_or(0, |n| self.goods.checked_shl(n).unwrap_or(0))
                 | 1;
-            (self.step, self.good) = (step, s.good);
+            (self.step, self.good) = (step, s.last_good_at);
         }
-        if s.failed > self.failed {
+        if s.last_failed_at > self.failed {
             // Failures count as a row until an own good answer comes between.
             let row = if self.good >= self.failed { 0 } else { self.strength };
             self.strength = (row + 1).min(3);
-            self.failed = s.failed;
-            self.kind = match s.why {
+            self.failed = s.last_failed_at;
+            self.kind = match s.last_failure {
                 Some(Outcome::Reset) => Kind::Broken,
                 Some(Outcome::ConnectFailed) => Kind::Unreachable,
                 Some(Outcome::Timeout) | None => Kind::Silent,
                 Some(_) => Kind::Refusing,
             };
         }
-        if s.skipped && !self.skipped && s.helped == self.helped {
+        if s.skipped && !self.skipped && s.suspicion_skips == self.helped {
             self.strength = 3;
         }
-        (self.skipped, self.helped) = (s.skipped, s.helped);
+        (self.skipped, self.helped) = (s.skipped, s.suspicion_skips);
     }
     /// Whether it answered well at some time after `from` and not after `to`, as far as that is remembered.
     pub fn good_between(&self, from: Micros, to: Micros) -> bool {
@@ -94,25 +94,25 @@
 /// What own traffic showed of all members, and what is to be told of them.
 ///
 /// ```
-/// use nickelgate::{Addr, Outcome, Role, Standing};
+/// use nickelgate::{Addr, Outcome, Role, MemberHealth};
 /// use threadward_gossip::{evidence::Evidence, wire::Kind};
 ///
-/// let s = Standing {
+/// let s = MemberHealth {
 ///     member: Addr { ip: [10, 0, 0, 1], port: 80 },
 ///     incarnation: 0,
 ///     role: Role::Parent,
 ///     strikes: 1,
 ///     skipped: false,
-///     failed: 2_000_000,
-///     why: Some(Outcome::ConnectFailed),
-///     good: 1_000_000,
-///     helped: 0,
+///     last_failed_at: 2_000_000,
+///     last_failure: Some(Outcome::ConnectFailed),
+///     last_good_at: 1_000_000,
+///     suspicion_skips: 0,
 /// };
 /// let mut own = Evidence::default();
 /// assert!(own.update(2_000_000, &[s]), "there is something to tell");
 /// let claims = own.claims(2_300_000);
 /// assert_eq!((claims[0].kind, claims[0].strength, claims[0].age), (Kind::Unreachable, 1, 30));
-/// assert!(own.update(2_400_000, &[Standing { good: 2_400_000, ..s }]));
+/// assert!(own.update(2_400_000, &[MemberHealth { last_good_at: 2_400_000, ..s }]));
 /// assert!(own.claims(2_400_000).is_empty(), "it answered");
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -124,7 +124,7 @@
 
 impl Evidence {
     /// Takes in the present standings, all of them; true where what is to be told has changed.
-    pub fn update(&mut self, now: Micros, standings: &[Standing]) -> bool {
+    pub fn update(&mut self, now: Micros, standings: &[MemberHealth]) -> bool {
         self.members
             .retain(|a, seen| standings.iter().any(|s| s.member == *a && s.incarnation == seen.incarnation));
         for s in standings {
@@ -170,19 +170,19 @@
 mod tests {
     use super::*;
 
-    fn standing(failed: Micros, good: Micros, skipped: bool, helped: u32) -> Standing {
+    fn standing(failed: Micros, good: Micros, skipped: bool, helped: u32) -> MemberHealth {
         let member = Addr { ip: [9; 4], port: 9 };
         let why = Some(Outcome::Reset);
-        Standing {
+        MemberHealth {
             member,
             incarnation: 0,
             role: Role::Parent,
             strikes: 0,
             skipped,
-            failed,
-            why,
-            good,
-            helped,
+            last_failed_at: failed,
+            last_failure: why,
+            last_good_at: good,
+            suspicion_skips: helped,
         }
     }
 
@@ -206,7 +206,7 @@
         assert_eq!(e.claims(14 * s)[0].strength, 3, "a skip of its own");
         assert!(e.update(20 * s, &[standing(14 * s, 13 * s, true, 1)]), "too old");
         e.update(21 * s, &[standing(21 * s, 13 * s, true, 1)]);
-        e.update(22 * s, &[Standing { incarnation: 5, ..standing(0, 0, false, 0) }]);
+        e.update(22 * s, &[MemberHealth { incarnation: 5, ..standing(0, 0, false, 0) }]);
         assert!(e.claims(22 * s).is_empty(), "a later life of the member");
     }
 
--- a/gossip/src/instance.rs
+++ b/gossip/src/instance.rs
@@ -11,7 +11,7 @@
 use crate::members::{Members, State};
 use crate::settings::{checked, Settings};
 use crate::told::{News, Out, Tally};
-use nickelgate::{Addr, Micros, Standing};
+use nickelgate::{Addr, MemberHealth, Micros};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 use std::collections::VecDeque;
@@ -262,7 +262,7 @@
     }
 
     /// Takes in what own traffic shows of all members by now. Call it every 50 ms or so.
-    pub fn observe(&mut self, now: Micros, standings: &[Standing], out: &mut Out) {
+    pub fn observe(&mut self, now: Micros, standings: &[MemberHealth], out: &mut Out) {
         let now = self.forward(now);
         if self.evidence.update(now, standings) {
             // At once, unless one went out just now.
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -5,7 +5,7 @@
 //! design, `docs/operate-gossip.md` is for operators. All times are microseconds on the caller's clock.
 //!
 //! ```
-//! use nickelgate::{Addr, Outcome, Role, Standing};
+//! use nickelgate::{Addr, Outcome, Role, MemberHealth};
 //! use std::net::SocketAddr;
 //! use threadward_gossip::{public, Doubt, Gossip, News, Out, PeerConfig, Settings};
 //!
@@ -25,16 +25,16 @@
 //!
 //! // Two hubs. From 12 s on, proxies 0 and 1 see the first one fail, three times in a row; proxy 2 asks it nothing.
 //! let hub = |n| Addr { ip: [10, 0, 0, n], port: 80 };
-//! let seen = |n, failed| Standing {
+//! let seen = |n, failed| MemberHealth {
 //!     member: hub(n),
 //!     incarnation: 0,
 //!     role: Role::Parent,
 //!     strikes: 0,
 //!     skipped: false,
-//!     failed,
-//!     why: Some(Outcome::Timeout),
-//!     good: 0,
-//!     helped: 0,
+//!     last_failed_at: failed,
+//!     last_failure: Some(Outcome::Timeout),
+//!     last_good_at: 0,
+//!     suspicion_skips: 0,
 //! };
 //! let mut news = Vec::new();
 //! for now in (0..13_000_000).step_by(50_000) {
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -149,13 +149,13 @@
                 true => Zone {
                     kind: Kind::Location,
                     region: z % self.hubs,
-                    cold: s.cold,
+                    cold: s.cold_period,
                     takers: if self.direct { hubs(None) } else { Vec::new() },
                 },
                 false => Zone {
                     kind: Kind::Hub,
                     region: z - self.locations,
-                    cold: s.parent_cold,
+                    cold: s.parent_cold_period,
                     takers: hubs(Some(z)),
                 },
             })
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -107,23 +107,29 @@
 /// The settings of the stand-in's installation: media and pages may be repeated, bookings not.
 pub fn settings(proxies: usize) -> Settings {
     let media = Class {
-        aim: 600 * MS,
-        aim_stretch: 1.6,
+        target_latency: 600 * MS,
+        target_stretch: 1.6,
         deadline: 6 * S,
-        worth: 2.0,
-        late_worth: 0.15,
+        value: 2.0,
+        late_value: 0.15,
         ..Class::default()
     };
-    let pages = Class { aim: 400 * MS, aim_stretch: 2.0, deadline: 2_500 * MS, worth: 1.0, ..media.clone() };
+    let pages = Class {
+        target_latency: 400 * MS,
+        target_stretch: 2.0,
+        deadline: 2_500 * MS,
+        value: 1.0,
+        ..media.clone()
+    };
     let bookings = Class {
-        aim: 800 * MS,
-        aim_stretch: 0.0,
+        target_latency: 800 * MS,
+        target_stretch: 0.0,
         deadline: 3 * S,
-        worth: 3.0,
-        late_worth: 0.0,
-        effect: Effect::Fragile,
-        group: DedupGroup::All,
-        pass_on: true,
+        value: 3.0,
+        late_value: 0.0,
+        effect: Effect::NotRetryable,
+        dedup_group: DedupGroup::All,
+        pass_through: true,
         ..Class::default()
     };
     Settings {
@@ -133,26 +139,26 @@
         parent_kind: Some(1),
         origin_kind: Some(2),
         siblings: Siblings::Any,
-        notes_all: true,
-        notes_hit: true,
-        flow_kb_per_s: 7_800.0,
-        weights: WeightSource::Rough,
-        purge_done: 6 * S,
+        all_notes_reported: true,
+        hits_reported: true,
+        transfer_kb_per_s: 7_800.0,
+        weight_source: WeightSource::Rough,
+        purge_complete_after: 6 * S,
         purge_grace: 300 * MS,
         drain_grace: S,
-        cold_from: 0.2,
-        cold: 17 * S,
-        fall_multiple: 2.5,
-        fall: 2 * S,
-        parent_cold_from: 0.06,
-        parent_cold: 21 * S,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_period: 17 * S,
+        overload_multiple: 2.5,
+        overload_tolerance: 2 * S,
+        parent_cold_start_share: 0.06,
+        parent_cold_period: 21 * S,
+        parent_overload_multiple: 2.0,
         max_attempts: 8,
-        parallel: true,
+        parallel_attempts: true,
         cancel: true,
         retry_after: true,
         max_retry_after: S,
-        tick: 2 * MS,
+        min_event_interval: 2 * MS,
         answer_slack: 8 * MS,
         reports_inline: true,
         ..Settings::default()
@@ -411,7 +417,7 @@
                 Event::Restart(member) => {
                     self.stores.remove(&member);
                     self.started.insert(member, (now, VecDeque::new()));
-                    self.list(member, |e| Entry { since: now, incarnation: now, ..e });
+                    self.list(member, |e| Entry { started_at: now, incarnation: now, ..e });
                 }
             }
         }
@@ -450,15 +456,17 @@
     /// the mean sending time of its class, than the multiple of what the cache can do by then; a tenth for chance.
     fn cold(&mut self, member: Addr, work: Micros) {
         let (now, s) = (self.queue.now, &self.settings);
-        let Some((from, sent)) = self.started.get_mut(&member).filter(|(from, _)| now < from + s.cold) else {
+        let Some((from, sent)) = self.started.get_mut(&member).filter(|(from, _)| now < from + s.cold_period)
+        else {
             return;
         };
         sent.push_back((now, work));
-        while sent.front().is_some_and(|(at, _)| at + s.fall < now) {
+        while sent.front().is_some_and(|(at, _)| at + s.overload_tolerance < now) {
             sent.pop_front();
         }
-        let share = s.cold_from + (1.0 - s.cold_from) * (now - *from) as f64 / s.cold as f64;
-        let most = 1.1 * s.fall_multiple * share * self.sc.flows * s.fall as f64;
+        let share =
+            s.cold_start_share + (1.0 - s.cold_start_share) * (now - *from) as f64 / s.cold_period as f64;
+        let most = 1.1 * s.overload_multiple * share * self.sc.flows * s.overload_tolerance as f64;
         let sum: Micros = sent.iter().map(|(_, w)| w).sum();
         if sum as f64 > most {
             self.report
@@ -470,7 +478,7 @@
     fn arrive(&mut self, i: usize, k: usize) {
         let (now, a) = (self.queue.now, &self.arrivals[i][k]);
         let class = &self.settings.classes[usize::from(a.class)];
-        self.asked += class.worth;
+        self.asked += class.value;
         self.report.requests += 1;
         let ask = Ask {
             call: format!("{i}-{k}").into(),
@@ -519,7 +527,8 @@
                     served += 1;
                     self.report.served += 1;
                     self.spent += took;
-                    self.earned += class.worth * if took <= class.aim { 1.0 } else { class.late_worth };
+                    self.earned +=
+                        class.value * if took <= class.target_latency { 1.0 } else { class.late_value };
                 }
                 Final::Refused { .. } => self.report.refused += 1,
                 Final::Failed => self.report.failed += 1,
@@ -608,10 +617,10 @@
             let troubled =
                 self.sc.troubles.iter().any(|t| t.0 == s.member && now >= t.2 && now < t.3 + 5 * S);
             if s.skipped && troubled {
-                self.proxies[i].skipped.entry(s.member).or_insert(s.failed);
+                self.proxies[i].skipped.entry(s.member).or_insert(s.last_failed_at);
             }
-            let before = self.proxies[i].helped.insert(s.member, s.helped).unwrap_or(0);
-            let more = s.helped - before;
+            let before = self.proxies[i].helped.insert(s.member, s.suspicion_skips).unwrap_or(0);
+            let more = s.suspicion_skips - before;
             if troubled {
                 self.report.helped += more;
             } else {
@@ -622,7 +631,8 @@
             let all = self.sc.talk == Talk::LiarAll;
             let accused = |m: Addr| m == hub(self.sc.hubs) || all;
             for s in standings.iter_mut().filter(|s| s.role == Role::Parent && accused(s.member)) {
-                (s.failed, s.good, s.skipped, s.why) = (now, 0, true, Some(Outcome::Timeout));
+                (s.last_failed_at, s.last_good_at, s.skipped, s.last_failure) =
+                    (now, 0, true, Some(Outcome::Timeout));
             }
         }
         self.talk(i, |g, now, out| g.observe(now, &standings, out));
--- a/lab/src/gossip_simulation.rs
+++ b/lab/src/gossip_simulation.rs
@@ -5,7 +5,7 @@
 use crate::event_queue::EventQueue;
 use crate::net::{Net, NetworkConditions};
 use crate::stream;
-use nickelgate::{Addr, Micros, Outcome, Role, Standing};
+use nickelgate::{Addr, MemberHealth, Micros, Outcome, Role};
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     /// How far its clock is ahead of the queue's.
     pub ahead: Micros,
     /// What its own traffic shows.
-    pub standings: Vec<Standing>,
+    pub standings: Vec<MemberHealth>,
     /// Whom it accuses of having just failed, whatever its traffic shows: a liar.
     pub accuses: Vec<Addr>,
     /// What it has reported so far.
@@ -82,17 +82,17 @@
 }
 
 /// A hub or cache as a standing that shows nothing wrong.
-pub fn well(member: Addr, role: Role) -> Standing {
-    Standing {
+pub fn well(member: Addr, role: Role) -> MemberHealth {
+    MemberHealth {
         member,
         incarnation: 0,
         role,
         strikes: 0,
         skipped: false,
-        failed: 0,
-        why: None,
-        good: 0,
-        helped: 0,
+        last_failed_at: 0,
+        last_failure: None,
+        last_good_at: 0,
+        suspicion_skips: 0,
     }
 }
 
@@ -241,7 +241,8 @@
                     let now = self.clock(i);
                     let mut shown = self.slots[i].standings.clone();
                     for s in shown.iter_mut().filter(|s| self.slots[i].accuses.contains(&s.member)) {
-                        (s.failed, s.skipped, s.why, s.good) = (now, true, Some(Outcome::Timeout), 0);
+                        (s.last_failed_at, s.skipped, s.last_failure, s.last_good_at) =
+                            (now, true, Some(Outcome::Timeout), 0);
                     }
                     let second = self.queue.now % 1_000_000 < OBSERVATION_INTERVAL;
                     let served = if second { self.served } else { 0 };
@@ -261,9 +262,9 @@
         let now = self.clock(i);
         for s in self.slots[i].standings.iter_mut().filter(|s| s.member == member) {
             if fails {
-                (s.failed, s.skipped, s.why) = (now, true, Some(Outcome::Timeout));
+                (s.last_failed_at, s.skipped, s.last_failure) = (now, true, Some(Outcome::Timeout));
             } else {
-                (s.good, s.skipped) = (now, false);
+                (s.last_good_at, s.skipped) = (now, false);
             }
         }
     }
--- a/lab/src/regions/arrivals.rs
+++ b/lab/src/regions/arrivals.rs
@@ -45,9 +45,9 @@
         let (now, arrival) = (self.queue.now, &self.arrivals[i][index]);
         let class = &self.settings.classes[usize::from(arrival.class)];
         self.report.requests += 1;
-        self.report.asked += class.worth;
+        self.report.asked += class.value;
         if self.touched(i, now) {
-            self.report.asked_hit += class.worth;
+            self.report.asked_hit += class.value;
         }
         let ask = Ask {
             call: format!("{i}-{index}").into(),
@@ -81,7 +81,7 @@
         if took > class.deadline + self.settings.answer_slack {
             self.report.broken.push(format!("request {index} of n{i} answered after {took} us"));
         }
-        let earned = class.worth * if took <= class.aim { 1.0 } else { class.late_worth };
+        let earned = class.value * if took <= class.target_latency { 1.0 } else { class.late_value };
         match last {
             Final::Served(_) => {
                 self.report.served += 1;
@@ -98,7 +98,7 @@
     /// Whether an outage touches this proxy's requests at that time: a hub's all, a location's those that stand there.
     fn touched(&self, i: usize, at: Micros) -> bool {
         self.day.outages.iter().any(|outage| {
-            let until = outage.to + self.settings.cold;
+            let until = outage.to + self.settings.cold_period;
             let affected =
                 outage.zone >= self.day.locations || usize::from(outage.zone) == self.day.stands(i);
             outage.harm != Harm::OneBad && affected && (outage.from..until).contains(&at)
--- a/lab/src/regions/outages.rs
+++ b/lab/src/regions/outages.rs
@@ -40,8 +40,11 @@
             let able = self.stand_ins[&member].able;
             self.stand_ins.insert(member, StandIn::started_anew(now, able));
         }
-        let all =
-            (0..self.day.of(zone)).map(|n| Entry { since: now, incarnation: now, ..self.day.entry(zone, n) });
+        let all = (0..self.day.of(zone)).map(|n| Entry {
+            started_at: now,
+            incarnation: now,
+            ..self.day.entry(zone, n)
+        });
         let list = all.filter(|entry| !self.leaving.contains_key(&entry.addr)).collect();
         self.list(zone, list);
     }
--- a/lab/src/regions/rules.rs
+++ b/lab/src/regions/rules.rs
@@ -55,8 +55,8 @@
         let share = self.warm_share(member, now);
         let is_hub = member.ip[1] == 2;
         let settings = &self.settings;
-        let multiple = if is_hub { settings.parent_fall_multiple } else { settings.fall_multiple };
-        let fall = settings.fall;
+        let multiple = if is_hub { settings.parent_overload_multiple } else { settings.overload_multiple };
+        let fall = settings.overload_tolerance;
         let cold = self.stand_ins.get_mut(&member).filter(|stand_in| stand_in.since > 0 && share < 1.0);
         let Some(stand_in) = cold else { return };
         stand_in.sent.push_back((now, units));
@@ -109,7 +109,7 @@
         let over = |outage: &&Outage| usize::from(outage.zone) == zone && outage.to <= now;
         if let Some(outage) = self.day.outages.iter().filter(over).max_by_key(|outage| outage.to) {
             let is_location = zone < usize::from(self.day.locations);
-            let cold = if is_location { self.settings.cold } else { self.settings.parent_cold };
+            let cold = if is_location { self.settings.cold_period } else { self.settings.parent_cold_period };
             self.report.returns.push((now - outage.to) as f64 / cold as f64);
         }
     }
--- a/lab/src/regions/stand_ins.rs
+++ b/lab/src/regions/stand_ins.rs
@@ -127,7 +127,7 @@
     fn answered(after: Micros, outcome: Outcome, note: Note, waited: Micros, busy: f32) -> Reply {
         let body = Payload { body: Body::part(vec![1], 0..1), tag: "t".into(), unchanged: false };
         let payload = (outcome == Outcome::Ok).then_some(body);
-        let report = Report { n: 1, values: [busy, 0.0, 0.0, 0.0] };
+        let report = Report { count: 1, values: [busy, 0.0, 0.0, 0.0] };
         Reply { after, end: End::Answered(Told { outcome, note, waited, report, payload }) }
     }
 }
@@ -197,7 +197,7 @@
         }
         if harm == Some(Harm::FailFast) {
             self.forget(attempt);
-            return Some(Reply::answered(10 * MS, Outcome::Error, Note::SourceLost, 5 * MS, busy));
+            return Some(Reply::answered(10 * MS, Outcome::Error, Note::SourceFailed, 5 * MS, busy));
         }
         self.check_cold(source, attempt.units);
         let Ok((wait, _)) = self.work(source, attempt.units) else {
@@ -253,8 +253,8 @@
     pub(super) fn warm_share(&self, member: Addr, now: Micros) -> f64 {
         let settings = &self.settings;
         let (from, span) = match member.ip[1] {
-            1 => (settings.cold_from, settings.cold),
-            2 => (settings.parent_cold_from, settings.parent_cold),
+            1 => (settings.cold_start_share, settings.cold_period),
+            2 => (settings.parent_cold_start_share, settings.parent_cold_period),
             _ => return 1.0,
         };
         let since = self.stand_ins.get(&member).map_or(0, |stand_in| stand_in.since);
--- a/lab/src/scale/discovery.rs
+++ b/lab/src/scale/discovery.rs
@@ -98,7 +98,7 @@
         let addr = Addr { ip: address.ip().octets(), port: address.port() };
         let weight = server.get("weight")?.as_f64()? as f32;
         let since = server.get("started_ms")?.as_u64()? * 1_000;
-        Some(Entry { addr, weight, since, incarnation: since, ..Entry::default() })
+        Some(Entry { addr, weight, started_at: since, incarnation: since, ..Entry::default() })
     };
     servers.iter().filter_map(entry).collect()
 }
@@ -136,10 +136,10 @@
 }
 
 fn new_planner(seed: u64) -> Planner {
-    let class = Class { aim: 600_000, deadline: 6 * SECOND, ..Class::default() };
+    let class = Class { target_latency: 600_000, deadline: 6 * SECOND, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
-        purge_done: 6 * SECOND,
+        purge_complete_after: 6 * SECOND,
         purge_grace: 300_000,
         max_attempts: 8,
         ..Settings::default()
--- a/lab/tests/cold.rs
+++ b/lab/tests/cold.rs
@@ -82,11 +82,11 @@
     let miss = d.from(0.1, 0.4);
     let hub = rate * miss * MEAN / d.from(0.4, 0.7) / hubs.iter().sum::<f64>();
     let class = |work: f64| Class {
-        aim: (work * 4e6) as Micros,
-        aim_stretch: 1.6,
+        target_latency: (work * 4e6) as Micros,
+        target_stretch: 1.6,
         deadline: 4 * S,
-        worth: work * 10.0,
-        late_worth: 0.2,
+        value: work * 10.0,
+        late_value: 0.2,
         ..Class::default()
     };
     let sized = d.one_in(2.0);
@@ -98,24 +98,24 @@
         parent_kind: Some(1),
         origin_kind: Some(2),
         direct: d.one_in(2.0),
-        joins: true,
-        notes_all: d.one_in(2.0),
-        notes_hit: true,
-        flow_kb_per_s: if sized { 5_000.0 } else { 0.0 },
-        weights,
-        purge_done: 6 * S,
+        fill_joining: true,
+        all_notes_reported: d.one_in(2.0),
+        hits_reported: true,
+        transfer_kb_per_s: if sized { 5_000.0 } else { 0.0 },
+        weight_source: weights,
+        purge_complete_after: 6 * S,
         drain_grace: S,
-        cold_from: d.from(0.1, 0.3),
-        cold: 17 * S,
-        fall_multiple: multiples[0] * loose,
-        fall: d.from(1.0, 3.0) as Micros * S,
-        parent_cold_from: d.from(0.06, 0.2),
-        parent_cold: 20 * S,
-        parent_fall_multiple: multiples[1] * loose,
+        cold_start_share: d.from(0.1, 0.3),
+        cold_period: 17 * S,
+        overload_multiple: multiples[0] * loose,
+        overload_tolerance: d.from(1.0, 3.0) as Micros * S,
+        parent_cold_start_share: d.from(0.06, 0.2),
+        parent_cold_period: 20 * S,
+        parent_overload_multiple: multiples[1] * loose,
         max_attempts: 6,
-        parallel: d.one_in(2.0),
+        parallel_attempts: d.one_in(2.0),
         cancel: true,
-        tick: 2 * MS,
+        min_event_interval: 2 * MS,
         answer_slack: 8 * MS,
         ..Settings::default()
     };
@@ -142,7 +142,7 @@
         rate,
         burst: if d.one_in(2.0) { 1.5 } else { 1.0 },
         miss,
-        cold: cold.map(|e| Entry { since: RESTART, ..*e }).collect(),
+        cold: cold.map(|e| Entry { started_at: RESTART, ..*e }).collect(),
         anew: if d.one_in(2.0) { d.from(0.1, 0.7) } else { 0.0 },
         shift: if d.one_in(3.0) { d.from(0.1, 0.5) } else { 0.0 },
         s,
@@ -230,15 +230,17 @@
     }
     fn ask(&mut self, i: usize, req: Request, tries: u8) {
         self.n += 1;
-        let req = Request { id: self.n, due: self.now + 4 * S, repeat: tries > 0, ..req };
+        let req = Request { id: self.n, expires_at: self.now + 4 * S, marked_retry: tries > 0, ..req };
         self.asked.insert(req.id, (req, tries, 0, false));
         self.event(i, Event::Request(req));
     }
     fn cold(&self, a: Addr) -> Option<f64> {
         let e = self.day.cold.iter().find(|e| e.addr == a).filter(|_| self.now >= RESTART)?;
         let s = &self.day.s;
-        let [from, span] =
-            [[s.cold_from, s.cold as f64], [s.parent_cold_from, s.parent_cold as f64]][usize::from(e.kind)];
+        let [from, span] = [
+            [s.cold_start_share, s.cold_period as f64],
+            [s.parent_cold_start_share, s.parent_cold_period as f64],
+        ][usize::from(e.kind)];
         Some(from + (1.0 - from) * ((self.now - RESTART) as f64 / span).min(1.0))
     }
     /// An attempt, or a fill, reaches a member: its time there, the longer the more of its capacity is taken.
@@ -257,7 +259,7 @@
         let (req, attempt) = (asked.0, asked.2);
         asked.2 += 1;
         let class = usize::from(req.class);
-        let work = f64::from(req.kbytes.max(1.0)) / 5_000.0;
+        let work = f64::from(req.size_kb.max(1.0)) / 5_000.0;
         let cold = self.cold(g.member).is_some();
         let miss = self.dice.next() < if cold { 0.6 } else { self.day.miss };
         let bad = self.dice.next();
@@ -267,7 +269,7 @@
             took += self.reach(g.source, class, work);
         }
         let (outcome, note) = match bad {
-            x if x < 0.02 => (Outcome::Refused, Note::NoPlace),
+            x if x < 0.02 => (Outcome::Refused, Note::FillSlotsFull),
             x if x < 0.03 => (Outcome::Reset, Note::None),
             _ if miss && !filled => (Outcome::Miss, Note::None),
             _ if filled => (Outcome::Ok, Note::Filled),
@@ -283,9 +285,9 @@
             member: g.member,
             outcome,
             elapsed,
-            done: outcome == Outcome::Ok,
+            request_done: outcome == Outcome::Ok,
             note,
-            waited: 0,
+            source_wait: 0,
             report: Report::default(),
         };
         let life = self.routers[i].1;
@@ -308,7 +310,7 @@
         let size = Dice(object.wrapping_mul(7919)).from(0.2, 1.8);
         let kbytes = (WORK[class] * size * 5_000.0) as f32;
         self.wanted += WORK[class];
-        self.ask(i, Request { class: class as u8, object, kbytes, ..Request::default() }, 0);
+        self.ask(i, Request { class: class as u8, object, size_kb: kbytes, ..Request::default() }, 0);
     }
     fn run(mut self, seed: u64) -> Fleet {
         self.share_out(self.day.shift);
@@ -335,7 +337,7 @@
                     if c.request == 0 || life != self.routers[i].1 {
                         continue;
                     }
-                    if c.done {
+                    if c.request_done {
                         if let Some((req, ..)) = self.asked.remove(&c.request) {
                             self.served += WORK[usize::from(req.class)];
                         }
@@ -345,7 +347,7 @@
                 Some(What::Cold) => {
                     let cold = self.day.cold.clone();
                     for e in self.list.iter_mut() {
-                        e.since = cold.iter().find(|c| c.addr == e.addr).map_or(0, |c| c.since);
+                        e.started_at = cold.iter().find(|c| c.addr == e.addr).map_or(0, |c| c.started_at);
                     }
                     for i in 0..self.day.routers {
                         self.event(i, Event::Members { form: ListForm::Delta, entries: cold.clone() });
@@ -379,7 +381,7 @@
     let day = day(routers, seed, loose, &mut dice);
     let what = format!(
         "{routers} routers, seed {seed}: {:?}, {} cold of kind {}, burst {}, anew {:.2}, shift {:.2}",
-        day.s.weights,
+        day.s.weight_source,
         day.cold.len(),
         day.cold[0].kind,
         day.burst,
@@ -407,18 +409,20 @@
     let mut worst: f64 = 0.0;
     for e in &f.day.cold {
         let multiple = f.day.multiples[usize::from(e.kind)];
-        let [from, span] =
-            [[s.cold_from, s.cold as f64], [s.parent_cold_from, s.parent_cold as f64]][usize::from(e.kind)];
+        let [from, span] = [
+            [s.cold_start_share, s.cold_period as f64],
+            [s.parent_cold_start_share, s.parent_cold_period as f64],
+        ][usize::from(e.kind)];
         let here: Vec<_> = f.reached.iter().filter(|r| r.0 == e.addr).collect();
         let (mut sum, mut first) = (0.0, 0);
         for r in &here {
             sum += r.2;
-            while here[first].1 + s.fall <= r.1 {
+            while here[first].1 + s.overload_tolerance <= r.1 {
                 sum -= here[first].2;
                 first += 1;
             }
             let share = from + (1.0 - from) * (here[first].1 - RESTART) as f64 / span;
-            let n = multiple * share * f.day.carries[&e.addr] / MEAN * s.fall as f64 / 1e6;
+            let n = multiple * share * f.day.carries[&e.addr] / MEAN * s.overload_tolerance as f64 / 1e6;
             worst = worst.max(sum / (n + 2.0 * n.sqrt() + 2.0));
         }
     }
--- a/lab/tests/gossip.rs
+++ b/lab/tests/gossip.rs
@@ -201,7 +201,7 @@
     assert!(!old.is_empty());
     for i in [1, 2] {
         g.kill(i);
-        g.slots[i].standings.iter_mut().for_each(|s| (s.failed, s.skipped) = (0, false));
+        g.slots[i].standings.iter_mut().for_each(|s| (s.last_failed_at, s.skipped) = (0, false));
     }
     g.run(500_000);
     for i in [1, 2] {
--- a/lab/tests/large.rs
+++ b/lab/tests/large.rs
@@ -48,11 +48,11 @@
 
 fn settings(c: Case) -> Settings {
     let class = |i: usize| Class {
-        aim: (WORK[i] * 3e6) as Micros,
-        aim_stretch: 1.6,
+        target_latency: (WORK[i] * 3e6) as Micros,
+        target_stretch: 1.6,
         deadline: DUE[i],
-        worth: 1.0 + i as f64,
-        late_worth: 0.2,
+        value: 1.0 + i as f64,
+        late_value: 0.2,
         ..Class::default()
     };
     Settings {
@@ -61,24 +61,24 @@
         routers_by_zone: vec![0, c.routers as u32],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        joins: true,
-        notes_all: c.notes,
-        notes_hit: true,
-        flow_kb_per_s: if c.told { 5_000.0 } else { 0.0 },
+        fill_joining: true,
+        all_notes_reported: c.notes,
+        hits_reported: true,
+        transfer_kb_per_s: if c.told { 5_000.0 } else { 0.0 },
         drain_grace: S,
-        cold_from: 0.2,
-        cold: 15 * S,
-        fall_multiple: 2.0,
-        fall: 2 * S,
-        parent_cold_from: 0.1,
-        parent_cold: 20 * S,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_period: 15 * S,
+        overload_multiple: 2.0,
+        overload_tolerance: 2 * S,
+        parent_cold_start_share: 0.1,
+        parent_cold_period: 20 * S,
+        parent_overload_multiple: 2.0,
         max_attempts: 6,
-        parallel: c.parallel,
+        parallel_attempts: c.parallel,
         cancel: true,
-        tick: 2 * MS,
+        min_event_interval: 2 * MS,
         answer_slack: 8 * MS,
-        columns: ReportColumns { cpu: Some(0), x1: Some(1), ..ReportColumns::default() },
+        columns: ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() },
         reports_inline: true,
         ..Settings::default()
     }
@@ -144,10 +144,10 @@
             member: g.member,
             outcome,
             elapsed,
-            done: outcome == Outcome::Ok,
+            request_done: outcome == Outcome::Ok,
             note,
-            waited: if filled { 30 * MS } else { 0 },
-            report: Report { n: 2, values },
+            source_wait: if filled { 30 * MS } else { 0 },
+            report: Report { count: 2, values },
         };
         self.queue.put(self.queue.now + elapsed, What::End(i, filled, c));
     }
@@ -166,7 +166,14 @@
         let kbytes = (WORK[class] * size * 5_000.0) as f32;
         self.event(
             i,
-            Event::Request(Request { id, class: class as u8, object, due, kbytes, ..Request::default() }),
+            Event::Request(Request {
+                id,
+                class: class as u8,
+                object,
+                expires_at: due,
+                size_kb: kbytes,
+                ..Request::default()
+            }),
         );
     }
 }
@@ -202,7 +209,7 @@
             What::Arrive => {}
             What::Timer(i, token) => p.event(i, Event::Timer(token)),
             What::Cold => {
-                let entries = vec![Entry { since: p.queue.now, ..list[0] }];
+                let entries = vec![Entry { started_at: p.queue.now, ..list[0] }];
                 for i in 0..c.routers {
                     p.event(i, Event::Members { form: ListForm::Delta, entries: entries.clone() });
                 }
--- a/lab/tests/terms.rs
+++ b/lab/tests/terms.rs
@@ -5,7 +5,7 @@
 use threadward_core::stages::admit::Limits;
 use threadward_core::{
     Ask, Body, Caches, Dispatch, End, Final, ListForm, Micros, Note, Outcome, Payload, Planner, Progress,
-    Report, Terms, Told,
+    Report, RequestPolicy, Told,
 };
 use threadward_lab::event_queue::EventQueue;
 use threadward_lab::fleet::{cache, hub, settings, ORIGIN, T0};
@@ -76,7 +76,7 @@
 }
 
 /// Plays one request whose attempts come to these ends; those after the last of them hang.
-fn play(class: u8, terms: Terms, fates: &[Fate]) -> Play {
+fn play(class: u8, terms: RequestPolicy, fates: &[Fate]) -> Play {
     let s = settings(1);
     let seen: Rc<RefCell<Seen>> = Rc::default();
     let limits = Limits { open: 10, bytes: usize::MAX, pause: MS };
@@ -137,7 +137,12 @@
         for pause in [0, 15 * MS, 400 * MS] {
             for second in [0, 25 * MS, 250 * MS] {
                 for patience in [0, 35 * MS] {
-                    let terms = Terms { attempts, patience, pause, second };
+                    let terms = RequestPolicy {
+                        attempt_limit: attempts,
+                        attempt_timeout: patience,
+                        retry_delay: pause,
+                        hedge_after: second,
+                    };
                     for class in [0, 2] {
                         // Three attempts in a row: what comes after hangs.
                         for n in 0..FATES.len().pow(3) {
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -807,7 +807,7 @@
         "not_here" => Outcome::Miss,
         "overload" => Outcome::Refused,
         "crashed" => Outcome::Error,
-        "nobody" => Outcome::Moot,
+        "nobody" => Outcome::NotSent,
         _ => return None,
     };
     let note = match wire::field(fields, "detail").unwrap_or("") {
@@ -817,9 +817,9 @@
         "COLLAPSED" => Note::Joined,
         "STALE" => Note::Stale,
         "UP_BUSY" => Note::SourceRefused,
-        "UP_DOWN" => Note::SourceLost,
-        "UP_MISS" => Note::SourceLacks,
-        "NO_FILL" => Note::NoPlace,
+        "UP_DOWN" => Note::SourceFailed,
+        "UP_MISS" => Note::SourceMiss,
+        "NO_FILL" => Note::FillSlotsFull,
         "ORIGIN_ERR" => Note::OriginFailed,
         _ => Note::None,
     };
@@ -846,7 +846,7 @@
         let at = columns.iter().position(|c| c == name).filter(|i| *i < 4);
         if let (Some(i), Ok(x)) = (at, value.parse::<f32>()) {
             report.values[i] = if x.is_finite() { x } else { 0.0 };
-            report.n = report.n.max(i as u8 + 1);
+            report.count = report.count.max(i as u8 + 1);
         }
     }
     report
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -134,7 +134,7 @@
     if let Some(i) = s.classes.iter().position(|c| c.deadline == 0) {
         return Err(format!("'settings': 'classes', entry {i}: 'hard_limit' is missing or not over 0"));
     }
-    if s.classes.iter().all(|c| c.deadline <= s.tick) {
+    if s.classes.iter().all(|c| c.deadline <= s.min_event_interval) {
         return Err("'settings': 'tick' is as long as every class's 'hard_limit'".into());
     }
     Ok(())
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use threadward_core::{Ask, Counter, Final, Micros, Terms};
+use threadward_core::{Ask, Counter, Final, Micros, RequestPolicy};
 
 /// Requests that may be open on one connection.
 const OPEN: usize = 32;
@@ -401,7 +401,7 @@
         key,
         tag: plain("etag")?,
         body: body.to_vec(),
-        terms: Terms::default(),
+        terms: RequestPolicy::default(),
     })
 }
 
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -173,7 +173,7 @@
             c.set(Counter::GossipWithheld, t.withheld);
             c.set(Counter::GossipConflicts, t.conflicts);
             // Members that have left the list take their count with them; the counter never falls.
-            let helped = standings.iter().map(|s| u64::from(s.helped)).sum::<u64>();
+            let helped = standings.iter().map(|s| u64::from(s.suspicion_skips)).sum::<u64>();
             c.set(Counter::GossipHelped, helped.max(c.get(Counter::GossipHelped)));
             DROPPED.iter().zip(t.dropped).for_each(|(counter, n)| c.set(*counter, n));
         });
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -67,7 +67,7 @@
             }
         };
         let s = &node.config.settings;
-        let warm = s.cold.max(s.parent_cold);
+        let warm = s.cold_period.max(s.parent_cold_period);
         let shift = Rc::new(Shift {
             node,
             ledger,
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -26,7 +26,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use threadward_core::{Ask, Counter, Final, Micros, Payload, Terms};
+use threadward_core::{Ask, Counter, Final, Micros, Payload, RequestPolicy};
 
 /// The attribute that carries the token (RFC 9246, section 3.3).
 const ATTRIBUTE: &str = "URISigningPackage";
@@ -513,8 +513,8 @@
     let Some((class, c)) = class.and_then(|i| Some((i, node.config.settings.classes.get(i)?))) else {
         return Some(response(404, &[], 0).into());
     };
-    if c.pass_on != w.write {
-        return Some(response(405, &[("Allow", if c.pass_on { "POST" } else { "GET" })], 0).into());
+    if c.pass_through != w.write {
+        return Some(response(405, &[("Allow", if c.pass_through { "POST" } else { "GET" })], 0).into());
     }
     if let Some(url) = f.gate.elsewhere(&pass) {
         node.count(Counter::LinksElsewhere);
@@ -540,7 +540,7 @@
         key: w.key.map(Into::into),
         tag: w.tag.map(Into::into),
         body,
-        terms: Terms::default(),
+        terms: RequestPolicy::default(),
     };
     let (slot, signal) = (Rc::new(RefCell::new(None)), Rc::new(Signal::default()));
     let (s, g) = (slot.clone(), signal.clone());
@@ -566,7 +566,7 @@
     leaving.number.set(None);
     let last = slot.borrow_mut().take()?;
     // Whatever came: not a byte of it goes out once the link has ended.
-    let tick = 2 * node.config.settings.tick.max(1_000);
+    let tick = 2 * node.config.settings.min_event_interval.max(1_000);
     if f.gate.expired(&pass, (f.clock)() + if matches!(last, Final::Served(_)) { 0 } else { tick }) {
         return Some(denied(node, Deny::Expired).into());
     }
--- a/node/src/start_times.rs
+++ b/node/src/start_times.rs
@@ -46,7 +46,7 @@
             let known = self.known.get(&server.id).filter(|(start, _)| *start == told);
             let since = known.map_or_else(|| point(told, unix, now, heard), |(_, since)| *since);
             self.known.insert(server.id.clone(), (told, since));
-            server.entry.since = since;
+            server.entry.started_at = since;
             server.entry.incarnation = incarnation(told);
         }
     }
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -37,7 +37,7 @@
     let zone = |z: usize| Zone {
         kind: if hub(z) { Kind::Hub } else { Kind::Location },
         region: if hub(z) { z as u16 } else { tied(z) },
-        cold: if hub(z) { s.parent_cold } else { s.cold },
+        cold: if hub(z) { s.parent_cold_period } else { s.cold_period },
         takers: if hub(z) || s.direct { hubs(z) } else { Vec::new() },
     };
     (0..names.zones.len()).map(zone).collect()
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -55,7 +55,7 @@
     let newer = text.replace("threadward-bans 1", "threadward-bans 2");
     assert_eq!(read_calls(&newer), Err("of another version of the program".into()));
     assert_eq!(read_calls("PRETTY_NAME=\"x\"\n"), Err("not a file of bans".into()));
-    let (classes, learned) = (["media".to_owned()], Learned { link: 0.5, ..Learned::default() });
+    let (classes, learned) = (["media".to_owned()], Learned { link_load: 0.5, ..Learned::default() });
     let text = write_learned(&classes, &learned);
     assert_eq!(read_learned(&classes, &text), Ok(learned));
     assert_eq!(read_learned(&["pages".to_owned()], &text), Err("of other classes".into()));
--- a/node/tests/gossip.rs
+++ b/node/tests/gossip.rs
@@ -3,7 +3,7 @@
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use common::*;
-use nickelgate::{Addr, Outcome, Role, Standing};
+use nickelgate::{Addr, MemberHealth, Outcome, Role};
 use std::cell::RefCell;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -91,18 +91,18 @@
         while let Ok((n, from)) = self.socket.recv_from(&mut buf) {
             self.gossip.receive(now(), from, &buf[..n], &mut out);
         }
-        let bad = |member: &Addr| Standing {
+        let bad = |member: &Addr| MemberHealth {
             member: *member,
             incarnation: 0,
             role: Role::Parent,
             strikes: 0,
             skipped: true,
-            failed: now(),
-            why: Some(Outcome::Timeout),
-            good: 0,
-            helped: 0,
+            last_failed_at: now(),
+            last_failure: Some(Outcome::Timeout),
+            last_good_at: 0,
+            suspicion_skips: 0,
         };
-        let shown: Vec<Standing> = self.accuses.iter().map(bad).collect();
+        let shown: Vec<MemberHealth> = self.accuses.iter().map(bad).collect();
         self.gossip.observe(now(), &shown, &mut out);
         self.gossip.tick(now(), &mut out);
         for (to, bytes) in out.send {
--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -96,10 +96,10 @@
 #[case("served", "detail=STALE,took=12.5,use=util:0.5;x0:0.25,version=ab", Outcome::Ok, Note::Stale)]
 #[case("still_good", "detail=HIT,version=ab", Outcome::Ok, Note::Hit)]
 #[case("served", "detail=MISS_ORIGIN", Outcome::Ok, Note::FilledOrigin)]
-#[case("not_here", "detail=UP_MISS", Outcome::Miss, Note::SourceLacks)]
-#[case("overload", "detail=NO_FILL", Outcome::Refused, Note::NoPlace)]
+#[case("not_here", "detail=UP_MISS", Outcome::Miss, Note::SourceMiss)]
+#[case("overload", "detail=NO_FILL", Outcome::Refused, Note::FillSlotsFull)]
 #[case("crashed", "detail=ORIGIN_ERR", Outcome::Error, Note::OriginFailed)]
-#[case("nobody", "-", Outcome::Moot, Note::None)]
+#[case("nobody", "-", Outcome::NotSent, Note::None)]
 fn cache_answers(#[case] word: &str, #[case] fields: &str, #[case] outcome: Outcome, #[case] note: Note) {
     let columns = ["cpu", "x1", "x0"].map(str::to_owned);
     let body: &[u8] = if word == "served" { b"body" } else { b"" };
@@ -108,7 +108,7 @@
     assert_eq!((&*id, told.outcome, told.note), ("9b1f", outcome, note));
     assert_eq!(told.payload.is_some(), outcome == Outcome::Ok);
     if fields.contains("use=") {
-        assert_eq!((told.waited, told.report.n, told.report.values), (12_500, 3, [0.5, 0.0, 0.25, 0.0]));
+        assert_eq!((told.waited, told.report.count, told.report.values), (12_500, 3, [0.5, 0.0, 0.25, 0.0]));
     }
 }
 
--- a/routes/src/check.rs
+++ b/routes/src/check.rs
@@ -103,8 +103,8 @@
 /// ```
 /// use threadward_routes::{check, terms::Set, At, Platform, Rule, Sheet, Terms, Wait};
 ///
-/// let class = nickelgate::Class { effect: nickelgate::Effect::Fragile, deadline: 3_000_000, ..Default::default() };
-/// let settings = nickelgate::Settings { classes: vec![class], parallel: true, max_attempts: 8, ..Default::default() };
+/// let class = nickelgate::Class { effect: nickelgate::Effect::NotRetryable, deadline: 3_000_000, ..Default::default() };
+/// let settings = nickelgate::Settings { classes: vec![class], parallel_attempts: true, max_attempts: 8, ..Default::default() };
 /// let platform = Platform { settings, classes: vec!["orders".into()], connect: 400_000 };
 /// let at = At { file: "routes".into(), line: 7, column: 3 };
 /// let second = Some(Set { value: Wait::After(200_000), at });
@@ -231,14 +231,17 @@
     fn terms(&mut self, class: usize, e: &Terms, who: &str) {
         let s = &self.platform.settings;
         let c = s.classes[class].clone();
-        let (parallel, connect) = (s.parallel, self.platform.connect);
+        let (parallel, connect) = (s.parallel_attempts, self.platform.connect);
         let attempts = e.attempts.as_ref().map_or(1, |a| a.value);
         let more = e.attempts.as_ref().filter(|a| a.value > 1);
-        if let Some(a) = more.filter(|_| c.effect == Effect::Fragile) {
+        if let Some(a) = more.filter(|_| c.effect == Effect::NotRetryable) {
             self.fault(Rule::Repeat, &a.at, format!("{who}: {attempts} attempts"));
         }
         if let Some(x) = &e.second {
-            if !parallel || c.effect == Effect::Fragile || c.pass_on && c.group != DedupGroup::All {
+            if !parallel
+                || c.effect == Effect::NotRetryable
+                || c.pass_through && c.dedup_group != DedupGroup::All
+            {
                 self.fault(Rule::Second, &x.at, format!("{who}: a second copy"));
             }
         }
@@ -285,7 +288,7 @@
         if let Some(x) = e.connect.as_ref().filter(|x| x.value > connect || x.value >= deadline) {
             self.fault(Rule::Connect, &x.at, format!("{who}: {} us, {connect} us at most", x.value));
         }
-        if let Some(x) = e.ageing.as_ref().filter(|x| x.value && (c.fresh == 0 || c.pass_on)) {
+        if let Some(x) = e.ageing.as_ref().filter(|x| x.value && (c.fresh_for == 0 || c.pass_through)) {
             self.fault(Rule::Ageing, &x.at, format!("{who}: an ageing copy"));
         }
     }
--- a/routes/tests/check.rs
+++ b/routes/tests/check.rs
@@ -16,22 +16,23 @@
 
 /// Media and pages may be repeated, pages age, bookings are keyed for 3 s, orders may not be repeated.
 fn platform() -> Platform {
-    let media = Class { deadline: 6000 * MS, aim: 600 * MS, ..Class::default() };
-    let pages = Class { deadline: 2500 * MS, fresh: 8000 * MS, ..media.clone() };
+    let media = Class { deadline: 6000 * MS, target_latency: 600 * MS, ..Class::default() };
+    let pages = Class { deadline: 2500 * MS, fresh_for: 8000 * MS, ..media.clone() };
     let bookings = Class {
         deadline: 4000 * MS,
         effect: Effect::Dedup,
-        group: DedupGroup::All,
+        dedup_group: DedupGroup::All,
         dedup_window: 3000 * MS,
-        pass_on: true,
+        pass_through: true,
         ..Class::default()
     };
-    let orders = Class { deadline: 3000 * MS, effect: Effect::Fragile, pass_on: true, ..Class::default() };
+    let orders =
+        Class { deadline: 3000 * MS, effect: Effect::NotRetryable, pass_through: true, ..Class::default() };
     Platform {
         settings: Settings {
             classes: vec![media, pages, bookings, orders],
             max_attempts: 8,
-            parallel: true,
+            parallel_attempts: true,
             ..Settings::default()
         },
         classes: ["media", "pages", "bookings", "orders"].map(String::from).to_vec(),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -24,7 +24,7 @@
     /// Carries a key; a group of members drops repeats for a while.
     Dedup,
     /// A repeat may do harm.
-    Fragile,
+    NotRetryable,
 }
 
 /// Which members drop the repeats of a keyed request.
@@ -69,33 +69,33 @@
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// The aim grows by this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     /// The client's whole patience, over all its tries.
     pub deadline: Micros,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat does.
     pub effect: Effect,
     /// Who drops repeats of a keyed request.
-    pub group: DedupGroup,
+    pub dedup_group: DedupGroup,
     /// For how long repeats are dropped, from the send of the first attempt that may have run.
     pub dedup_window: Micros,
     /// The answer is a stream.
     pub streaming: bool,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Micros,
+    pub fresh_for: Micros,
     /// How much older than fresh a copy may be when asked for.
-    pub grace: Micros,
+    pub max_staleness: Micros,
     /// Share of the worth that a copy past its fresh time earns.
-    pub stale_worth: f64,
+    pub stale_value: f64,
     /// Objects come in parts.
     pub in_parts: bool,
     /// Never kept: runs at the origin.
-    pub pass_on: bool,
+    pub pass_through: bool,
 }
 
 /// Places of the values of a load report, where they are told.
@@ -106,9 +106,9 @@
     /// Share of the processor in use.
     pub cpu: Option<usize>,
     /// The site's first figure (share of hits).
-    pub x0: Option<usize>,
+    pub hit_share: Option<usize>,
     /// The site's second figure (a cache: how full its location's link is).
-    pub x1: Option<usize>,
+    pub link_load: Option<usize>,
 }
 
 /// What a router is told when it starts.
@@ -129,41 +129,41 @@
     /// Caches that may be a source.
     pub siblings: Siblings,
     /// Caches can let a request join a fill under way.
-    pub joins: bool,
+    pub fill_joining: bool,
     /// Outcomes carry notes on fills and on failures.
-    pub notes_all: bool,
+    pub all_notes_reported: bool,
     /// Outcomes tell at least hits.
-    pub notes_hit: bool,
+    pub hits_reported: bool,
     /// KB a second at which one transfer to a client runs at most; 0: not told.
-    pub flow_kb_per_s: f64,
+    pub transfer_kb_per_s: f64,
     /// Weight kinds.
-    pub weights: WeightSource,
+    pub weight_source: WeightSource,
     /// After this time of a purge no old copy is left anywhere.
-    pub purge_done: Micros,
+    pub purge_complete_after: Micros,
     /// Grace of the purge rule.
     pub purge_grace: Micros,
     /// Grace of the drain rule.
     pub drain_grace: Micros,
     /// Share of its capacity at which a cache starts, or more.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// A cache is warm after this at the latest.
-    pub cold: Micros,
+    pub cold_period: Micros,
     /// Multiple of its present capacity that fells a cold cache.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// For how long it bears that.
-    pub fall: Micros,
+    pub overload_tolerance: Micros,
     /// The same for parents: the starting share.
-    pub parent_cold_from: f64,
+    pub parent_cold_start_share: f64,
     /// The time after which a parent is warm.
-    pub parent_cold: Micros,
+    pub parent_cold_period: Micros,
     /// The multiple that fells a cold parent.
-    pub parent_fall_multiple: f64,
+    pub parent_overload_multiple: f64,
     /// Multiple of what it can do at which the origin stops; 0: never.
-    pub origin_fall_multiple: f64,
+    pub origin_overload_multiple: f64,
     /// Attempts for one request, at most.
     pub max_attempts: u32,
     /// Two attempts of a request may be out at once.
-    pub parallel: bool,
+    pub parallel_attempts: bool,
     /// Attempts can be withdrawn.
     pub cancel: bool,
     /// Probes are allowed.
@@ -173,13 +173,13 @@
     /// The longest that they heed.
     pub max_retry_after: Micros,
     /// Clients mark their repeats.
-    pub marks_retry: bool,
+    pub retries_marked: bool,
     /// Changes of the list must be asked for.
-    pub on_request: bool,
+    pub list_on_request: bool,
     /// How old an unasked list may get there.
-    pub ask_every: Micros,
+    pub max_list_age: Micros,
     /// Shortest time between two batches of events.
-    pub tick: Micros,
+    pub min_event_interval: Micros,
     /// How late a final answer may be.
     pub answer_slack: Micros,
     /// Places of report values.
@@ -195,7 +195,7 @@
             k if k == self.origin_kind => Role::Origin,
             k if k == self.parent_kind => Role::Parent,
             _ if e.zone == self.zone => Role::Cache,
-            _ => Role::Elsewhere,
+            _ => Role::OtherLocation,
         }
     }
 }
@@ -224,7 +224,7 @@
     /// Its kind of machine.
     pub kind: u8,
     /// When it last started, on the clock of the events; 0: long ago.
-    pub since: Micros,
+    pub started_at: Micros,
     /// Tells one start of it from another; alike wherever the same start was told. 0: not told.
     pub incarnation: u64,
     /// Its weight; 0: not told.
@@ -238,7 +238,7 @@
 pub enum Role {
     /// Nothing: a cache of another location.
     #[default]
-    Elsewhere,
+    OtherLocation,
     /// A cache of the own location.
     Cache,
     /// A parent (hub cache).
@@ -249,7 +249,7 @@
 
 /// What a router's own traffic showed of a member: never what others said of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct MemberHealth {
     /// The member.
     pub member: Addr,
     /// Which start of it, as listed.
@@ -261,13 +261,13 @@
     /// It is being skipped.
     pub skipped: bool,
     /// When it last failed, and how; 0: never.
-    pub failed: Micros,
+    pub last_failed_at: Micros,
     /// How it last failed.
-    pub why: Option<Outcome>,
+    pub last_failure: Option<Outcome>,
     /// When it last answered, or filled, well; 0: never.
-    pub good: Micros,
+    pub last_good_at: Micros,
     /// Skips for which a rumour spared own failures.
-    pub helped: u32,
+    pub suspicion_skips: u32,
 }
 
 /// What a list holds.
@@ -285,15 +285,15 @@
 
 /// What operators set for a request; 0: nothing. The router takes the stricter of this and its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub struct Terms {
+pub struct RequestPolicy {
     /// Attempts, those that only looked for what is held not counted.
-    pub attempts: u32,
+    pub attempt_limit: u32,
     /// How long an attempt is waited for before silence counts against its member or source.
-    pub patience: Micros,
+    pub attempt_timeout: Micros,
     /// Time between the end of a failed attempt and the next one.
-    pub pause: Micros,
+    pub retry_delay: Micros,
     /// A second copy goes out when the first attempt has been out for so long, where the class allows it.
-    pub second: Micros,
+    pub hedge_after: Micros,
 }
 
 /// A client's request.
@@ -308,19 +308,19 @@
     /// The object asked for.
     pub object: u64,
     /// When the client gives up.
-    pub due: Micros,
+    pub expires_at: Micros,
     /// Size in KB; 0: not told.
-    pub kbytes: f32,
+    pub size_kb: f32,
     /// The object's purge group.
     pub group: u16,
     /// Which part of the object.
     pub part: u32,
     /// Marked by the client as a repeat.
-    pub repeat: bool,
+    pub marked_retry: bool,
     /// A write.
     pub write: bool,
     /// What operators set for it.
-    pub terms: Terms,
+    pub policy: RequestPolicy,
 }
 
 /// How an attempt or probe ended.
@@ -343,13 +343,13 @@
     /// Withdrawn; may have run.
     Cancelled,
     /// Not sent; never ran.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// It proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Miss | Outcome::Refused | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Miss | Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -372,11 +372,11 @@
     /// The source refused.
     SourceRefused,
     /// The source was not reached, broke off or ran out of time.
-    SourceLost,
+    SourceFailed,
     /// The source lacks the object.
-    SourceLacks,
+    SourceMiss,
     /// No place for a fill at the cache.
-    NoPlace,
+    FillSlotsFull,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -385,7 +385,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Report {
     /// How many values; 0: no report.
-    pub n: u8,
+    pub count: u8,
     /// The values.
     pub values: [f32; 4],
 }
@@ -404,11 +404,11 @@
     /// Time since it was sent.
     pub elapsed: Micros,
     /// The request is over.
-    pub done: bool,
+    pub request_done: bool,
     /// What is told of the copy or fill.
     pub note: Note,
     /// Time to the source's first byte or failure; 0: not told.
-    pub waited: Micros,
+    pub source_wait: Micros,
     /// A load report, if there is one.
     pub report: Report,
 }
@@ -428,7 +428,7 @@
     /// The client has left: no answer is owed.
     Expired(RequestId),
     /// A streamed answer has begun.
-    Started {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -457,13 +457,13 @@
         group: u16,
     },
     /// Other routers hold a member suspect, and enough of them for their word to count.
-    Rumour {
+    Suspected {
         /// The member.
         member: Addr,
         /// Which start of it they mean.
         incarnation: u64,
         /// For how long it counts from now; 0: it no longer does.
-        lasts: Micros,
+        valid_for: Micros,
     },
     /// A message from another router.
     Peer {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -2,7 +2,7 @@
 //! (CARP), what is known, the events, then the one function that sends.
 use crate::interface::*;
 pub mod learned;
-use learned::Pace;
+use learned::ClassStats;
 use std::collections::BTreeMap;
 
 /// How long a member is skipped after a failure, before one trial passes (the design page's default).
@@ -186,7 +186,7 @@
     }
     /// It was taken back unwritten, which says nothing of its member.
     fn unsent(&self) -> bool {
-        self.outcome == Some(Outcome::Moot)
+        self.outcome == Some(Outcome::NotSent)
     }
     fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
@@ -299,7 +299,7 @@
     timers: BTreeMap<u32, Timer>,
     next_token: u32,
     purged: BTreeMap<(u16, Option<u64>), Micros>,
-    pace: Vec<Pace>,
+    pace: Vec<ClassStats>,
     demand: [Rate; 2],
     retries: f64,
     known: [BTreeMap<u64, f64>; 2],
@@ -318,8 +318,14 @@
     /// A router that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let pace = settings.classes.iter().map(|c| {
-            let aim = c.aim.max(1) as f64;
-            Pace { work: aim / 2.0, wait: aim, dev: aim / 4.0, miss: MISS_PRIOR, ..Pace::default() }
+            let aim = c.target_latency.max(1) as f64;
+            ClassStats {
+                sending_time: aim / 2.0,
+                mean_wait: aim,
+                deviation: aim / 4.0,
+                miss_share: MISS_PRIOR,
+                ..ClassStats::default()
+            }
         });
         let own = settings.routers_by_zone.get(usize::from(settings.zone)).copied().unwrap_or(1);
         let sharing = [own, settings.routers_by_zone.iter().sum()].map(|n: u32| f64::from(n.max(1)));
@@ -327,7 +333,7 @@
     }
 
     /// So many processes of the same proxy live beside this one: all together keep to its budgets.
-    pub fn beside(&mut self, others: usize) {
+    pub fn set_sibling_processes(&mut self, others: usize) {
         self.beside = others as f64;
     }
 
@@ -335,22 +341,24 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.born.is_none() {
             (self.born, self.known_since) = (Some(now), now);
-            out.extend(self.s.on_request.then_some(Action::Track));
+            out.extend(self.s.list_on_request.then_some(Action::Track));
         }
         match event {
             Event::Members { form, entries } => self.on_members(form, &entries, out),
             Event::Request(req) => self.on_request(now, req, out),
             Event::Expired(id) => self.close(id, out),
-            Event::Started { request, .. } => drop(self.jobs.entry(request).and_modify(|j| j.open = false)),
+            Event::StreamStarted { request, .. } => {
+                drop(self.jobs.entry(request).and_modify(|j| j.open = false))
+            }
             Event::Completed(c) => self.on_completed(now, c, out),
             Event::Timer(token) => self.on_timer(now, token, out),
             Event::Purged { ago, object, group } => {
-                let keep = (self.s.purge_done as f64 * PURGE_MEMORY) as Micros;
+                let keep = (self.s.purge_complete_after as f64 * PURGE_MEMORY) as Micros;
                 self.purged.retain(|_, at| *at + keep > now);
                 let at = self.purged.entry((if object.is_some() { 0 } else { group }, object)).or_insert(0);
                 *at = (*at).max(now.saturating_sub(ago));
             }
-            Event::Rumour { member, incarnation, lasts } => {
+            Event::Suspected { member, incarnation, valid_for: lasts } => {
                 self.on_rumour(now, member, incarnation, lasts, out)
             }
             // A good one tells of the load, no more; a failed one is an own failure.
@@ -364,7 +372,7 @@
 
     fn on_members(&mut self, form: ListForm, entries: &[Entry], out: &mut Vec<Action>) {
         if form == ListForm::Failed {
-            return out.extend(self.s.on_request.then_some(Action::Track));
+            return out.extend(self.s.list_on_request.then_some(Action::Track));
         }
         if form != ListForm::Delta {
             self.members.retain(|a, _| entries.iter().any(|e| e.addr == *a));
@@ -373,10 +381,12 @@
             let role = self.s.role(e);
             let limit = Some(self.flows(e) * START_LIMIT).filter(|_| role == Role::Cache);
             let (hash, flow) = (member_hash(e.addr), Flow { limit, ..Flow::default() });
-            let fresh = Member { entry: *e, role, hash, tokens_at: e.since, flow, ..Member::default() };
+            let fresh = Member { entry: *e, role, hash, tokens_at: e.started_at, flow, ..Member::default() };
             match self.members.get_mut(&e.addr) {
                 _ if e.state == Lifecycle::Gone => drop(self.members.remove(&e.addr)),
-                Some(m) if (m.entry.since, m.entry.incarnation) == (e.since, e.incarnation) => m.entry = *e,
+                Some(m) if (m.entry.started_at, m.entry.incarnation) == (e.started_at, e.incarnation) => {
+                    m.entry = *e
+                }
                 _ => drop(self.members.insert(e.addr, fresh)),
             }
         }
@@ -390,14 +400,14 @@
 
     /// A member's weight; `live` weights change with the load and would reshuffle the objects.
     fn weight(&self, a: Addr) -> f64 {
-        let told = matches!(self.s.weights, WeightSource::Nominal | WeightSource::Rough);
+        let told = matches!(self.s.weight_source, WeightSource::Nominal | WeightSource::Rough);
         let w = self.members.get(&a).map_or(0.0, |m| f64::from(m.entry.weight));
         Some(w).filter(|&w| told && w > 0.0).unwrap_or(1.0)
     }
 
     /// The own part of the transfers that a member carries at full pace: a weight counts them, where told.
     fn flows(&self, e: &Entry) -> f64 {
-        let told = self.s.weights == WeightSource::Nominal && e.weight > 0.0;
+        let told = self.s.weight_source == WeightSource::Nominal && e.weight > 0.0;
         let sharing = self.sharing[usize::from(Some(e.kind) == self.s.parent_kind)];
         (if told { f64::from(e.weight) } else { START_FLOWS }) / sharing
     }
@@ -423,23 +433,23 @@
     /// Cold share of a member's capacity, if it started lately.
     fn cold_share(&self, m: &Member, now: Micros) -> Option<f64> {
         let (from, span) = match m.role {
-            Role::Parent => (self.s.parent_cold_from, self.s.parent_cold),
-            Role::Cache => (self.s.cold_from, self.s.cold),
+            Role::Parent => (self.s.parent_cold_start_share, self.s.parent_cold_period),
+            Role::Cache => (self.s.cold_start_share, self.s.cold_period),
             _ => return None,
         };
-        let age = now.saturating_sub(m.entry.since);
-        (m.entry.since > 0 && age < span).then(|| from + (1.0 - from) * age as f64 / span as f64)
+        let age = now.saturating_sub(m.entry.started_at);
+        (m.entry.started_at > 0 && age < span).then(|| from + (1.0 - from) * age as f64 / span as f64)
     }
 
     /// What a cold member's budget grows by in a microsecond: this router's usual traffic for it, times the
     /// multiple and the cold share. All routers doing so keep their sum within the rule.
     fn budget(&self, m: &Member, share: f64) -> f64 {
         let i = usize::from(m.role == Role::Parent);
-        let multiple = [self.s.fall_multiple, self.s.parent_fall_multiple][i];
+        let multiple = [self.s.overload_multiple, self.s.parent_overload_multiple][i];
         let usual = self.demand[i].peak * self.weight(m.entry.addr) / self.most_weight[i].max(1e-9);
-        let told = self.s.weights == WeightSource::Nominal && m.entry.weight > 0.0;
+        let told = self.s.weight_source == WeightSource::Nominal && m.entry.weight > 0.0;
         let usual = usual.min(if told { self.flows(&m.entry) } else { f64::MAX });
-        let untold = if self.s.weights == WeightSource::Off { UNTOLD_SIZE } else { 1.0 };
+        let untold = if self.s.weight_source == WeightSource::Off { UNTOLD_SIZE } else { 1.0 };
         usual * share * multiple * COLD_SAFETY * untold / (1.0 + self.beside)
     }
 
@@ -449,7 +459,7 @@
         let Some(m) = self.members.get(&a) else { return false };
         let Some(share) = self.cold_share(m, now) else { return true };
         let rate = self.budget(m, share);
-        let most = rate * self.s.fall as f64 * COLD_BURST;
+        let most = rate * self.s.overload_tolerance as f64 * COLD_BURST;
         let tokens = (m.tokens + rate * now.saturating_sub(m.tokens_at) as f64).min(most);
         let price = work.min(most);
         let full = tokens > 0.0 && tokens >= price;
@@ -482,8 +492,8 @@
     /// How far a request may go over the limit: the class of least worth for its work not at all.
     fn room(&self, req: &Request) -> f64 {
         let each = self.s.classes.iter().zip(&self.pace);
-        let least = each.map(|(c, p)| c.worth / p.work.max(1.0)).fold(f64::INFINITY, f64::min);
-        let worth = self.s.classes.get(usize::from(req.class)).map_or(0.0, |c| c.worth);
+        let least = each.map(|(c, p)| c.value / p.sending_time.max(1.0)).fold(f64::INFINITY, f64::min);
+        let worth = self.s.classes.get(usize::from(req.class)).map_or(0.0, |c| c.value);
         let own = worth / self.work(req).max(1.0) / least.max(1e-12);
         own.sqrt().clamp(1.0 / DEARER_ROOM, DEARER_ROOM)
     }
@@ -541,17 +551,17 @@
     }
 
     /// What own traffic showed of the members that this router uses, in the order of their addresses.
-    pub fn standings(&self) -> impl Iterator<Item = Standing> + '_ {
-        self.members.iter().filter(|(_, m)| m.role != Role::Elsewhere).map(|(a, m)| Standing {
+    pub fn member_health(&self) -> impl Iterator<Item = MemberHealth> + '_ {
+        self.members.iter().filter(|(_, m)| m.role != Role::OtherLocation).map(|(a, m)| MemberHealth {
             member: *a,
             incarnation: m.entry.incarnation,
             role: m.role,
             strikes: m.stuck,
             skipped: m.skip.is_some(),
-            failed: m.failed,
-            why: m.why,
-            good: m.good,
-            helped: m.helped,
+            last_failed_at: m.failed,
+            last_failure: m.why,
+            last_good_at: m.good,
+            suspicion_skips: m.helped,
         })
     }
 
@@ -562,13 +572,13 @@
             (self.known[1], self.known_since) = (std::mem::take(&mut self.known[0]), now);
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_BURST);
-        let last = req.due.saturating_sub(self.s.tick.max(1));
+        let last = req.expires_at.saturating_sub(self.s.min_event_interval.max(1));
         if now >= last || !self.send(now, id, out) {
             return self.answer(id, out);
         }
         self.wake(Timer::Deadline(id), last - now, out);
-        if req.terms.second > 0 && self.s.parallel {
-            self.wake(Timer::Second(id), req.terms.second, out);
+        if req.policy.hedge_after > 0 && self.s.parallel_attempts {
+            self.wake(Timer::Second(id), req.policy.hedge_after, out);
         }
     }
 
@@ -577,47 +587,50 @@
     }
 
     fn passes(&self, req: &Request) -> bool {
-        req.write || self.s.classes.get(usize::from(req.class)).is_some_and(|c| c.pass_on)
+        req.write || self.s.classes.get(usize::from(req.class)).is_some_and(|c| c.pass_through)
     }
 
     fn sized(&self, req: &Request) -> bool {
-        req.kbytes > 0.0 && self.s.flow_kb_per_s > 0.0
+        req.size_kb > 0.0 && self.s.transfer_kb_per_s > 0.0
     }
 
     /// Sending time of a request, as told, else as seen of the object, else of its class.
     fn work(&self, req: &Request) -> f64 {
         if self.sized(req) {
-            return f64::from(req.kbytes) / self.s.flow_kb_per_s * 1e6;
+            return f64::from(req.size_kb) / self.s.transfer_kb_per_s * 1e6;
         }
-        let mean = self.pace.get(usize::from(req.class)).map_or(1.0, |p| p.work);
+        let mean = self.pace.get(usize::from(req.class)).map_or(1.0, |p| p.sending_time);
         self.known(req.object).unwrap_or(mean)
     }
 
     /// The time in which it is wanted.
     fn wanted(&self, req: &Request) -> f64 {
         let class = self.class(req);
-        class.aim as f64 + class.aim_stretch * self.work(req)
+        class.target_latency as f64 + class.target_stretch * self.work(req)
     }
 
     /// How long an attempt without an answer counts to have waited for its source: where failures carry no
     /// notes it may have been a hit whose answer was lost, so that it is late counts, not by how much.
     fn unanswered(&self, wait: Micros, req: &Request) -> Micros {
-        wait.min(if self.s.notes_all { Micros::MAX } else { self.wanted(req) as Micros })
+        wait.min(if self.s.all_notes_reported { Micros::MAX } else { self.wanted(req) as Micros })
     }
 
     /// What an attempt costs a cold member: the mean of its class, as the rule counts it, and misses.
     fn cost(&self, req: &Request) -> (f64, f64) {
-        self.pace.get(usize::from(req.class)).map_or((1.0, 1.0), |p| (p.work, p.miss))
+        self.pace.get(usize::from(req.class)).map_or((1.0, 1.0), |p| (p.sending_time, p.miss_share))
     }
 
     /// How long an attempt may stay silent before the member or its source is looked at.
     fn patience(&self, req: &Request) -> Micros {
         let class = self.class(req);
-        let Some(p) = self.pace.get(usize::from(req.class)) else { return class.aim.max(1) };
-        let large = (self.work(req) / p.work.max(1.0)).max(1.0);
-        let wait = (p.wait + DEVIATIONS * p.dev) * large;
-        let own = wait.clamp(class.aim as f64 / 2.0, (class.deadline as f64 / 2.0).max(class.aim as f64));
-        Some(req.terms.patience).filter(|t| *t > 0).unwrap_or(Micros::MAX).min(own as Micros)
+        let Some(p) = self.pace.get(usize::from(req.class)) else { return class.target_latency.max(1) };
+        let large = (self.work(req) / p.sending_time.max(1.0)).max(1.0);
+        let wait = (p.mean_wait + DEVIATIONS * p.deviation) * large;
+        let own = wait.clamp(
+            class.target_latency as f64 / 2.0,
+            (class.deadline as f64 / 2.0).max(class.target_latency as f64),
+        );
+        Some(req.policy.attempt_timeout).filter(|t| *t > 0).unwrap_or(Micros::MAX).min(own as Micros)
     }
 
     /// How long an attempt is waited for before silence counts against its member or source.
@@ -634,11 +647,11 @@
 
     /// Oldest copy that will do: since the last purge of the object or its group, else as the class has it.
     fn age(&self, req: &Request, now: Micros) -> u32 {
-        let keep = (self.s.purge_done as f64 * PURGE_MEMORY) as Micros;
+        let keep = (self.s.purge_complete_after as f64 * PURGE_MEMORY) as Micros;
         let keys = [(0, Some(req.object)), (req.group, None)];
         let at = keys.iter().filter_map(|k| self.purged.get(k)).filter(|&&at| at + keep > now).max();
-        let since = at.map(|at| now.saturating_sub(*at).saturating_sub(self.s.tick).max(1));
-        let kept = Some(self.class(req).fresh).filter(|&f| f > 0 && at.is_some());
+        let since = at.map(|at| now.saturating_sub(*at).saturating_sub(self.s.min_event_interval).max(1));
+        let kept = Some(self.class(req).fresh_for).filter(|&f| f > 0 && at.is_some());
         u32::try_from(since.into_iter().chain(kept).min().unwrap_or(0)).unwrap_or(u32::MAX)
     }
 
@@ -653,7 +666,7 @@
         let Some(job) = self.jobs.get(&id) else { return false };
         let (req, class) = (job.req, self.class(&job.req));
         let outstanding = job.attempts.iter().filter(|a| a.outcome.is_none()).count();
-        if !job.open || self.spent(job, now) || outstanding > usize::from(self.s.parallel) {
+        if !job.open || self.spent(job, now) || outstanding > usize::from(self.s.parallel_attempts) {
             return false;
         }
         let ran = job.attempts.iter().find(|a| a.may_have_run()).map(|a| (a.place, a.sent));
@@ -682,12 +695,14 @@
         let tight = tight.filter(|o| source != member && source != o.entry.addr && !self.passes(&req));
         let held = tight.is_some_and(|o| !o.flow.admits(ask.room, now));
         let place = self.members.get(&member).map_or((0, 0), |m| (m.entry.zone, m.entry.cell));
-        let cell = |p: (u16, u16)| class.group == DedupGroup::Zone || p.1 == place.1;
-        let same = |p: (u16, u16)| class.group == DedupGroup::All || p.0 == place.0 && cell(p);
+        let cell = |p: (u16, u16)| class.dedup_group == DedupGroup::Zone || p.1 == place.1;
+        let same = |p: (u16, u16)| class.dedup_group == DedupGroup::All || p.0 == place.0 && cell(p);
         // Once an attempt may have run: keyed requests stay in their group and window, unsafe ones stop.
         let end = ran.map(|(first, sent)| match class.effect {
             Effect::Retryable => Micros::MAX,
-            Effect::Dedup if same(first) => sent.saturating_add(class.dedup_window) - self.s.tick.min(sent),
+            Effect::Dedup if same(first) => {
+                sent.saturating_add(class.dedup_window) - self.s.min_event_interval.min(sent)
+            }
             _ => 0,
         });
         let over = end.is_some_and(|end| now >= end);
@@ -721,8 +736,8 @@
             keep,
             age: self.age(&req, now),
             // A look at what is held must not wait on a fill under way: that fill may hang.
-            join: self.s.joins && !passes && !again && source != member,
-            renew: class.fresh > 0 && !passes,
+            join: self.s.fill_joining && !passes && !again && source != member,
+            renew: class.fresh_for > 0 && !passes,
             only_held: held,
             send_by: end.filter(|end| *end < Micros::MAX).unwrap_or(0),
             ..Get::default()
@@ -769,10 +784,10 @@
     fn again(&mut self, now: Micros, id: RequestId, free: bool, paused: bool, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|j| j.open) else { return };
         let waiting = job.attempts.iter().any(|a| a.outcome.is_none() && !a.revoked);
-        if waiting && (paused || !self.s.parallel) {
+        if waiting && (paused || !self.s.parallel_attempts) {
             return;
         }
-        let (pause, then) = (job.req.terms.pause, now + job.req.terms.pause);
+        let (pause, then) = (job.req.policy.retry_delay, now + job.req.policy.retry_delay);
         let may = self.retries >= 1.0 && self.harmless(job) && !self.spent(job, then);
         if pause > 0 && !free && !waiting && !paused {
             return if may { self.wake(Timer::Again(id), pause, out) } else { self.answer(id, out) };
@@ -786,14 +801,16 @@
     /// No further attempt may leave: too many have, or the time is up.
     fn spent(&self, job: &Job, now: Micros) -> bool {
         let tries = job.attempts.iter().filter(|a| !a.looked() && !a.unsent()).count();
-        let (most, all) = (job.req.terms.attempts as usize, self.s.max_attempts.max(1) as usize);
-        job.attempts.len() >= all || most > 0 && tries >= most || now + self.s.tick >= job.req.due
+        let (most, all) = (job.req.policy.attempt_limit as usize, self.s.max_attempts.max(1) as usize);
+        job.attempts.len() >= all
+            || most > 0 && tries >= most
+            || now + self.s.min_event_interval >= job.req.expires_at
     }
 
     /// Whether a repeat does no harm, whatever became of the attempts so far.
     fn harmless(&self, job: &Job) -> bool {
         let class = self.class(&job.req);
-        let dropped = class.effect == Effect::Dedup && class.group == DedupGroup::All;
+        let dropped = class.effect == Effect::Dedup && class.dedup_group == DedupGroup::All;
         let ran = job.attempts.iter().any(Attempt::may_have_run);
         !ran || dropped || class.effect == Effect::Retryable
     }
@@ -844,7 +861,7 @@
         self.learn(now, &c, &attempt, &req);
         let its = self.errors(attempt.source) > self.errors(attempt.member);
         let Some(job) = self.jobs.get_mut(&c.request) else { return };
-        if c.done || c.outcome == Outcome::Ok || !job.open {
+        if c.request_done || c.outcome == Outcome::Ok || !job.open {
             return self.close(c.request, out);
         }
         let (looked, unsent) = (attempt.looked(), attempt.unsent());
@@ -855,7 +872,7 @@
         // What is left out on the next attempt: the source where the fill failed, else the member.
         let blamed = match c.note {
             Note::OriginFailed => self.origin.unwrap_or(attempt.source),
-            Note::SourceRefused | Note::SourceLost | Note::SourceLacks => attempt.source,
+            Note::SourceRefused | Note::SourceFailed | Note::SourceMiss => attempt.source,
             _ if c.outcome == Outcome::Miss || c.outcome == Outcome::Error && its => attempt.source,
             _ => attempt.member,
         };
@@ -865,10 +882,11 @@
 
     /// Takes in a load report. One that was asked for is too old to clear a cache of being crowded.
     fn reported(&mut self, a: Addr, report: &Report) {
-        let told = &report.values[..usize::from(report.n.min(4))];
+        let told = &report.values[..usize::from(report.count.min(4))];
         let used = |i: Option<usize>| i.and_then(|i| told.get(i)).copied();
         if let Some((cpu, m)) = used(self.s.columns.cpu).zip(self.members.get_mut(&a)) {
-            let (x1, calm) = (f64::from(used(self.s.columns.x1).unwrap_or(0.0)), self.s.reports_inline);
+            let (x1, calm) =
+                (f64::from(used(self.s.columns.link_load).unwrap_or(0.0)), self.s.reports_inline);
             m.flow.easy = calm && x1.max(cpu.into()) < EASY && m.flow.pace() < 2.0 * CACHES.crowded;
             self.link += f64::from(u8::from(m.role == Role::Cache)) * (x1 - self.link) / 2.0;
         }
@@ -876,7 +894,7 @@
 
     /// What an outcome teaches of the member, its source and the class, also when the request is over.
     fn learn(&mut self, now: Micros, c: &Completed, a: &Attempt, req: &Request) {
-        if !matches!(c.outcome, Outcome::Cancelled | Outcome::Moot | Outcome::Timeout) {
+        if !matches!(c.outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Timeout) {
             self.members.entry(a.member).and_modify(|m| m.last_reply = now);
         }
         self.reported(a.member, &c.report);
@@ -889,8 +907,8 @@
         if a.source != a.member && !a.unsent() && (filled || !a.held && (behind || !a.counted.is_empty())) {
             let counted = a.counted.last().copied().unwrap_or(a.source);
             // An unseen object may be large: its first byte's wait tells; a told size, the time of sending.
-            let known = self.sized(req) || self.known(req.object).is_some() || c.waited == 0;
-            let wait = if known { c.elapsed } else { c.elapsed.min(c.waited + work as Micros) };
+            let known = self.sized(req) || self.known(req.object).is_some() || c.source_wait == 0;
+            let wait = if known { c.elapsed } else { c.elapsed.min(c.source_wait + work as Micros) };
             let wait = wait.saturating_sub(if self.sized(req) { work as Micros } else { 0 });
             let wait = if filled { wait } else { self.unanswered(wait, req) };
             self.judge(now, self.origin.filter(|_| behind).unwrap_or(counted), wait, self.wanted(req));
@@ -900,30 +918,31 @@
         match c.outcome {
             Outcome::Ok => {
                 self.mark(now, a.member, None);
-                let hit = matches!(c.note, Note::Hit | Note::Stale) || (!self.s.notes_hit && !filled);
+                let hit = matches!(c.note, Note::Hit | Note::Stale) || (!self.s.hits_reported && !filled);
                 let known = self.known[0].entry(req.object).or_insert(f64::INFINITY);
                 *known = known.min(c.elapsed as f64);
                 let (sized, quickest) = (self.sized(req), self.work(req));
                 if let Some(p) = self.pace.get_mut(usize::from(req.class)) {
                     let wait = c.elapsed as f64;
-                    p.dev += GAIN * ((wait - p.wait).abs() - p.dev);
-                    p.wait += GAIN * (wait - p.wait);
+                    p.deviation += GAIN * ((wait - p.mean_wait).abs() - p.deviation);
+                    p.mean_wait += GAIN * (wait - p.mean_wait);
                     let sourced = f64::from(u8::from(a.source != a.member));
-                    p.miss += sourced * GAIN * (f64::from(u8::from(filled)) - p.miss);
+                    p.miss_share += sourced * GAIN * (f64::from(u8::from(filled)) - p.miss_share);
                     if hit || a.source == a.member || sized {
-                        p.n += 1;
-                        p.work += (quickest - p.work) * SIZE_GAIN.max(1.0 / f64::from(p.n));
+                        p.samples += 1;
+                        p.sending_time +=
+                            (quickest - p.sending_time) * SIZE_GAIN.max(1.0 / f64::from(p.samples));
                     }
                 }
                 // Before a class's sending time is known, a wait says nothing of crowding.
-                let seen = self.pace.get(usize::from(req.class)).map_or(0, |p| p.n);
+                let seen = self.pace.get(usize::from(req.class)).map_or(0, |p| p.samples);
                 if hit && (sized || seen > WORK_SAMPLES) {
                     self.judge(now, a.member, c.elapsed, work.max(1.0));
                 }
                 // What was delivered shows what they can bear; demand, which crowds them, would not.
                 let (cost, miss) = self.cost(req);
                 self.demand[0].add(now, self.born, if self.passes(req) { 0.0 } else { cost });
-                let share = if self.s.notes_hit { f64::from(u8::from(filled)) } else { miss };
+                let share = if self.s.hits_reported { f64::from(u8::from(filled)) } else { miss };
                 if self.parents.iter().any(|(p, _)| *p == a.source) {
                     self.demand[1].add(now, self.born, cost * share);
                 }
@@ -936,13 +955,13 @@
             // One broken connection takes several attempts with it and is no member that is down.
             Outcome::Reset => self.stuck(a.member, now, c.outcome),
             Outcome::Timeout if silent => self.mark(now, a.member, why),
-            Outcome::Error if !self.s.notes_all => self.failed(now, a),
-            Outcome::Refused if untold && self.s.notes_all => {
+            Outcome::Error if !self.s.all_notes_reported => self.failed(now, a),
+            Outcome::Refused if untold && self.s.all_notes_reported => {
                 self.members.entry(a.member).and_modify(|m| m.flow.adjust(now, &CACHES, 1.0, 0, true));
             }
             // Nothing told: the fill or the member may have failed, so one such sign is not enough.
             Outcome::Refused if untold && a.source != a.member => self.stuck(a.source, now, c.outcome),
-            _ if matches!(c.note, Note::SourceRefused | Note::SourceLost) => self.mark(now, a.source, why),
+            _ if matches!(c.note, Note::SourceRefused | Note::SourceFailed) => self.mark(now, a.source, why),
             _ => {}
         }
     }
@@ -1003,10 +1022,10 @@
             // The parent fills others: what it lacks waits for the origin, which the end would tell too late.
             self.judge(now, o, waited, self.wanted(&req));
         }
-        let fragile = self.class(&req).effect == Effect::Fragile;
+        let fragile = self.class(&req).effect == Effect::NotRetryable;
         if let Some(b) = blamed.filter(|_| last && !fragile && self.retries >= 1.0) {
             self.jobs.entry(id).and_modify(|j| j.lost.push(b));
-            if self.s.parallel {
+            if self.s.parallel_attempts {
                 self.send(now, id, out);
             } else if let Some(a) = self.jobs.get_mut(&id).and_then(|j| j.attempts.get_mut(at)) {
                 let again = std::mem::replace(&mut a.revoked, self.s.cancel) || !self.s.cancel;
--- a/src/rules/learned.rs
+++ b/src/rules/learned.rs
@@ -6,25 +6,30 @@
 use serde::{Deserialize, Serialize};
 
 /// Objects whose sending times are handed on, at most: some hundred kilobytes.
-pub const OBJECTS: usize = 8_000;
+pub const MAX_OBJECTS: usize = 8_000;
 /// Purges that are taken over, at most.
-pub const PURGES: usize = 20_000;
+pub const MAX_PURGES: usize = 20_000;
 /// A time or rate beyond this is no measurement.
 const MOST: f64 = 1e12;
 
 /// What is known of a class: its sending time and samples of it, the wait and its deviation, the share of misses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct ClassStats {
     /// Sending time, microseconds.
-    pub work: f64,
+    #[serde(rename = "work")]
+    pub sending_time: f64,
     /// Samples of it.
-    pub n: u32,
+    #[serde(rename = "n")]
+    pub samples: u32,
     /// Wait, microseconds.
-    pub wait: f64,
+    #[serde(rename = "wait")]
+    pub mean_wait: f64,
     /// Its mean deviation, microseconds.
-    pub dev: f64,
+    #[serde(rename = "dev")]
+    pub deviation: f64,
     /// Share of misses, 0 to 1.
-    pub miss: f64,
+    #[serde(rename = "miss")]
+    pub miss_share: f64,
 }
 
 /// What is known of a member. Points are on the clock of the events.
@@ -36,28 +41,34 @@
     #[serde(rename = "since")]
     pub incarnation: u64,
     /// Waits, and what they are held against, microseconds.
-    pub wait: f64,
+    #[serde(rename = "wait")]
+    pub mean_wait: f64,
     /// See `wait`.
-    pub base: f64,
+    #[serde(rename = "base")]
+    pub expected_wait: f64,
     /// When it was last seen.
-    pub seen: Micros,
+    #[serde(rename = "seen")]
+    pub last_sample_at: Micros,
     /// Attempts or fills out at once, at most; nothing: no limit.
     pub limit: Option<f64>,
     /// When the limit was last cut.
-    pub cut: Micros,
+    #[serde(rename = "cut")]
+    pub limit_cut_at: Micros,
     /// Skipped until then.
-    pub skip: Option<Micros>,
+    #[serde(rename = "skip")]
+    pub skip_until: Option<Micros>,
     /// Signs of failure in a row, and the last one's time.
     pub strikes: u32,
     /// See `strikes`.
-    pub struck: Micros,
+    #[serde(rename = "struck")]
+    pub last_strike_at: Micros,
 }
 
 /// All that one router hands to the next.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
     /// In the order of the settings.
-    pub classes: Vec<Pace>,
+    pub classes: Vec<ClassStats>,
     /// Caches' and sources' traffic: decaying sum, its time, highest rate.
     pub demand: [(f64, Micros, f64); 2],
     /// Members that were in use.
@@ -67,9 +78,11 @@
     /// Purges: group, object, time.
     pub purges: Vec<(u16, Option<u64>, Micros)>,
     /// How full the location's link is.
-    pub link: f64,
+    #[serde(rename = "link")]
+    pub link_load: f64,
     /// When the router that learned this was born.
-    pub born: Micros,
+    #[serde(rename = "born")]
+    pub started_at: Micros,
 }
 
 fn usable(x: f64) -> bool {
@@ -83,14 +96,14 @@
         let member = |m: &super::Member| MemberLearned {
             member: m.entry.addr,
             incarnation: m.entry.incarnation,
-            wait: m.flow.wait,
-            base: m.flow.base,
-            seen: m.flow.seen,
+            mean_wait: m.flow.wait,
+            expected_wait: m.flow.base,
+            last_sample_at: m.flow.seen,
             limit: m.flow.limit,
-            cut: m.flow.cut,
-            skip: m.skip,
+            limit_cut_at: m.flow.cut,
+            skip_until: m.skip,
             strikes: m.stuck,
-            struck: m.struck,
+            last_strike_at: m.struck,
         };
         let all =
             self.known[0].iter().chain(self.known[1].iter().filter(|k| !self.known[0].contains_key(k.0)));
@@ -98,19 +111,20 @@
             classes: self.pace.clone(),
             demand: [0, 1].map(|i| (self.demand[i].sum, self.demand[i].last, self.demand[i].peak)),
             members: members.map(member).collect(),
-            objects: all.map(|(o, x)| (*o, *x)).filter(|(_, x)| usable(*x)).take(OBJECTS).collect(),
+            objects: all.map(|(o, x)| (*o, *x)).filter(|(_, x)| usable(*x)).take(MAX_OBJECTS).collect(),
             purges: self.purged.iter().map(|((g, o), at)| (*g, *o, *at)).collect(),
-            link: self.link,
-            born: self.born.unwrap_or(0),
+            link_load: self.link,
+            started_at: self.born.unwrap_or(0),
         }
     }
 
     /// Takes over what another router learned, once its members are listed here. Budgets of cold members begin empty:
     /// the other router may still spend its own.
-    pub fn take_over(&mut self, now: Micros, l: &Learned) {
+    pub fn restore_learned(&mut self, now: Micros, l: &Learned) {
         for (p, c) in self.pace.iter_mut().zip(&l.classes) {
-            let good = [c.work, c.wait, c.dev].into_iter().all(usable) && (0.0..=1.0).contains(&c.miss);
-            if good && c.n > 0 && c.work > 0.0 {
+            let good = [c.sending_time, c.mean_wait, c.deviation].into_iter().all(usable)
+                && (0.0..=1.0).contains(&c.miss_share);
+            if good && c.samples > 0 && c.sending_time > 0.0 {
                 *p = *c;
             }
         }
@@ -124,27 +138,33 @@
             else {
                 continue;
             };
-            let told = [m.wait, m.base, m.limit.unwrap_or(0.0)].into_iter().all(usable) && m.seen <= now;
-            if told && own.flow.seen < m.seen {
+            let told = [m.mean_wait, m.expected_wait, m.limit.unwrap_or(0.0)].into_iter().all(usable)
+                && m.last_sample_at <= now;
+            if told && own.flow.seen < m.last_sample_at {
                 let (out, easy) = (own.flow.out, own.flow.easy);
-                own.flow =
-                    Flow { wait: m.wait, base: m.base, seen: m.seen, limit: m.limit, ..Flow::default() };
-                (own.flow.out, own.flow.easy, own.flow.cut) = (out, easy, m.cut.min(now));
+                own.flow = Flow {
+                    wait: m.mean_wait,
+                    base: m.expected_wait,
+                    seen: m.last_sample_at,
+                    limit: m.limit,
+                    ..Flow::default()
+                };
+                (own.flow.out, own.flow.easy, own.flow.cut) = (out, easy, m.limit_cut_at.min(now));
             }
             // A skip is over in a few seconds; one that lasts for longer is none.
             if own.good == 0 {
-                own.skip = m.skip.map(|at| at.min(now + super::SKIP));
-                (own.stuck, own.struck) = (m.strikes.min(super::STRIKES), m.struck.min(now));
+                own.skip = m.skip_until.map(|at| at.min(now + super::SKIP));
+                (own.stuck, own.struck) = (m.strikes.min(super::STRIKES), m.last_strike_at.min(now));
             }
             own.tokens_at = now;
         }
-        let objects = l.objects.iter().filter(|(_, x)| usable(*x)).take(OBJECTS);
+        let objects = l.objects.iter().filter(|(_, x)| usable(*x)).take(MAX_OBJECTS);
         self.known[1].extend(objects.copied());
-        for (group, object, at) in l.purges.iter().take(PURGES) {
+        for (group, object, at) in l.purges.iter().take(MAX_PURGES) {
             let own = self.purged.entry((*group, *object)).or_insert(0);
             *own = (*own).max((*at).min(now));
         }
-        self.link = if usable(l.link) { l.link } else { 0.0 };
-        self.born = Some(l.born).filter(|b| *b > 0 && *b <= now).or(self.born);
+        self.link = if usable(l.link_load) { l.link_load } else { 0.0 };
+        self.born = Some(l.started_at).filter(|b| *b > 0 && *b <= now).or(self.born);
     }
 }
--- a/tests/absent_information.rs
+++ b/tests/absent_information.rs
@@ -52,7 +52,7 @@
     let ghost = Get { request: 999, member: addr(77), ..Get::default() };
     assert!(b.end(ghost, 3, Outcome::Ok, Note::Hit).is_empty());
     assert!(b.event(Event::Timer(12345)).is_empty());
-    assert!(b.event(Event::Started { request: 4, attempt: 0 }).is_empty());
+    assert!(b.event(Event::StreamStarted { request: 4, attempt: 0 }).is_empty());
     let probed = Event::Probed { member: addr(9), outcome: Outcome::Ok, report: Report::default() };
     assert!(b.event(probed).is_empty());
     assert!(b.event(Event::Peer { from: 1, payload: vec![1, 2] }).is_empty());
@@ -63,7 +63,7 @@
 
 #[test]
 fn where_changes_must_be_asked_for_they_are_asked_for() {
-    let mut r = Router::new(Settings { on_request: true, ..settings() }, 1);
+    let mut r = Router::new(Settings { list_on_request: true, ..settings() }, 1);
     let mut out = Vec::new();
     r.handle(T0, Event::Members { form: ListForm::Cached, entries: fleet() }, &mut out);
     assert!(out.contains(&Action::Track));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,7 +25,7 @@
 }
 
 pub fn since(mut e: Entry, at: Micros) -> Entry {
-    (e.since, e.incarnation) = (at, at);
+    (e.started_at, e.incarnation) = (at, at);
     e
 }
 
@@ -41,29 +41,29 @@
 
 pub fn settings() -> Settings {
     let video = Class {
-        aim: 500 * MS,
-        aim_stretch: 1.6,
+        target_latency: 500 * MS,
+        target_stretch: 1.6,
         deadline: 6 * S,
-        worth: 2.0,
-        late_worth: 0.15,
+        value: 2.0,
+        late_value: 0.15,
         in_parts: true,
         ..Class::default()
     };
     let page = Class {
-        aim: 300 * MS,
-        aim_stretch: 2.0,
+        target_latency: 300 * MS,
+        target_stretch: 2.0,
         deadline: 2500 * MS,
-        worth: 1.0,
-        fresh: 20 * S,
+        value: 1.0,
+        fresh_for: 20 * S,
         ..video.clone()
     };
     let write = Class {
-        aim: 700 * MS,
+        target_latency: 700 * MS,
         deadline: 3 * S,
-        worth: 3.0,
+        value: 3.0,
         effect: Effect::Dedup,
         dedup_window: 2 * S,
-        pass_on: true,
+        pass_through: true,
         ..Class::default()
     };
     Settings {
@@ -73,25 +73,25 @@
         parent_kind: Some(2),
         origin_kind: Some(3),
         direct: true,
-        joins: true,
-        notes_all: true,
-        notes_hit: true,
-        flow_kb_per_s: 5000.0,
-        weights: WeightSource::Nominal,
-        purge_done: 6 * S,
+        fill_joining: true,
+        all_notes_reported: true,
+        hits_reported: true,
+        transfer_kb_per_s: 5000.0,
+        weight_source: WeightSource::Nominal,
+        purge_complete_after: 6 * S,
         purge_grace: S,
         drain_grace: 500 * MS,
-        cold_from: 0.2,
-        cold: 15 * S,
-        fall_multiple: 2.0,
-        fall: 2 * S,
-        parent_cold_from: 0.08,
-        parent_cold: 20 * S,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_period: 15 * S,
+        overload_multiple: 2.0,
+        overload_tolerance: 2 * S,
+        parent_cold_start_share: 0.08,
+        parent_cold_period: 20 * S,
+        parent_overload_multiple: 2.0,
         max_attempts: 6,
-        parallel: true,
+        parallel_attempts: true,
         cancel: true,
-        tick: 2 * MS,
+        min_event_interval: 2 * MS,
         answer_slack: 8 * MS,
         reports_inline: true,
         ..Settings::default()
@@ -124,7 +124,7 @@
     /// A request for an object; its id and what the router does at once.
     pub fn ask(&mut self, class: u8, object: u64) -> (u64, Vec<Action>) {
         let due = self.now + [6 * S, 2500 * MS, 3 * S][usize::from(class.min(2))];
-        self.ask_with(Request { class, object, due, write: class == 2, ..Request::default() })
+        self.ask_with(Request { class, object, expires_at: due, write: class == 2, ..Request::default() })
     }
     pub fn ask_with(&mut self, req: Request) -> (u64, Vec<Action>) {
         self.next += 1;
@@ -148,9 +148,9 @@
             member: get.member,
             outcome,
             elapsed,
-            done: outcome == Outcome::Ok,
+            request_done: outcome == Outcome::Ok,
             note,
-            waited: 0,
+            source_wait: 0,
             report: self.report,
         }))
     }
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -29,13 +29,18 @@
 
 fn bench() -> Bench {
     Bench::new(
-        Settings { notes_all: false, parallel: false, weights: WeightSource::Rough, ..settings() },
+        Settings {
+            all_notes_reported: false,
+            parallel_attempts: false,
+            weight_source: WeightSource::Rough,
+            ..settings()
+        },
         fleet(),
     )
 }
 
 fn suspects(b: &Bench) -> Vec<Addr> {
-    b.r.standings().filter(|s| s.skipped || s.failed > 0).map(|s| s.member).collect()
+    b.r.member_health().filter(|s| s.skipped || s.last_failed_at > 0).map(|s| s.member).collect()
 }
 
 #[test]
--- a/tests/five_rules.rs
+++ b/tests/five_rules.rs
@@ -45,7 +45,7 @@
 #[test]
 fn a_request_that_is_already_due_is_answered_not_sent() {
     let mut b = Bench::new(settings(), fleet());
-    let req = Request { object: 1, due: b.now + MS, ..Request::default() };
+    let req = Request { object: 1, expires_at: b.now + MS, ..Request::default() };
     let (_, out) = b.ask_with(req);
     assert_eq!((finals(&out), gets(&out).len()), (1, 0));
 }
@@ -55,7 +55,7 @@
 fn cell_write(group: DedupGroup, effect: Effect) -> Bench {
     let mut s = settings();
     s.direct = false;
-    (s.classes[2].group, s.classes[2].effect) = (group, effect);
+    (s.classes[2].dedup_group, s.classes[2].effect) = (group, effect);
     let mut list = fleet();
     (list[0].cell, list[1].cell, list[2].cell) = (1, 2, 3);
     Bench::new(s, list)
@@ -95,7 +95,7 @@
         (Outcome::Timeout, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut b = cell_write(DedupGroup::All, Effect::Fragile);
+        let mut b = cell_write(DedupGroup::All, Effect::NotRetryable);
         let (id, out) = b.ask(2, 1);
         let next = b.end(gets(&out)[0], 0, outcome, Note::None);
         assert_eq!(!gets(&next).is_empty(), again, "{outcome:?}");
@@ -105,7 +105,7 @@
 
 #[test]
 fn no_second_attempt_while_one_is_out_where_that_is_not_allowed() {
-    let mut b = Bench::new(Settings { parallel: false, ..settings() }, fleet());
+    let mut b = Bench::new(Settings { parallel_attempts: false, ..settings() }, fleet());
     let (id, out) = b.ask(0, 1);
     let mut sent = gets(&out).len();
     let check = wakes(&out).into_iter().min_by_key(|w| w.1).expect("a check");
@@ -183,7 +183,8 @@
     for i in 0..seconds * 20 {
         b.now += 50 * MS;
         let due = b.now + 6 * S;
-        let (_, out) = b.ask_with(Request { object: i % 500, due, kbytes: 1500.0, ..Request::default() });
+        let (_, out) =
+            b.ask_with(Request { object: i % 500, expires_at: due, size_kb: 1500.0, ..Request::default() });
         for g in gets(&out) {
             if (g.member == to) || (as_source && g.source == to) {
                 sent.push((b.now, 0.3));
@@ -211,7 +212,7 @@
 #[test]
 fn hot_small_parts_count_as_much_as_the_rule_counts_them() {
     // Found by a drawn day: an object of small parts was charged its own size, the rule counts class means.
-    let mut b = Bench::new(Settings { fall_multiple: 1.0, ..settings() }, fleet());
+    let mut b = Bench::new(Settings { overload_multiple: 1.0, ..settings() }, fleet());
     drive(&mut b, 10, addr(1), false);
     b.list(
         ListForm::Delta,
@@ -221,7 +222,8 @@
     for _ in 0..200 {
         b.now += 10 * MS;
         let due = b.now + 6 * S;
-        let (_, out) = b.ask_with(Request { object: 1, due, kbytes: 10.0, ..Request::default() });
+        let (_, out) =
+            b.ask_with(Request { object: 1, expires_at: due, size_kb: 10.0, ..Request::default() });
         for g in gets(&out).into_iter().filter(|g| g.member == addr(1)) {
             sent.push((b.now, 0.25));
             b.end(g, 0, Outcome::Ok, Note::Hit);
@@ -253,9 +255,9 @@
         .collect();
     let s = Settings {
         direct: false,
-        weights,
+        weight_source: weights,
         routers_by_zone: vec![0, 0, 0, routers as u32],
-        flow_kb_per_s: 0.0,
+        transfer_kb_per_s: 0.0,
         ..settings()
     };
     let mut fleet: Vec<Bench> = (0..routers)
@@ -268,7 +270,7 @@
     let mut cold = list.clone();
     cold.iter_mut()
         .filter(|e| e.kind == 2 && e.addr.ip[3] < 100 + restarted)
-        .for_each(|e| e.since = T0 + calm * S);
+        .for_each(|e| e.started_at = T0 + calm * S);
     for b in &mut fleet {
         b.list(ListForm::Cached, if calm == 0 { cold.clone() } else { list.clone() });
     }
@@ -336,7 +338,7 @@
     // Found by search: a location came back cold as a whole, and the budget grew with every client retry.
     let cold: Vec<Entry> = fleet().into_iter().map(|e| if e.kind == 0 { since(e, T0) } else { e }).collect();
     let count = |repeats: u64| {
-        let s = Settings { direct: false, weights: WeightSource::Off, ..settings() };
+        let s = Settings { direct: false, weight_source: WeightSource::Off, ..settings() };
         let mut b = Bench::new(s, cold.clone());
         let mut n = 0;
         for i in 0..100 {
@@ -345,7 +347,7 @@
                 let (_, out) = b.ask(0, 1_000 + i);
                 n += gets(&out).len();
                 for g in gets(&out) {
-                    b.end(g, 0, Outcome::Refused, Note::NoPlace);
+                    b.end(g, 0, Outcome::Refused, Note::FillSlotsFull);
                 }
             }
             b.now += 100 * MS - (repeats + 1) * 10 * MS;
@@ -365,7 +367,8 @@
         b.event(Event::Purged { ago: 200 * MS, object, group: 4 });
         let ask = |b: &mut Bench, class: u8, object: u64, group: u16| {
             let due = b.now + 2 * S;
-            let (_, out) = b.ask_with(Request { class, object, group, due, ..Request::default() });
+            let (_, out) =
+                b.ask_with(Request { class, object, group, expires_at: due, ..Request::default() });
             let g = gets(&out)[0];
             b.end(g, 0, Outcome::Ok, Note::Hit);
             u64::from(g.age)
@@ -402,7 +405,7 @@
 #[test]
 fn a_purge_never_makes_a_fresh_time_longer() {
     let mut s = settings();
-    s.classes[1].fresh = S;
+    s.classes[1].fresh_for = S;
     let mut b = Bench::new(s, fleet());
     b.event(Event::Purged { ago: 3 * S, object: Some(7), group: 0 });
     assert_eq!(u64::from(gets(&b.ask(1, 7).1)[0].age), S);
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -24,7 +24,7 @@
                 break;
             }
             dead += 1;
-            let next = b.end(get, attempt, Outcome::Refused, Note::SourceLost);
+            let next = b.end(get, attempt, Outcome::Refused, Note::SourceFailed);
             get = *gets(&next).first().expect("another source is left");
         }
     }
@@ -48,14 +48,21 @@
         let (due, kb) = (b.now + 2 * S, [1500.0, 250.0]);
         for class in [0u8, 1] {
             b.now += 20 * MS;
-            let req = Request { class, object: o, due, kbytes: kb[usize::from(class)], ..Request::default() };
+            let req = Request {
+                class,
+                object: o,
+                expires_at: due,
+                size_kb: kb[usize::from(class)],
+                ..Request::default()
+            };
             let (_, out) = b.ask_with(req);
             gets(&out).into_iter().for_each(|g| drop(b.end(g, 0, Outcome::Ok, Note::Hit)));
         }
     }
     let declined = |b: &mut Bench, class: u8| {
         let kbytes = [1500.0, 250.0][usize::from(class)];
-        let req = Request { class, object: 77, due: b.now + 2 * S, kbytes, ..Request::default() };
+        let req =
+            Request { class, object: 77, expires_at: b.now + 2 * S, size_kb: kbytes, ..Request::default() };
         finals(&b.ask_with(req).1) == 1
     };
     let held = (0..200).take_while(|_| !declined(&mut b, 0)).count();
@@ -272,7 +279,7 @@
                 b.end(g, 0, Outcome::Ok, Note::Filled);
             } else {
                 held += 1;
-                declined += finals(&b.end(g, 0, Outcome::Miss, Note::SourceLacks));
+                declined += finals(&b.end(g, 0, Outcome::Miss, Note::SourceMiss));
             }
         }
     }
@@ -286,7 +293,7 @@
     let mut b = Bench::new(settings(), fleet());
     let mut home = |part: u32| {
         let due = b.now + 6 * S;
-        let (_, out) = b.ask_with(Request { object: 9, part, due, ..Request::default() });
+        let (_, out) = b.ask_with(Request { object: 9, part, expires_at: due, ..Request::default() });
         let g = gets(&out)[0];
         b.end(g, 0, Outcome::Ok, Note::Hit);
         g.member
@@ -327,7 +334,7 @@
 #[test]
 fn a_member_that_grows_slower_loses_load_before_it_dies() {
     // ageing: up to twenty times slower over half a minute, then one crash.
-    let mut b = Bench::new(Settings { direct: false, flow_kb_per_s: 5000.0, ..settings() }, fleet());
+    let mut b = Bench::new(Settings { direct: false, transfer_kb_per_s: 5000.0, ..settings() }, fleet());
     let share = |b: &mut Bench, slower: u64| {
         let mut open: Vec<(Micros, Micros, Get)> = Vec::new();
         let mut mine = 0;
@@ -339,7 +346,7 @@
             for (sent, _, g) in ended {
                 b.end_after(now - sent, g, 0, Outcome::Ok, Note::Hit);
             }
-            let req = Request { object: o, kbytes: 1500.0, due: now + 6 * S, ..Request::default() };
+            let req = Request { object: o, size_kb: 1500.0, expires_at: now + 6 * S, ..Request::default() };
             for g in gets(&b.ask_with(req).1) {
                 mine += usize::from(g.member == addr(1));
                 let takes = 300 * MS * if g.member == addr(1) { slower } else { 1 };
@@ -403,9 +410,9 @@
 #[test]
 fn large_objects_are_turned_away_for_others_only_where_a_cache_or_its_link_is_near_its_end() {
     let sent = |cpu: f32, link: f32| {
-        let columns = ReportColumns { cpu: Some(0), x1: Some(1), ..ReportColumns::default() };
+        let columns = ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() };
         let mut b = Bench::new(Settings { columns, ..settings() }, fleet());
-        b.report = Report { values: [cpu, link, 0.0, 0.0], n: 2 };
+        b.report = Report { values: [cpu, link, 0.0, 0.0], count: 2 };
         let serve = |b: &mut Bench, object: u64, elapsed: Micros| {
             b.now += S;
             let get = gets(&b.ask(1, object).1)[0];
@@ -445,13 +452,13 @@
 #[test]
 fn a_crowded_link_sheds_fills_in_part_and_hits_and_writes_go_on() {
     // join+vast: six in ten caches cold at once, the link of a location 11 to 19 times full, every fill late.
-    let columns = ReportColumns { cpu: Some(0), x1: Some(1), ..ReportColumns::default() };
+    let columns = ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() };
     let mut b = Bench::new(Settings { direct: false, columns, ..settings() }, fleet());
     let mut filled = |x1: f32, class: u8| {
         let mut n = 0;
         for o in 0..300 {
             b.now += 20 * MS;
-            b.report = Report { n: 2, values: [0.3, x1, 0.0, 0.0] };
+            b.report = Report { count: 2, values: [0.3, x1, 0.0, 0.0] };
             b.play(class, 1_000_000 + o, |g| {
                 let fill = g.source != g.member;
                 n += usize::from(fill);
@@ -482,7 +489,7 @@
         refused[usize::from(o >= 260)] += b.play(1, o, |g| match o % 6 == 0 {
             false => (50 * MS, Outcome::Ok, Note::Hit),
             true if g.source == g.member => (MS, Outcome::Miss, Note::None),
-            true if g.only_held => (15 * MS, Outcome::Miss, Note::SourceLacks),
+            true if g.only_held => (15 * MS, Outcome::Miss, Note::SourceMiss),
             true => (if slow { 1500 * MS } else { 260 * MS }, Outcome::Ok, Note::FilledOrigin),
         });
     }
@@ -501,7 +508,7 @@
         b.play(2, o, |g| {
             assert!(!first || g.source == addr(250), "the first attempt goes to the origin");
             round += u32::from(g.source != addr(250));
-            let note = if std::mem::take(&mut first) { Note::SourceLost } else { Note::OriginFailed };
+            let note = if std::mem::take(&mut first) { Note::SourceFailed } else { Note::OriginFailed };
             (100 * MS, Outcome::Refused, note)
         });
     }
@@ -544,7 +551,7 @@
         let slow = (200..300).contains(&o);
         let answers = b.play(1, o, |g| match (g.source == g.member, g.only_held) {
             (true, _) => (MS, Outcome::Miss, Note::None),
-            (_, true) => (15 * MS, Outcome::Miss, Note::SourceLacks),
+            (_, true) => (15 * MS, Outcome::Miss, Note::SourceMiss),
             _ => {
                 late += u32::from(slow);
                 (if slow { 1500 * MS } else { 100 * MS }, Outcome::Ok, Note::FilledOrigin)
@@ -563,7 +570,7 @@
     let mut b = Bench::new(settings(), fleet());
     let large = |b: &mut Bench, object| {
         let due = b.now + 6 * S;
-        b.ask_with(Request { class: 0, object, due, kbytes: 5000.0, ..Request::default() })
+        b.ask_with(Request { class: 0, object, expires_at: due, size_kb: 5000.0, ..Request::default() })
     };
     for o in 0..60 {
         let (_, out) = large(&mut b, o);
@@ -581,7 +588,7 @@
 /// A cache that can carry ten transfers of 250 ms is sent three times as much for 20 s, and so delivers a third; then
 /// it starts anew. The most that it is sent in a second from then on, over what it can do at the end of that second.
 fn worst_second_after_overload() -> f64 {
-    let s = Settings { weights: WeightSource::Rough, columns: ReportColumns::default(), ..settings() };
+    let s = Settings { weight_source: WeightSource::Rough, columns: ReportColumns::default(), ..settings() };
     let mut b = Bench::new(s, vec![cache(1), origin()]);
     let end = |b: &mut Bench, g: Get, outcome, note| {
         b.event(Event::Completed(Completed {
@@ -590,9 +597,9 @@
             member: g.member,
             outcome,
             elapsed: 250 * MS,
-            done: true,
+            request_done: true,
             note,
-            waited: 0,
+            source_wait: 0,
             report: Report::default(),
         }))
     };
@@ -644,7 +651,7 @@
             assert_eq!(get.member, addr(1));
             n += 1;
             if n < 3 {
-                (200 * MS, Outcome::Moot, Note::None)
+                (200 * MS, Outcome::NotSent, Note::None)
             } else {
                 (50 * MS, Outcome::Ok, Note::Hit)
             }
@@ -653,11 +660,12 @@
     }
     // They are bounded by the attempts of the settings, and by nothing else: the operators' bound means attempts.
     for attempts in [0, 2] {
-        let terms = Terms { attempts, ..Terms::default() };
-        let (_, mut out) = b.ask_with(Request { object: 7, due: b.now + 6 * S, terms, ..Request::default() });
+        let terms = RequestPolicy { attempt_limit: attempts, ..RequestPolicy::default() };
+        let (_, mut out) =
+            b.ask_with(Request { object: 7, expires_at: b.now + 6 * S, policy: terms, ..Request::default() });
         let mut sent = 0;
         while let Some(get) = gets(&out).first().copied() {
-            out = b.end_after(0, get, sent, Outcome::Moot, Note::None);
+            out = b.end_after(0, get, sent, Outcome::NotSent, Note::None);
             sent += 1;
         }
         assert_eq!((sent, finals(&out)), (6, 1));
@@ -667,7 +675,7 @@
     let mut asked = Vec::new();
     b.play(0, 5, |get| {
         asked.push(get.member);
-        (100 * MS, if asked.len() < 4 { Outcome::Moot } else { Outcome::Ok }, Note::None)
+        (100 * MS, if asked.len() < 4 { Outcome::NotSent } else { Outcome::Ok }, Note::None)
     });
     assert!(asked[0] == asked[1] && asked[1] != asked[2] && asked[2] == asked[3], "{asked:?}");
 }
@@ -676,8 +684,9 @@
 fn a_second_copy_that_cannot_go_out_leaves_its_member_in_the_choice() {
     let s = Settings { direct: false, ..settings() };
     let mut b = Bench::new(s, vec![cache(1), parent(100), parent(101), origin()]);
-    let terms = Terms { second: 150 * MS, ..Terms::default() };
-    let out = b.ask_with(Request { object: 5, due: b.now + 6 * S, terms, ..Request::default() }).1;
+    let terms = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
+    let out =
+        b.ask_with(Request { object: 5, expires_at: b.now + 6 * S, policy: terms, ..Request::default() }).1;
     let copy = wakes(&out).into_iter().find(|w| w.1 == 150_000).expect("a second copy is planned").0;
     b.now += 150 * MS;
     assert!(gets(&b.event(Event::Timer(copy))).is_empty(), "there is one cache");
--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -15,7 +15,7 @@
     Outcome::Refused,
     Outcome::ConnectFailed,
     Outcome::Miss,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 /// The attempt out: its number, member, when it was sent, when it ends and how.
@@ -31,7 +31,7 @@
 /// Plays one keyed request; the schedule gives each attempt's time out in ms and how it ends.
 fn play(window: Micros, schedule: &[(u16, usize)]) -> Result<(), TestCaseError> {
     let mut s = settings();
-    (s.parallel, s.classes[2].dedup_window) = (false, window);
+    (s.parallel_attempts, s.classes[2].dedup_window) = (false, window);
     let mut b = Bench::new(s, fleet());
     let (mut timers, mut next) = (BTreeSet::new(), schedule.iter());
     let (mut out, mut ran, mut answers, mut attempts) = (None::<Out>, None::<Micros>, 0, 0);
@@ -71,7 +71,7 @@
                 b.now = b.now.max(o.end);
                 let never = matches!(
                     o.outcome,
-                    Outcome::Refused | Outcome::ConnectFailed | Outcome::Miss | Outcome::Moot
+                    Outcome::Refused | Outcome::ConnectFailed | Outcome::Miss | Outcome::NotSent
                 );
                 ran = ran.or(Some(o.sent).filter(|_| !never));
                 answers += u32::from(o.outcome == Outcome::Ok);
@@ -82,9 +82,9 @@
                     member: o.member,
                     outcome: o.outcome,
                     elapsed: o.end - o.sent,
-                    done: o.outcome == Outcome::Ok,
+                    request_done: o.outcome == Outcome::Ok,
                     note: Note::None,
-                    waited: 0,
+                    source_wait: 0,
                     report: Report::default(),
                 }));
             }
@@ -115,7 +115,7 @@
 fn keyed(group: DedupGroup, effect: Effect, window: Micros) -> Bench {
     let mut s = settings();
     (s.direct, s.retry_after) = (false, true);
-    (s.classes[2].group, s.classes[2].effect, s.classes[2].dedup_window) = (group, effect, window);
+    (s.classes[2].dedup_group, s.classes[2].effect, s.classes[2].dedup_window) = (group, effect, window);
     let mut list = fleet();
     (list[0].cell, list[1].cell, list[2].cell) = (1, 1, 2);
     Bench::new(s, list)
@@ -127,7 +127,7 @@
     for (window, first, after, bound) in [
         // One that proves that nothing ran leaves no bound; one that may have run counts from its own send.
         (800 * MS, ConnectFailed, 100 * MS, None),
-        (800 * MS, Moot, 100 * MS, None),
+        (800 * MS, NotSent, 100 * MS, None),
         (800 * MS, Reset, 100 * MS, Some(798 * MS)),
         (800 * MS, Reset, 797 * MS, Some(798 * MS)),
         (10 * S, Cancelled, 100 * MS, Some(9_998 * MS)),
@@ -141,16 +141,22 @@
         assert_eq!(two.send_by, bound.map_or(0, |w| T0 + w), "{first:?} after {after}, window {window}");
         // A third keeps the bound of the first that may have run.
         b.now += MS.min(window / 800_000);
-        let three = gets(&b.end(two, 1, Moot, Note::None));
+        let three = gets(&b.end(two, 1, NotSent, Note::None));
         let still = bound.is_none_or(|w| b.now < T0 + w);
         assert_eq!(three.first().map(|g| g.send_by), still.then_some(bound.map_or(0, |w| T0 + w)));
     }
     // A second copy beside the first: the same bound; a class that may simply be repeated has none.
     for (class, bound) in [(2, T0 + 798 * MS), (1, 0)] {
         let mut b = keyed(DedupGroup::All, Effect::Dedup, 800 * MS);
-        let terms = Terms { second: 150 * MS, ..Terms::default() };
-        let req =
-            Request { class, object: 5, due: b.now + 2 * S, write: class == 2, terms, ..Request::default() };
+        let terms = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
+        let req = Request {
+            class,
+            object: 5,
+            expires_at: b.now + 2 * S,
+            write: class == 2,
+            policy: terms,
+            ..Request::default()
+        };
         let out = b.ask_with(req).1;
         let token = wakes(&out).into_iter().find(|w| w.1 == 150_000).expect("a second copy is planned").0;
         b.now += 150 * MS;
@@ -167,7 +173,7 @@
         (All, Effect::Dedup, 600 * MS, true, true),
         (Zone, Effect::Dedup, 600 * MS, true, false),
         (Zone, Effect::Dedup, 0, false, false),
-        (All, Effect::Fragile, 600 * MS, false, false),
+        (All, Effect::NotRetryable, 600 * MS, false, false),
         (Cell, Effect::Retryable, 0, true, true),
     ] {
         let mut b = keyed(group, effect, window);
@@ -187,12 +193,12 @@
         let out = b.ask(2, 1).1;
         let first = gets(&out)[0];
         let mut list: Vec<Entry> = vec![cache(first.member.ip[3]), parent(100), origin()];
-        (list[0].cell, list[0].since) =
+        (list[0].cell, list[0].started_at) =
             (if cell == 9 { 9 } else { 1 + u16::from(first.member == addr(3)) }, T0 - 60 * S);
         b.list(ListForm::Full, list);
         b.now += 100 * MS;
         // Lost with no blame: the one at that address is the only one left.
-        let next = b.end(first, 0, Outcome::Reset, Note::SourceLost);
+        let next = b.end(first, 0, Outcome::Reset, Note::SourceFailed);
         assert_eq!(gets(&next).len(), usize::from(cell == 1), "{next:?}");
     }
 }
@@ -201,14 +207,22 @@
 fn two_ends_or_an_end_and_the_deadline_in_one_turn_give_one_answer() {
     use Outcome::*;
     for class in [1, 2] {
-        for ends in [[Ok, Ok], [Ok, Reset], [Reset, Ok], [Reset, Reset], [Moot, Ok], [Timeout, Cancelled]] {
+        for ends in [[Ok, Ok], [Ok, Reset], [Reset, Ok], [Reset, Reset], [NotSent, Ok], [Timeout, Cancelled]]
+        {
             for order in [[0, 1], [1, 0]] {
                 for deadline in 0..3 {
                     let mut b = keyed(DedupGroup::All, Effect::Dedup, 800 * MS);
-                    let terms = Terms { second: 150 * MS, attempts: 2, ..Terms::default() };
+                    let terms =
+                        RequestPolicy { hedge_after: 150 * MS, attempt_limit: 2, ..RequestPolicy::default() };
                     let due = b.now + 2 * S;
-                    let req =
-                        Request { class, object: 5, due, write: class == 2, terms, ..Request::default() };
+                    let req = Request {
+                        class,
+                        object: 5,
+                        expires_at: due,
+                        write: class == 2,
+                        policy: terms,
+                        ..Request::default()
+                    };
                     let (_, mut out) = b.ask_with(req);
                     let timer = |out: &[Action], at| wakes(out).into_iter().find(|w| Micros::from(w.1) == at);
                     let last = timer(&out, 2 * S - 2 * MS).expect("the deadline").0;
--- a/tests/learned.rs
+++ b/tests/learned.rs
@@ -16,7 +16,7 @@
 fn round(b: &mut Bench, wait: Micros) -> usize {
     b.now += S;
     let due = b.now + 2 * S;
-    let ask = |o| Request { class: 0, object: o, due, kbytes: 250.0, ..Request::default() };
+    let ask = |o| Request { class: 0, object: o, expires_at: due, size_kb: 250.0, ..Request::default() };
     let out: Vec<Get> = (0..200).flat_map(|o| gets(&b.ask_with(ask(o)).1)).collect();
     for g in &out {
         b.event(Event::Completed(Completed {
@@ -25,10 +25,10 @@
             member: g.member,
             outcome: Outcome::Ok,
             elapsed: wait,
-            done: true,
+            request_done: true,
             note: Note::Hit,
-            waited: 0,
-            report: Report { n: 1, values: [0.95, 0.0, 0.0, 0.0] },
+            source_wait: 0,
+            report: Report { count: 1, values: [0.95, 0.0, 0.0, 0.0] },
         }));
     }
     out.len()
@@ -51,7 +51,7 @@
     let mut b = Bench::new(busy_settings(), members());
     b.now = a.now;
     let new = b.r.clone();
-    b.r.take_over(a.now, &learned);
+    b.r.restore_learned(a.now, &learned);
     let again = b.r.learned();
     assert_eq!(
         (&again.classes, again.demand[0], &again.purges),
@@ -76,23 +76,27 @@
     let good = a.r.learned();
     for bad in [f64::NAN, f64::INFINITY, -1.0, 1e13] {
         let mut l = good.clone();
-        l.classes.iter_mut().for_each(|c| (c.work, c.miss) = (bad, bad));
+        l.classes.iter_mut().for_each(|c| (c.sending_time, c.miss_share) = (bad, bad));
         l.demand = [(bad, 0, bad); 2];
-        l.members.iter_mut().for_each(|m| (m.wait, m.limit) = (bad, Some(bad)));
+        l.members.iter_mut().for_each(|m| (m.mean_wait, m.limit) = (bad, Some(bad)));
         l.objects = vec![(1, bad)];
-        l.link = bad;
+        l.link_load = bad;
         let mut b = Bench::new(busy_settings(), members());
         let before = b.r.learned();
-        b.r.take_over(a.now, &l);
+        b.r.restore_learned(a.now, &l);
         let after = b.r.learned();
-        assert_eq!((after.classes, after.demand, after.link), (before.classes, before.demand, 0.0), "{bad}");
+        assert_eq!(
+            (after.classes, after.demand, after.link_load),
+            (before.classes, before.demand, 0.0),
+            "{bad}"
+        );
         assert!(after.members.is_empty() && after.objects.is_empty(), "{bad}: {:?}", after.members);
     }
     let mut l = good;
-    l.members.iter_mut().for_each(|m| (m.incarnation, m.seen) = (m.incarnation + 1, Micros::MAX));
+    l.members.iter_mut().for_each(|m| (m.incarnation, m.last_sample_at) = (m.incarnation + 1, Micros::MAX));
     l.purges = vec![(3, None, Micros::MAX)];
     let mut b = Bench::new(busy_settings(), members());
-    b.r.take_over(a.now, &l);
+    b.r.restore_learned(a.now, &l);
     assert!(b.r.learned().members.is_empty());
     assert_eq!(b.r.learned().purges, [(3, None, a.now)], "a purge that lies ahead counts from now");
 }
@@ -103,16 +107,17 @@
 fn two_processes_keep_one_budget() {
     let sent = |others: usize| {
         let mut b = old();
-        let cold = Entry { since: b.now, incarnation: b.now, ..cache(2) };
+        let cold = Entry { started_at: b.now, incarnation: b.now, ..cache(2) };
         b.list(ListForm::Delta, vec![cold]);
-        b.r.beside(others);
+        b.r.set_sibling_processes(others);
         let mut n = 0;
         for _ in 0..200 {
             b.now += 10 * MS;
             for _ in 0..4 {
                 let object = 1_000 + n as u64 * 7 + b.now;
                 let due = b.now + 2 * S;
-                let (_, out) = b.ask_with(Request { object, due, kbytes: 250.0, ..Request::default() });
+                let (_, out) =
+                    b.ask_with(Request { object, expires_at: due, size_kb: 250.0, ..Request::default() });
                 for g in gets(&out) {
                     n += usize::from(g.member == cold.addr);
                     b.end(g, 0, Outcome::Ok, Note::Hit);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -10,10 +10,10 @@
         member: get.member,
         outcome: Outcome::Ok,
         elapsed,
-        done: true,
+        request_done: true,
         note,
-        waited,
-        report: Report { n: 1, values: [used, 0.0, 0.0, 0.0] },
+        source_wait: waited,
+        report: Report { count: 1, values: [used, 0.0, 0.0, 0.0] },
     }));
 }
 
@@ -30,7 +30,7 @@
     for _ in 0..30 {
         b.now += S;
         let due = b.now + 2 * S;
-        let ask = |o| Request { class: 0, object: o, due, kbytes: 250.0, ..Request::default() };
+        let ask = |o| Request { class: 0, object: o, expires_at: due, size_kb: 250.0, ..Request::default() };
         let out: Vec<Get> = (0..200).flat_map(|o| gets(&b.ask_with(ask(o)).1)).collect();
         most = out.iter().filter(|g| g.member == cache(1).addr).count();
         out.into_iter().for_each(|g| end(&mut b, g, wait, Note::Hit, 0, used));
@@ -98,7 +98,8 @@
         for _ in 0..n {
             object += 1;
             let due = b.now + 2 * S;
-            let (_, out) = b.ask_with(Request { object, due, kbytes: 250.0, ..Request::default() });
+            let (_, out) =
+                b.ask_with(Request { object, expires_at: due, size_kb: 250.0, ..Request::default() });
             for g in gets(&out) {
                 // While fills are limited the first attempt only looks.
                 let looked = g.source == g.member;
@@ -130,8 +131,8 @@
     // One answer in three comes by a fill, every other of those from the origin.
     let filled = |g: &Get| g.request.is_multiple_of(3);
     let lacking = |g: &Get| filled(g) && (g.source == g.member || g.only_held && g.request.is_multiple_of(6));
-    let mut s = Settings { notes_all: false, parallel: false, ..settings() };
-    s.classes[1].aim = 140 * MS;
+    let mut s = Settings { all_notes_reported: false, parallel_attempts: false, ..settings() };
+    s.classes[1].target_latency = 140 * MS;
     // Two routers elsewhere share the origin: its least limit is two.
     s.routers_by_zone[0] = 2;
     let wide = |e: Entry| Entry { weight: 60.0, ..e };
@@ -148,8 +149,8 @@
         b.now = at;
         let out = match what {
             What::Ask(i) => {
-                let req = Request { class: 1, object: i * 7919 % 997, kbytes: 50.0, ..Request::default() };
-                b.ask_with(Request { due: at + 2500 * MS, ..req }).1
+                let req = Request { class: 1, object: i * 7919 % 997, size_kb: 50.0, ..Request::default() };
+                b.ask_with(Request { expires_at: at + 2500 * MS, ..req }).1
             }
             What::Timer(token) => b.event(Event::Timer(token)),
             What::End(g, n) if lacking(&g) => b.end_after(5 * MS, g, n, Outcome::Miss, Note::None),
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn live_weights_do_not_reshuffle_objects() {
-    let live = Settings { weights: WeightSource::Live, ..settings() };
+    let live = Settings { weight_source: WeightSource::Live, ..settings() };
     let mut list = fleet();
     let before = homes(&mut Bench::new(live.clone(), list.clone()), 500);
     list[0].weight = 0.3;
--- a/tests/rumours.rs
+++ b/tests/rumours.rs
@@ -35,7 +35,7 @@
             id,
             class,
             object,
-            due,
+            expires_at: due,
             write: class == 2,
             ..Request::default()
         }));
@@ -87,9 +87,9 @@
                             member: g.member,
                             outcome,
                             elapsed: wait,
-                            done: false,
+                            request_done: false,
                             note,
-                            waited: 0,
+                            source_wait: 0,
                             report: Report::default(),
                         };
                         *n += 1;
@@ -129,11 +129,11 @@
 }
 
 fn rumour(b: &mut Bench, lasts: Micros) -> Vec<Action> {
-    b.event(Event::Rumour { member: addr(HUB), incarnation: 0, lasts })
+    b.event(Event::Suspected { member: addr(HUB), incarnation: 0, valid_for: lasts })
 }
 
-fn standing(b: &Bench) -> Standing {
-    b.r.standings().find(|s| s.member == addr(HUB)).unwrap()
+fn standing(b: &Bench) -> MemberHealth {
+    b.r.member_health().find(|s| s.member == addr(HUB)).unwrap()
 }
 
 /// One fill from the hub that outlasts patience.
@@ -164,7 +164,7 @@
         b.end(get, n, Outcome::Cancelled, Note::None);
         return;
     }
-    panic!("the hub is never asked: {:?}", b.r.standings().collect::<Vec<_>>());
+    panic!("the hub is never asked: {:?}", b.r.member_health().collect::<Vec<_>>());
 }
 
 fn strikes(told: Option<Micros>) -> u32 {
@@ -207,7 +207,7 @@
         b.now += 1;
     }
     b.end(get, 0, Outcome::Ok, Note::Filled);
-    assert_eq!(standing(&b).good, b.now);
+    assert_eq!(standing(&b).last_good_at, b.now);
     let mut object = 9000;
     silence(&mut b, &mut object);
     assert!(!standing(&b).skipped, "an own good answer has to outrank the rumour");
@@ -216,14 +216,17 @@
 #[test]
 fn a_rumour_of_a_former_life_or_of_nobody_is_passed_over() {
     let mut b = Bench::new(settings(), few());
-    b.event(Event::Rumour { member: addr(HUB), incarnation: 77, lasts: 10 * S });
-    b.event(Event::Rumour { member: addr(9), incarnation: 0, lasts: 10 * S });
+    b.event(Event::Suspected { member: addr(HUB), incarnation: 77, valid_for: 10 * S });
+    b.event(Event::Suspected { member: addr(9), incarnation: 0, valid_for: 10 * S });
     let mut object = 0;
     silence(&mut b, &mut object);
     assert!(!standing(&b).skipped);
-    assert_eq!((standing(&b).strikes, standing(&b).why, standing(&b).helped), (1, Some(Outcome::Timeout), 0));
+    assert_eq!(
+        (standing(&b).strikes, standing(&b).last_failure, standing(&b).suspicion_skips),
+        (1, Some(Outcome::Timeout), 0)
+    );
     // What comes late meets a failure that stands.
     rumour(&mut b, 10 * S);
     assert!(standing(&b).skipped);
-    assert_eq!(standing(&b).helped, 1);
+    assert_eq!(standing(&b).suspicion_skips, 1);
 }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -3,9 +3,16 @@
 use common::*;
 use nickelgate::*;
 
-fn ask(b: &mut Bench, class: u8, terms: Terms) -> (u64, Vec<Action>) {
+fn ask(b: &mut Bench, class: u8, terms: RequestPolicy) -> (u64, Vec<Action>) {
     let due = b.now + [6 * S, 2500 * MS, 3 * S][usize::from(class)];
-    b.ask_with(Request { class, object: 5, due, write: class == 2, terms, ..Request::default() })
+    b.ask_with(Request {
+        class,
+        object: 5,
+        expires_at: due,
+        write: class == 2,
+        policy: terms,
+        ..Request::default()
+    })
 }
 
 fn timer(out: &[Action], after: Micros) -> u32 {
@@ -21,7 +28,7 @@
 fn attempts_are_bounded_by_the_stricter() {
     for (terms, most) in [(0, 6), (1, 1), (2, 2), (99, 6)] {
         let mut b = Bench::new(settings(), fleet());
-        let (_, mut out) = ask(&mut b, 0, Terms { attempts: terms, ..Terms::default() });
+        let (_, mut out) = ask(&mut b, 0, RequestPolicy { attempt_limit: terms, ..RequestPolicy::default() });
         let mut sent = 0;
         while let Some(get) = gets(&out).first().copied() {
             out = refused(&mut b, get, sent);
@@ -37,7 +44,8 @@
 fn patience_is_the_shorter_one() {
     let first = |patience| {
         let mut b = Bench::new(settings(), fleet());
-        let (_, out) = ask(&mut b, 0, Terms { patience, ..Terms::default() });
+        let (_, out) =
+            ask(&mut b, 0, RequestPolicy { attempt_timeout: patience, ..RequestPolicy::default() });
         wakes(&out)[0].1
     };
     let own = first(0);
@@ -47,7 +55,7 @@
 #[test]
 fn a_pause_comes_before_the_next_attempt_and_never_before_the_answer() {
     let mut b = Bench::new(settings(), fleet());
-    let terms = Terms { pause: 70 * MS, attempts: 2, ..Terms::default() };
+    let terms = RequestPolicy { retry_delay: 70 * MS, attempt_limit: 2, ..RequestPolicy::default() };
     let (_, out) = ask(&mut b, 0, terms);
     let out = refused(&mut b, gets(&out)[0], 0);
     assert!(gets(&out).is_empty() && finals(&out) == 0);
@@ -65,14 +73,14 @@
     b.now += 70 * MS;
     assert!(b.event(Event::Timer(token)).is_empty());
     // One that no longer fits before the deadline: the answer at once.
-    let (_, out) = ask(&mut b, 1, Terms { pause: 2490 * MS, ..Terms::default() });
+    let (_, out) = ask(&mut b, 1, RequestPolicy { retry_delay: 2490 * MS, ..RequestPolicy::default() });
     assert_eq!(finals(&refused(&mut b, gets(&out)[0], 0)), 1);
 }
 
 #[test]
 fn a_second_copy_goes_elsewhere_and_one_answer_comes() {
     let mut b = Bench::new(settings(), fleet());
-    let (_, out) = ask(&mut b, 0, Terms { second: 150 * MS, ..Terms::default() });
+    let (_, out) = ask(&mut b, 0, RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() });
     let first = gets(&out)[0];
     let token = timer(&out, 150 * MS);
     b.now += 150 * MS;
@@ -83,7 +91,7 @@
     let out = b.end(second, 1, Outcome::Ok, Note::Hit);
     assert!(out.iter().any(|a| matches!(a, Action::Revoke { attempt: 0, .. })) && finals(&out) == 0);
     // Where the first has ended by then, there is no second.
-    let (_, out) = ask(&mut b, 0, Terms { second: 150 * MS, ..Terms::default() });
+    let (_, out) = ask(&mut b, 0, RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() });
     let token = timer(&out, 150 * MS);
     b.end(gets(&out)[0], 0, Outcome::Ok, Note::Hit);
     b.now += 150 * MS;
@@ -95,7 +103,7 @@
 #[test]
 fn no_terms_double_a_fragile_request() {
     let mut s = settings();
-    s.classes[2].effect = Effect::Fragile;
+    s.classes[2].effect = Effect::NotRetryable;
     let mut seen = 0;
     for attempts in [0, 1, 2, 8] {
         for pause in [0, 20 * MS, 500 * MS] {
@@ -105,7 +113,12 @@
                     for end in ends.map(Some).into_iter().chain([None]) {
                         for when in [5 * MS, 35 * MS, 350 * MS] {
                             let mut b = Bench::new(s.clone(), fleet());
-                            let terms = Terms { attempts, patience, pause, second };
+                            let terms = RequestPolicy {
+                                attempt_limit: attempts,
+                                attempt_timeout: patience,
+                                retry_delay: pause,
+                                hedge_after: second,
+                            };
                             let (_, out) = ask(&mut b, 2, terms);
                             let (start, get) = (b.now, gets(&out)[0]);
                             let mut timers: Vec<(Micros, u32)> =
--- a/tests/two_hubs.rs
+++ b/tests/two_hubs.rs
@@ -24,8 +24,21 @@
     s.classes[2].dedup_window = 6 * S;
     let weights = WeightSource::Rough;
     let routers_by_zone = vec![0, 0, 1, 2];
-    let told = Settings { notes_all: false, joins: false, parallel: false, reports_inline: false, ..s };
-    Settings { zone, routers_by_zone, weights, probes: true, siblings: Siblings::Location, ..told }
+    let told = Settings {
+        all_notes_reported: false,
+        fill_joining: false,
+        parallel_attempts: false,
+        reports_inline: false,
+        ..s
+    };
+    Settings {
+        zone,
+        routers_by_zone,
+        weight_source: weights,
+        probes: true,
+        siblings: Siblings::Location,
+        ..told
+    }
 }
 
 fn listed() -> Vec<Entry> {
@@ -54,7 +67,8 @@
         let (at, class) = (T0 + i * 25 * MS, if i % 33 == 0 { 2 } else { (i % 2) as u8 });
         let due = at + [6 * S, 2500 * MS, 3 * S][usize::from(class)];
         let (object, part) = (i * 7919 % 400, (i % 13) as u32);
-        let req = Request { id: i + 1, class, object, part, due, kbytes: 250.0, ..Request::default() };
+        let req =
+            Request { id: i + 1, class, object, part, expires_at: due, size_kb: 250.0, ..Request::default() };
         put(&mut agenda, at, What::Ask(Request { write: class == 2, ..req }));
     }
     put(&mut agenda, DRAIN, What::Drain);
@@ -95,9 +109,9 @@
                     member,
                     outcome,
                     elapsed,
-                    done,
+                    request_done: done,
                     note,
-                    waited,
+                    source_wait: waited,
                     report,
                 })
             }
@@ -125,9 +139,9 @@
                         member: addr(0),
                         outcome,
                         elapsed: S,
-                        done,
+                        request_done: done,
                         note: Note::None,
-                        waited: 0,
+                        source_wait: 0,
                         report: Report::default(),
                     };
                     r.handle(now, Event::Completed(c), &mut out);
