--- a/core/src/cold.rs
+++ b/core/src/cold.rs
@@ -29,7 +29,7 @@
     }
 
     /// Takes a share, in requests a second; gives what would be sent without one.
-    pub fn keep(&mut self, now: Micros, share: u32) -> u32 {
+    pub fn limit(&mut self, now: Micros, share: u32) -> u32 {
         if now >= self.began + SPAN {
             let spans = now.saturating_sub(self.began) / SPAN;
             // One more than was seen: a rate that grows is asked for before it is reached.
@@ -58,15 +58,15 @@
         for span in 1..8u64 {
             last = 80 / c.scale;
             (0..last).for_each(|_| c.sent());
-            let wanted = c.keep(span * SPAN, if span < 6 { 10 } else { 100 });
+            let wanted = c.limit(span * SPAN, if span < 6 { 10 } else { 100 });
             assert!((40..=44).contains(&wanted), "{wanted} wanted at a scale of {}", c.scale);
         }
         assert_eq!((last, c.scale), (80, 1), "a share that is large enough changes nothing");
         let mut c = Cold::new();
         (0..80).for_each(|_| c.sent());
-        c.keep(SPAN, 10);
+        c.limit(SPAN, 10);
         assert!(80 / c.scale <= 20, "20 in two seconds are the share, the scale is {}", c.scale);
-        assert_eq!(c.keep(3 * SPAN, 10), 0, "nobody is cold any more");
+        assert_eq!(c.limit(3 * SPAN, 10), 0, "nobody is cold any more");
         assert_eq!(c.scale, 1);
     }
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -19,23 +19,23 @@
 pub use nickelgate::{
     Addr, Entry, Learned, Lifecycle, ListForm, Micros, Note, Outcome, Report, Role, Settings, Standing, Terms,
 };
-pub use planner::{Caches, Planner};
-pub use stages::book::{Counter, Counters};
+pub use planner::{CacheTransport, Planner};
+pub use stages::accounting::{Counter, Counters};
 use std::ops::{Deref, Range};
 use std::rc::Rc;
 pub use unix_time::UnixTime;
 
 /// A client's request as a front hands it over. The texts are passed on as they came.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The client's own id of this try.
-    pub call: Box<str>,
+    pub call_id: Box<str>,
     /// Place of the class in the settings.
     pub class: u8,
     /// The object.
     pub object: u64,
     /// Its text.
-    pub row: Box<str>,
+    pub object_name: Box<str>,
     /// Which part of it.
     pub part: u32,
     /// Its purge group.
@@ -47,7 +47,7 @@
     /// Marked by the client as a repeat.
     pub repeat: bool,
     /// The idempotency key of a keyed class.
-    pub key: Option<Box<str>>,
+    pub idempotency_key: Option<Box<str>>,
     /// The bare tag of the copy that the client holds.
     pub tag: Option<Box<str>>,
     /// What is to be written, of a class that is passed on.
@@ -61,9 +61,9 @@
 /// ```
 /// use threadward_core::Body;
 ///
-/// let body = Body::part(b"<answer>".to_vec(), 1..7);
-/// assert_eq!((&*body, body.held()), (&b"answer"[..], 8));
-/// assert!(Body::part(b"short".to_vec(), 3..9).is_empty());
+/// let body = Body::from_range(b"<answer>".to_vec(), 1..7);
+/// assert_eq!((&*body, body.allocated_bytes()), (&b"answer"[..], 8));
+/// assert!(Body::from_range(b"short".to_vec(), 3..9).is_empty());
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Body {
@@ -73,12 +73,12 @@
 
 impl Body {
     /// A part of the bytes; one that lies outside them is empty.
-    pub fn part(bytes: Vec<u8>, part: Range<usize>) -> Body {
+    pub fn from_range(bytes: Vec<u8>, part: Range<usize>) -> Body {
         let part = if bytes.get(part.clone()).is_some() { part } else { 0..0 };
         Body { bytes, part }
     }
     /// Bytes of memory that it holds, the whole buffer's.
-    pub fn held(&self) -> usize {
+    pub fn allocated_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 }
@@ -103,20 +103,20 @@
 
 /// The one final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// What was asked for.
     Served(Payload),
     /// Trying again is harmless.
     Refused {
         /// How long to stay away; 0: no advice.
-        after: Micros,
+        retry_after: Micros,
     },
     /// It may have run, or cannot be carried at all.
     Failed,
 }
 
 /// Where the final answer goes. Dropped unused when the client has left.
-pub type Reply = Box<dyn FnOnce(Final)>;
+pub type Reply = Box<dyn FnOnce(FinalAnswer)>;
 
 /// How far an attempt had come when its connection failed.
 ///
@@ -124,7 +124,7 @@
 /// use threadward_core::{Outcome, Progress};
 ///
 /// assert_eq!(Progress::PartlyWritten.outcome(), Outcome::ConnectFailed, "it never ran");
-/// assert_eq!(Progress::WrittenWhole.outcome(), Outcome::Reset, "it may have");
+/// assert_eq!(Progress::FullyWritten.outcome(), Outcome::Reset, "it may have");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
@@ -133,7 +133,7 @@
     /// Some of it was not written.
     PartlyWritten,
     /// All of it was written, and no whole answer came back.
-    WrittenWhole,
+    FullyWritten,
 }
 
 impl Progress {
@@ -141,20 +141,20 @@
     pub fn outcome(self) -> Outcome {
         match self {
             Progress::NotConnected | Progress::PartlyWritten => Outcome::ConnectFailed,
-            Progress::WrittenWhole => Outcome::Reset,
+            Progress::FullyWritten => Outcome::Reset,
         }
     }
 }
 
 /// A cache's answer to an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct CacheAnswer {
     /// How it ended.
     pub outcome: Outcome,
     /// What is told of the copy or the fill.
     pub note: Note,
     /// Time to the source's first byte or failure; 0: not told.
-    pub waited: Micros,
+    pub source_wait: Micros,
     /// The cache's load, if it tells it.
     pub report: Report,
     /// What was asked for, where it ended well.
@@ -163,13 +163,13 @@
 
 /// How an attempt ended, as the side towards the caches saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The cache answered.
-    Answered(Told),
+    Answered(CacheAnswer),
     /// Its connection failed, that far into it.
-    Broke(Progress),
+    ConnectionFailed(Progress),
     /// Nothing of it was written, and what it rests on is out of date.
-    Stale,
+    Outdated,
     /// It was withdrawn, and its cache has been told so, or the connection is gone.
     Withdrawn,
 }
@@ -186,28 +186,28 @@
     /// Where a miss is filled from; none: no fill.
     pub source: Option<Addr>,
     /// 0: pass through; 1 to 3: keep at that rank.
-    pub keep: u8,
+    pub keep_rank: u8,
     /// Oldest copy that will do; 0: as the class has it.
-    pub age: Micros,
+    pub max_age: Micros,
     /// Join a fill under way.
-    pub join: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
     pub only_held: bool,
     /// The parent keeps no copy.
     pub parent_keeps_none: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub refresh_in_background: bool,
     /// When it is given up: a point on the clock.
     pub due: Micros,
     /// Its first byte leaves before this or never does: the end of the window for repeats; the end of time: no bound.
     pub send_by: Micros,
     /// A later attempt of the request must not go out on the connection of this one: a second answer to this one could
     /// not be told from its own, and would prove something false of what may not run twice.
-    pub id_once: bool,
+    pub exclusive_connection: bool,
     /// When it was decided.
-    pub decided: Micros,
+    pub decided_at: Micros,
     /// How many purges and list changes had been told by then.
     pub epoch: u64,
     /// The client's request.
-    pub ask: Rc<Ask>,
+    pub client_request: Rc<ClientRequest>,
 }
--- a/core/src/planner.rs
+++ b/core/src/planner.rs
@@ -5,24 +5,25 @@
 //! cold-start budget, so there is one.
 use crate::cold::Cold;
 use crate::job::Job;
-use crate::probes::{Pause, Watched};
-use crate::stages::{admit, book, relay, route, send, take_in};
-use crate::zoned::{Seen, Use, Zoned};
+use crate::probes::{Pause, ProbingRouter};
+use crate::stages::{accounting, admit, intake, relay, route, send};
+use crate::zoned::{ZoneObservation, ZoneTracker, ZoneUse};
 use crate::{
-    Addr, Ask, Counter, Counters, Dispatch, End, Entry, Final, Learned, ListForm, Micros, Outcome, Reply,
+    Addr, AttemptEnd, ClientRequest, Counter, Counters, Dispatch, Entry, FinalAnswer, Learned, ListForm,
+    Micros, Outcome, Reply,
 };
 use nickelgate::{Action, Completed, Event, Note, Report, Settings, Standing};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet, VecDeque};
 
 /// The way to the caches. Both calls return at once and never call back into the planner.
-pub trait Caches {
+pub trait CacheTransport {
     /// Writes the attempt and reports its end later, exactly once unless withdrawn.
     fn send(&mut self, d: Dispatch);
-    /// The attempt is given up. True: its cache has yet to be told, and [`End::Withdrawn`] is reported once it has been;
+    /// The attempt is given up. True: its cache has yet to be told, and [`AttemptEnd::Withdrawn`] is reported once it has been;
     /// else nothing more is reported of it.
     fn withdraw(&mut self, request: u64, attempt: u16) -> bool;
-    /// Asks a member for its load and reports the end later, through [`Planner::probed`].
+    /// Asks a member for its load and reports the end later, through [`Planner::probe_ended`].
     fn probe(&mut self, member: Addr);
 }
 
@@ -39,14 +40,14 @@
 /// use std::{cell::RefCell, rc::Rc};
 /// use threadward_core::stages::admit::Limits;
 /// use threadward_core::{
-///     Addr, Ask, Body, Caches, Counter, Dispatch, End, Entry, Final, ListForm, Note, Outcome, Payload, Planner, Report,
-///     Settings, Told,
+///     Addr, ClientRequest, Body, CacheTransport, Counter, Dispatch, AttemptEnd, Entry, FinalAnswer, ListForm, Note, Outcome, Payload, Planner, Report,
+///     Settings, CacheAnswer,
 /// };
 ///
 /// /// A way to caches that keeps what it is given.
 /// #[derive(Clone, Default)]
 /// struct Way(Rc<RefCell<Vec<Dispatch>>>);
-/// impl Caches for Way {
+/// impl CacheTransport for Way {
 ///     fn send(&mut self, d: Dispatch) {
 ///         self.0.borrow_mut().push(d);
 ///     }
@@ -58,10 +59,10 @@
 ///
 /// let class = nickelgate::Class { aim: 200_000, deadline: 4_000_000, ..Default::default() };
 /// let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
-/// let (way, limits) = (Way::default(), Limits { open: 1, bytes: 1 << 20, pause: 300_000 });
+/// let (way, limits) = (Way::default(), Limits { max_open: 1, max_bytes: 1 << 20, retry_after: 300_000 });
 /// let mut p = Planner::new(settings, 1, limits, Box::new(way.clone()));
 /// let cache = |n| Entry { addr: Addr { ip: [127, 0, 0, n], port: 80 }, ..Entry::default() };
-/// p.members(1_000_000, ListForm::Full, vec![cache(1), cache(2)]);
+/// p.update_members(1_000_000, ListForm::Full, vec![cache(1), cache(2)]);
 /// assert!(p.ready());
 ///
 /// // A request goes out at once, to one of the caches.
@@ -70,39 +71,39 @@
 ///     let answers = answers.clone();
 ///     Box::new(move |last| answers.borrow_mut().push(last))
 /// };
-/// let ask = |call: &str| Ask { call: call.into(), object: 7, due: 5_000_000, ..Ask::default() };
-/// let id = p.take(1_000_000, 0, ask("a"), reply()).unwrap();
+/// let ask = |call: &str| ClientRequest { call_id: call.into(), object: 7, due: 5_000_000, ..ClientRequest::default() };
+/// let id = p.accept_request(1_000_000, 0, ask("a"), reply()).unwrap();
 /// let first = way.0.borrow()[0].clone();
-/// assert_eq!((first.request, first.attempt, p.open()), (id, 0, 1));
+/// assert_eq!((first.request, first.attempt, p.open_requests()), (id, 0, 1));
 ///
 /// // One more than the limits allow is answered by the admission.
-/// assert_eq!(p.take(1_000_000, 0, ask("b"), reply()), None);
-/// assert_eq!(answers.borrow_mut().pop(), Some(Final::Refused { after: 300_000 }));
+/// assert_eq!(p.accept_request(1_000_000, 0, ask("b"), reply()), None);
+/// assert_eq!(answers.borrow_mut().pop(), Some(FinalAnswer::Refused { retry_after: 300_000 }));
 ///
 /// // The first cache has no connection: the next attempt goes to the other one, and its answer is the one final answer.
-/// p.ended(1_001_000, id, 0, End::Broke(threadward_core::Progress::NotConnected));
+/// p.attempt_ended(1_001_000, id, 0, AttemptEnd::ConnectionFailed(threadward_core::Progress::NotConnected));
 /// while way.0.borrow().len() < 2 {
 ///     p.run_timers(p.next_due().unwrap());
 /// }
 /// let second = way.0.borrow()[1].clone();
 /// assert_ne!(second.member, first.member);
-/// let payload = Payload { body: Body::part(b"photo".to_vec(), 0..5), ..Payload::default() };
-/// let told = Told {
+/// let payload = Payload { body: Body::from_range(b"photo".to_vec(), 0..5), ..Payload::default() };
+/// let answer = CacheAnswer {
 ///     outcome: Outcome::Ok,
 ///     note: Note::Hit,
-///     waited: 0,
+///     source_wait: 0,
 ///     report: Report::default(),
 ///     payload: Some(payload.clone()),
 /// };
-/// p.ended(1_200_000, id, second.attempt, End::Answered(told));
-/// assert_eq!(*answers.borrow(), [Final::Served(payload)]);
-/// assert_eq!((p.open(), p.counters.get(Counter::Served), p.counters.get(Counter::Refused)), (0, 1, 1));
+/// p.attempt_ended(1_200_000, id, second.attempt, AttemptEnd::Answered(answer));
+/// assert_eq!(*answers.borrow(), [FinalAnswer::Served(payload)]);
+/// assert_eq!((p.open_requests(), p.counters.get(Counter::Served), p.counters.get(Counter::Refused)), (0, 1, 1));
 /// ```
 pub struct Planner {
     settings: Settings,
-    router: Watched,
+    router: ProbingRouter,
     /// Where zones are left and taken back by the fleet.
-    zones: Option<Zoned>,
+    zones: Option<ZoneTracker>,
     /// The fleet's map has been followed once; until then this proxy takes nothing in.
     follows: bool,
     cold: Cold,
@@ -121,16 +122,21 @@
     epoch: u64,
     limits: admit::Limits,
     listed: bool,
-    caches: Box<dyn Caches>,
+    caches: Box<dyn CacheTransport>,
     /// What was counted since the start; fronts and pools count here too.
     pub counters: Counters,
 }
 
 impl Planner {
     /// A planner that has heard of no member yet; `seed`: of the router's dice.
-    pub fn new(settings: Settings, seed: u64, limits: admit::Limits, caches: Box<dyn Caches>) -> Self {
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        limits: admit::Limits,
+        caches: Box<dyn CacheTransport>,
+    ) -> Self {
         Planner {
-            router: Watched::new(settings.clone(), seed),
+            router: ProbingRouter::new(settings.clone(), seed),
             zones: None,
             follows: false,
             cold: Cold::new(),
@@ -158,7 +164,7 @@
     }
 
     /// How many requests are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
@@ -179,16 +185,16 @@
 
     /// So many processes share the limits, this one among them: it may hold these bytes for clients, and its part of the
     /// budgets of cold members.
-    pub fn share(&mut self, of: usize, bytes: usize) {
-        self.limits.bytes = bytes;
+    pub fn share_limits(&mut self, of: usize, bytes: usize) {
+        self.limits.max_bytes = bytes;
         self.processes = of.max(1);
         self.router.beside(self.processes * self.cold.scale as usize - 1);
     }
 
     /// The pause between two probes of a cache is what this says from here on; false: no cache is asked here.
-    pub fn pace_probes(&mut self, pause: Pause) -> bool {
-        self.router.paced(pause);
-        self.router.probes()
+    pub fn set_probe_pause(&mut self, pause: Pause) -> bool {
+        self.router.set_pause(pause);
+        self.router.is_probing()
     }
 
     /// When the next timer falls due.
@@ -198,11 +204,17 @@
 
     /// Takes a request in; gives its number, or nothing where it was answered at once by the admission. The reply is called
     /// once, perhaps before this returns, or dropped when the client leaves. `unwritten`: bytes of answers that wait for their clients.
-    pub fn take(&mut self, now: Micros, unwritten: usize, ask: Ask, reply: Reply) -> Option<u64> {
+    pub fn accept_request(
+        &mut self,
+        now: Micros,
+        unwritten: usize,
+        ask: ClientRequest,
+        reply: Reply,
+    ) -> Option<u64> {
         self.tick(now);
-        book::taken(&mut self.counters);
+        accounting::count_accepted(&mut self.counters);
         let load = admit::Load { open: self.open, bytes: unwritten + self.bodies };
-        let known = self.calls.contains(&ask.call);
+        let known = self.calls.contains(&ask.call_id);
         if known {
             self.counters.add(Counter::Unusable);
         }
@@ -211,16 +223,20 @@
             relay::answer(&mut self.counters, reply, last);
             return None;
         }
-        if self.zones.as_mut().is_some_and(|z| z.refuses(ask.class)) {
+        if self.zones.as_mut().is_some_and(|z| z.should_refuse(ask.class)) {
             self.counters.add(Counter::ZoneRefused);
-            relay::answer(&mut self.counters, reply, Final::Refused { after: self.limits.pause });
+            relay::answer(
+                &mut self.counters,
+                reply,
+                FinalAnswer::Refused { retry_after: self.limits.retry_after },
+            );
             return None;
         }
         self.next += 1;
         let id = self.next;
-        let (job, request) = take_in::enter(id, &self.settings, self.now, ask, reply);
+        let (job, request) = intake::accept(id, &self.settings, self.now, ask, reply);
         self.bodies += job.ask.body.len();
-        self.calls.insert(job.ask.call.clone());
+        self.calls.insert(job.ask.call_id.clone());
         self.jobs.insert(id, job);
         self.open += 1;
         self.drive(Event::Request(request));
@@ -228,7 +244,7 @@
     }
 
     /// The client has left: no answer is owed.
-    pub fn leave(&mut self, now: Micros, id: u64) {
+    pub fn client_left(&mut self, now: Micros, id: u64) {
         self.tick(now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.reply.take().is_some() {
@@ -239,17 +255,17 @@
     }
 
     /// An attempt ended. Late ends of withdrawn attempts are counted and change nothing.
-    pub fn ended(&mut self, now: Micros, id: u64, attempt: u16, end: End) {
+    pub fn attempt_ended(&mut self, now: Micros, id: u64, attempt: u16, end: AttemptEnd) {
         self.tick(now);
         self.settle(id, attempt, end, None);
     }
 
-    fn settle(&mut self, id: u64, attempt: u16, end: End, forced: Option<Outcome>) {
+    fn settle(&mut self, id: u64, attempt: u16, end: AttemptEnd, forced: Option<Outcome>) {
         let now = self.now;
         let out = |j: &&mut Job| j.attempts.get(usize::from(attempt)).is_some_and(|a| a.2);
         let Some(job) = self.jobs.get_mut(&id).filter(out) else {
             // That a cancel is written is no late end: it was not waited for here.
-            if end != End::Withdrawn {
+            if end != AttemptEnd::Withdrawn {
                 self.counters.add(Counter::LateEnds);
             }
             return;
@@ -258,17 +274,19 @@
         a.2 = false;
         let (sent, member) = (a.0, a.1);
         let (outcome, note, waited, report, payload) = match end {
-            End::Answered(t) => (t.outcome, t.note, t.waited, t.report, t.payload),
-            End::Broke(p) => (forced.unwrap_or(p.outcome()), Note::None, 0, Report::default(), None),
-            End::Stale => (Outcome::Moot, Note::None, 0, Report::default(), None),
-            End::Withdrawn => (Outcome::Cancelled, Note::None, 0, Report::default(), None),
+            AttemptEnd::Answered(t) => (t.outcome, t.note, t.source_wait, t.report, t.payload),
+            AttemptEnd::ConnectionFailed(p) => {
+                (forced.unwrap_or(p.outcome()), Note::None, 0, Report::default(), None)
+            }
+            AttemptEnd::Outdated => (Outcome::Moot, Note::None, 0, Report::default(), None),
+            AttemptEnd::Withdrawn => (Outcome::Cancelled, Note::None, 0, Report::default(), None),
         };
-        book::ended(&mut self.counters, outcome);
+        accounting::count_end(&mut self.counters, outcome);
         if let Some(p) = payload.filter(|_| outcome == Outcome::Ok) {
             if let Some(reply) = job.reply.take() {
                 self.open -= 1;
-                book::time(&mut self.counters, now.saturating_sub(job.taken));
-                relay::answer(&mut self.counters, reply, Final::Served(p));
+                accounting::add_service_time(&mut self.counters, now.saturating_sub(job.taken));
+                relay::answer(&mut self.counters, reply, FinalAnswer::Served(p));
             }
         }
         let done = job.reply.is_none();
@@ -278,20 +296,20 @@
     }
 
     /// A change of the list of members.
-    pub fn members(&mut self, now: Micros, form: ListForm, entries: Vec<Entry>) {
+    pub fn update_members(&mut self, now: Micros, form: ListForm, entries: Vec<Entry>) {
         self.tick(now);
         self.epoch += 1;
         self.listed |= !entries.is_empty();
         self.counters.add(Counter::Lists);
         let entries = match &mut self.zones {
-            Some(z) => z.list(form, entries),
+            Some(z) => z.update_list(form, entries),
             None => entries,
         };
         self.drive(Event::Members { form, entries });
     }
 
     /// A purge of one object or of a whole group, made so long ago at least.
-    pub fn purged(&mut self, now: Micros, ago: Micros, object: Option<u64>, group: u16) {
+    pub fn purge(&mut self, now: Micros, ago: Micros, object: Option<u64>, group: u16) {
         self.tick(now);
         self.epoch += 1;
         self.counters.add(Counter::Purges);
@@ -299,64 +317,64 @@
     }
 
     /// A message from another planner of the tier.
-    pub fn peer(&mut self, now: Micros, from: u32, payload: Vec<u8>) {
+    pub fn peer_message(&mut self, now: Micros, from: u32, payload: Vec<u8>) {
         self.tick(now);
         self.counters.add(Counter::PeerMessages);
         self.drive(Event::Peer { from, payload });
     }
 
-    /// From here on zones are left and taken back as [`Planner::follow_zones`] says; `zones`: how many the settings name.
+    /// From here on zones are left and taken back as [`Planner::set_zone_uses`] says; `zones`: how many the settings name.
     /// Before the first list: what came before it is not known.
-    pub fn by_zones(&mut self, zones: usize) {
-        self.zones = Some(Zoned::new(self.settings.clone(), zones));
+    pub fn enable_zones(&mut self, zones: usize) {
+        self.zones = Some(ZoneTracker::new(self.settings.clone(), zones));
     }
 
     /// How every zone may be used from now on, in the order of the settings, and the thousandths of all requests that are
     /// refused at once. To be called after each change, and several times a second.
-    pub fn follow_zones(&mut self, now: Micros, uses: &[Use], refused: u16) {
+    pub fn set_zone_uses(&mut self, now: Micros, uses: &[ZoneUse], refused: u16) {
         self.tick(now);
         let Some(z) = &mut self.zones else { return };
         self.follows = true;
-        let (told, doubted) = z.follow(self.now, uses, refused);
+        let (told, doubted) = z.apply_uses(self.now, uses, refused);
         if !told.is_empty() {
             // What rests on the list as it was and is not yet written leaves no more.
             self.epoch += 1;
             self.drive(Event::Members { form: ListForm::Delta, entries: told });
         }
         for e in doubted {
-            self.drive(Zoned::doubt(&e));
+            self.drive(ZoneTracker::suspicion_event(&e));
         }
     }
 
     /// What own attempts showed of each zone in the last two seconds.
-    pub fn seen(&mut self, now: Micros) -> Vec<Seen> {
+    pub fn zone_observations(&mut self, now: Micros) -> Vec<ZoneObservation> {
         self.tick(now);
         let at = self.now;
-        self.zones.as_mut().map(|z| z.seen(at)).unwrap_or_default()
+        self.zones.as_mut().map(|z| z.zone_observations(at)).unwrap_or_default()
     }
 
     /// Members that started lately are sent no more than about this by this proxy, in requests a second, while zones are
     /// followed; gives what they would be sent without it.
-    pub fn keep_cold(&mut self, now: Micros, share: u32) -> u32 {
+    pub fn limit_cold_rate(&mut self, now: Micros, share: u32) -> u32 {
         self.tick(now);
-        let wanted = self.cold.keep(self.now, share);
+        let wanted = self.cold.limit(self.now, share);
         self.router.beside(self.processes * self.cold.scale as usize - 1);
         wanted
     }
 
     /// The newest start among the members of a zone that take requests, on the clock of the list.
     pub fn newest_start(&self, zone: u16) -> Option<Micros> {
-        self.zones.as_ref().and_then(|z| z.newest(zone))
+        self.zones.as_ref().and_then(|z| z.newest_start(zone))
     }
 
     /// Enough of the other proxies hold a member suspect for their word to count; `lasts` 0: no longer.
-    pub fn rumour(&mut self, now: Micros, member: Addr, incarnation: u64, lasts: Micros) {
+    pub fn report_suspicion(&mut self, now: Micros, member: Addr, incarnation: u64, lasts: Micros) {
         self.tick(now);
         self.drive(Event::Rumour { member, incarnation, lasts });
     }
 
     /// A probe of a member ended, with the load that it told, if any.
-    pub fn probed(&mut self, now: Micros, member: Addr, outcome: Outcome, report: Report) {
+    pub fn probe_ended(&mut self, now: Micros, member: Addr, outcome: Outcome, report: Report) {
         self.tick(now);
         self.drive(Event::Probed { member, outcome, report });
     }
@@ -391,7 +409,7 @@
                     let out = self.jobs.get(&id).and_then(|j| j.attempts.get(usize::from(n)));
                     if out.is_some_and(|a| a.2) {
                         self.caches.withdraw(id, n);
-                        let end = End::Broke(crate::Progress::WrittenWhole);
+                        let end = AttemptEnd::ConnectionFailed(crate::Progress::FullyWritten);
                         self.settle(id, n, end, Some(Outcome::Timeout));
                     }
                 }
@@ -421,7 +439,7 @@
                 _ => None,
             };
             if let (Event::Completed(c), Some(z)) = (&event, &mut self.zones) {
-                z.ended(self.now, c);
+                z.attempt_ended(self.now, c);
             }
             self.router.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
@@ -439,7 +457,7 @@
     fn forget(&mut self, id: u64) {
         if let Some(job) = self.jobs.remove(&id) {
             self.bodies -= job.ask.body.len();
-            self.calls.remove(&job.ask.call);
+            self.calls.remove(&job.ask.call_id);
         }
     }
 
@@ -450,8 +468,8 @@
                 let d = send::build(job, &self.settings, &get, self.now, self.epoch);
                 let (id, n, due) = (d.request, d.attempt, d.due);
                 if let Some(z) = &mut self.zones {
-                    z.sent(self.now, (id, n), job.ask.class, get.member, get.source);
-                    if [get.member, get.source].into_iter().any(|a| z.cold_now(self.now, a)) {
+                    z.attempt_sent(self.now, (id, n), job.ask.class, get.member, get.source);
+                    if [get.member, get.source].into_iter().any(|a| z.is_cold(self.now, a)) {
                         self.cold.sent();
                     }
                 }
@@ -481,7 +499,7 @@
                 }
                 a.2 = false;
                 let (sent, member, done) = (a.0, a.1, job.reply.is_none());
-                book::ended(&mut self.counters, Outcome::Cancelled);
+                accounting::count_end(&mut self.counters, Outcome::Cancelled);
                 return Some(Event::Completed(Completed {
                     request: id,
                     attempt: n,
@@ -494,7 +512,7 @@
                     report: Report::default(),
                 }));
             }
-            route::Order::Wake(token, after) => self.arm(self.now + after, Due::Router(token)),
+            route::Order::SetTimer(token, after) => self.arm(self.now + after, Due::Router(token)),
             route::Order::Probe(member) => {
                 self.counters.add(Counter::LoadProbes);
                 self.caches.probe(member);
--- a/core/src/probes.rs
+++ b/core/src/probes.rs
@@ -27,13 +27,13 @@
 ///
 /// ```
 /// use nickelgate::{Action, Addr, Entry, Event, ListForm, ReportColumns, Request, Settings};
-/// use threadward_core::probes::Watched;
+/// use threadward_core::probes::ProbingRouter;
 ///
 /// let columns = ReportColumns { x1: Some(0), ..ReportColumns::default() };
 /// let settings = Settings { probes: true, columns, ..Settings::default() };
 /// let addr = Addr { ip: [127, 0, 0, 1], port: 80 };
 /// let probes = |settings: Settings| {
-///     let (mut w, mut all) = (Watched::new(settings, 1), Vec::new());
+///     let (mut w, mut all) = (ProbingRouter::new(settings, 1), Vec::new());
 ///     let entries = vec![Entry { addr, ..Entry::default() }];
 ///     w.handle(1_000_000, Event::Members { form: ListForm::Full, entries }, &mut all);
 ///     for id in 0..100 {
@@ -46,26 +46,26 @@
 /// assert_eq!(probes(settings.clone()), 1);
 /// assert_eq!(probes(Settings { reports_inline: true, ..settings }), 0, "load comes with the answers");
 /// ```
-pub struct Watched {
+pub struct ProbingRouter {
     router: Router,
     prober: Option<Prober>,
 }
 
-impl Watched {
+impl ProbingRouter {
     /// A router for these settings; it probes only where load is told in no other way.
-    pub fn new(settings: Settings, seed: u64) -> Watched {
+    pub fn new(settings: Settings, seed: u64) -> ProbingRouter {
         let told = settings.columns.x1.is_some() && !settings.reports_inline;
         let prober = (settings.probes && told).then(|| Prober::new(&settings));
-        Watched { router: Router::new(settings, seed), prober }
+        ProbingRouter { router: Router::new(settings, seed), prober }
     }
 
     /// From here on the pause between two probes of a cache is what this says at the moment.
-    pub fn paced(&mut self, pause: Pause) {
+    pub fn set_pause(&mut self, pause: Pause) {
         self.prober.iter_mut().for_each(|p| p.pause = Some(pause.clone()));
     }
 
     /// Whether caches are asked for their load at all.
-    pub fn probes(&self) -> bool {
+    pub fn is_probing(&self) -> bool {
         self.prober.is_some()
     }
 
@@ -90,14 +90,14 @@
     }
 }
 
-impl Deref for Watched {
+impl Deref for ProbingRouter {
     type Target = Router;
     fn deref(&self) -> &Router {
         &self.router
     }
 }
 
-impl DerefMut for Watched {
+impl DerefMut for ProbingRouter {
     fn deref_mut(&mut self) -> &mut Router {
         &mut self.router
     }
@@ -212,7 +212,7 @@
         Event::Members { form: ListForm::Full, entries: states.iter().map(entry).collect() }
     }
 
-    fn probed(w: &mut Watched, now: Micros) -> Vec<Addr> {
+    fn probed(w: &mut ProbingRouter, now: Micros) -> Vec<Addr> {
         let mut out = Vec::new();
         let due = now + 1_000 * MS;
         w.handle(now, Event::Request(Request { id: now, due, ..Request::default() }), &mut out);
@@ -221,7 +221,7 @@
 
     /// A minute of 100 requests a second at a site with two caches, one that drains, a parent and an origin.
     fn minute(on: bool, inline: bool) -> BTreeMap<Addr, Vec<Micros>> {
-        let mut w = Watched::new(settings(on, inline), 1);
+        let mut w = ProbingRouter::new(settings(on, inline), 1);
         let (ready, drains) = (Lifecycle::Ready, Lifecycle::Draining);
         let all = [(1, 0, ready), (2, 0, ready), (3, 0, drains), (4, 1, ready), (5, 2, ready)];
         w.handle(0, listed(&all), &mut Vec::new());
@@ -260,7 +260,7 @@
 
     #[test]
     fn a_cache_that_never_answers_takes_no_turn_from_the_others() {
-        let mut w = Watched::new(settings(true, false), 1);
+        let mut w = ProbingRouter::new(settings(true, false), 1);
         w.handle(0, listed(&[(1, 0, Lifecycle::Ready), (2, 0, Lifecycle::Ready)]), &mut Vec::new());
         let mut seen = [0, 0];
         for now in (0..20_000).step_by(10).map(|t| 1_000_000 + t * MS) {
--- a/core/src/shift.rs
+++ b/core/src/shift.rs
@@ -19,71 +19,71 @@
 
 /// What a process shows of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sign {
+pub struct ProcessStatus {
     /// Its place in the order of succession.
     pub rank: Rank,
     /// How far it has come.
     pub phase: Phase,
     /// The version of the bans that it has in force.
-    pub bans: u64,
+    pub bans_version: u64,
 }
 
 /// How the others stand to this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct View {
+pub struct OtherProcesses {
     /// How many live beside this one: the limits hold for all together.
     pub others: usize,
     /// Another one is ready: this one may give way when it is told to end, be it the old one or a new one that is
     /// given up.
-    pub relieved: bool,
+    pub other_ready: bool,
     /// The oldest version of the bans that one of them has in force.
-    pub bans: Option<u64>,
+    pub min_bans_version: Option<u64>,
     /// Another one is ready, or ends: clients have it.
-    pub served: bool,
+    pub other_serving: bool,
     /// The first of those that start.
-    pub first: Option<Rank>,
+    pub first_starting: Option<Rank>,
 }
 
-impl View {
+impl OtherProcesses {
     /// Whether the process of this rank may listen before it is ready: nobody serves, and of those that start it is the
     /// first. Else two that start together could wait for each other.
     ///
     /// ```
-    /// use threadward_core::shift::{view, Phase, Sign};
+    /// use threadward_core::shift::{summarize, Phase, ProcessStatus};
     ///
-    /// let starts = Sign { rank: (5, 100), ..Sign::default() };
-    /// assert!(view(&[starts]).alone((4, 101)) && !view(&[starts]).alone((6, 101)));
-    /// assert!(!view(&[Sign { phase: Phase::Leaving, ..starts }]).alone((4, 101)));
+    /// let starts = ProcessStatus { rank: (5, 100), ..ProcessStatus::default() };
+    /// assert!(summarize(&[starts]).may_listen_early((4, 101)) && !summarize(&[starts]).may_listen_early((6, 101)));
+    /// assert!(!summarize(&[ProcessStatus { phase: Phase::Leaving, ..starts }]).may_listen_early((4, 101)));
     /// ```
-    pub fn alone(&self, own: Rank) -> bool {
-        !self.served && self.first.is_none_or(|f| own < f)
+    pub fn may_listen_early(&self, own: Rank) -> bool {
+        !self.other_serving && self.first_starting.is_none_or(|f| own < f)
     }
 }
 
 /// What a process makes of the others that live.
 ///
 /// ```
-/// use threadward_core::shift::{view, Phase, Sign};
+/// use threadward_core::shift::{summarize, Phase, ProcessStatus};
 ///
-/// let old = Sign { rank: (5, 100), phase: Phase::Ready, bans: 7 };
-/// let new = Sign { rank: (9, 101), phase: Phase::Starting, bans: 6 };
-/// assert!(!view(&[new]).relieved && view(&[old]).relieved);
-/// let both = view(&[old, new]);
-/// assert_eq!((both.others, both.bans), (2, Some(6)));
+/// let old = ProcessStatus { rank: (5, 100), phase: Phase::Ready, bans_version: 7 };
+/// let new = ProcessStatus { rank: (9, 101), phase: Phase::Starting, bans_version: 6 };
+/// assert!(!summarize(&[new]).other_ready && summarize(&[old]).other_ready);
+/// let both = summarize(&[old, new]);
+/// assert_eq!((both.others, both.min_bans_version), (2, Some(6)));
 /// ```
-pub fn view(others: &[Sign]) -> View {
-    View {
+pub fn summarize(others: &[ProcessStatus]) -> OtherProcesses {
+    OtherProcesses {
         others: others.len(),
-        relieved: others.iter().any(|o| o.phase == Phase::Ready),
-        bans: others.iter().map(|o| o.bans).min(),
-        served: others.iter().any(|o| o.phase != Phase::Starting),
-        first: others.iter().filter(|o| o.phase == Phase::Starting).map(|o| o.rank).min(),
+        other_ready: others.iter().any(|o| o.phase == Phase::Ready),
+        min_bans_version: others.iter().map(|o| o.bans_version).min(),
+        other_serving: others.iter().any(|o| o.phase != Phase::Starting),
+        first_starting: others.iter().filter(|o| o.phase == Phase::Starting).map(|o| o.rank).min(),
     }
 }
 
 /// What readiness rests on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Facts {
+pub struct ReadinessFacts {
     /// It was told to end.
     pub ending: bool,
     /// A list of members is there.
@@ -102,14 +102,14 @@
 /// What is still missing, in words for staff.
 ///
 /// ```
-/// use threadward_core::shift::{ready, Facts};
+/// use threadward_core::shift::{ready, ReadinessFacts};
 ///
-/// let all = Facts { ending: false, listed: true, adopted: true, followed: true, listening: true };
+/// let all = ReadinessFacts { ending: false, listed: true, adopted: true, followed: true, listening: true };
 /// assert_eq!(ready(all), Ok(()));
-/// assert_eq!(ready(Facts { followed: false, ..all }), Err("bulletin not yet heard"));
-/// assert_eq!(ready(Facts { ending: true, ..all }), Err("ending"));
+/// assert_eq!(ready(ReadinessFacts { followed: false, ..all }), Err("bulletin not yet heard"));
+/// assert_eq!(ready(ReadinessFacts { ending: true, ..all }), Err("ending"));
 /// ```
-pub fn ready(f: Facts) -> Result<(), &'static str> {
+pub fn ready(f: ReadinessFacts) -> Result<(), &'static str> {
     let all = [
         (!f.ending, "ending"),
         (f.listed, "no list of cache servers yet"),
--- a/core/src/stages.rs
+++ b/core/src/stages.rs
@@ -1,21 +1,27 @@
-//! The stages that every request passes, each a unit of its own: take in, admit, route, send, relay, book. They
+//! The stages that every request passes, each a unit of its own: take in, admit, route, send, relay, accounting. They
 //! own the translation between a front's request and the router's words. They must never decide where a request
 //! goes, and none of them waits or keeps state: the planner does that.
 
 /// Makes a request of the router's from a front's.
-pub mod take_in {
+pub mod intake {
     use crate::job::Job;
-    use crate::{Ask, Micros, Reply};
+    use crate::{ClientRequest, Micros, Reply};
     use nickelgate::{Request, Settings};
     use std::rc::Rc;
 
-    pub(crate) fn enter(id: u64, s: &Settings, now: Micros, ask: Ask, reply: Reply) -> (Job, Request) {
-        let request = request(id, s, &ask);
+    pub(crate) fn accept(
+        id: u64,
+        s: &Settings,
+        now: Micros,
+        ask: ClientRequest,
+        reply: Reply,
+    ) -> (Job, Request) {
+        let request = router_request(id, s, &ask);
         (Job { ask: Rc::new(ask), reply: Some(reply), taken: now, attempts: Vec::new() }, request)
     }
 
     /// What the router is told of a request.
-    pub fn request(id: u64, s: &Settings, ask: &Ask) -> Request {
+    pub fn router_request(id: u64, s: &Settings, ask: &ClientRequest) -> Request {
         Request {
             id,
             class: ask.class,
@@ -34,18 +40,18 @@
 
 /// Keeps out what cannot be carried: beyond the bound on open requests, of no class, or under an id in use.
 pub mod admit {
-    use crate::{Ask, Final, Micros};
+    use crate::{ClientRequest, FinalAnswer, Micros};
     use nickelgate::Settings;
 
     /// What may be held at once.
     #[derive(Clone, Copy, Debug)]
     pub struct Limits {
         /// Requests that may be owed an answer at once: bounds memory and queues.
-        pub open: usize,
+        pub max_open: usize,
         /// Bytes that may be held for clients, answers not yet written and bodies not yet sent: bounds memory.
-        pub bytes: usize,
+        pub max_bytes: usize,
         /// How long a client is told to stay away when that is reached.
-        pub pause: Micros,
+        pub retry_after: Micros,
     }
 
     /// What is held at the moment.
@@ -64,30 +70,30 @@
     ///
     /// ```
     /// use threadward_core::stages::admit::{check, Limits, Load};
-    /// use threadward_core::{Ask, Final, Settings};
+    /// use threadward_core::{ClientRequest, FinalAnswer, Settings};
     ///
-    /// let limits = Limits { open: 2, bytes: 100, pause: 500_000 };
+    /// let limits = Limits { max_open: 2, max_bytes: 100, retry_after: 500_000 };
     /// let s = Settings { classes: vec![nickelgate::Class::default()], ..Settings::default() };
-    /// let ask = Ask { due: 9_000, ..Ask::default() };
+    /// let ask = ClientRequest { due: 9_000, ..ClientRequest::default() };
     /// let judge = |open, now, known| check(&limits, &s, Load { open, bytes: 0 }, now, &ask, known);
     /// assert_eq!(judge(1, 1_000, false), Ok(()));
-    /// assert_eq!(judge(2, 1_000, false), Err(Final::Refused { after: 500_000 }));
-    /// assert_eq!(judge(1, 9_000, false), Err(Final::Refused { after: 500_000 }), "too late");
-    /// assert_eq!(judge(1, 1_000, true), Err(Final::Failed));
+    /// assert_eq!(judge(2, 1_000, false), Err(FinalAnswer::Refused { retry_after: 500_000 }));
+    /// assert_eq!(judge(1, 9_000, false), Err(FinalAnswer::Refused { retry_after: 500_000 }), "too late");
+    /// assert_eq!(judge(1, 1_000, true), Err(FinalAnswer::Failed));
     /// ```
     pub fn check(
         l: &Limits,
         s: &Settings,
         load: Load,
         now: Micros,
-        ask: &Ask,
+        ask: &ClientRequest,
         known: bool,
-    ) -> Result<(), Final> {
+    ) -> Result<(), FinalAnswer> {
         if known || usize::from(ask.class) >= s.classes.len() {
-            return Err(Final::Failed);
+            return Err(FinalAnswer::Failed);
         }
-        if load.open >= l.open || load.bytes >= l.bytes || now >= ask.due {
-            return Err(Final::Refused { after: l.pause });
+        if load.open >= l.max_open || load.bytes >= l.max_bytes || now >= ask.due {
+            return Err(FinalAnswer::Refused { retry_after: l.retry_after });
         }
         Ok(())
     }
@@ -95,7 +101,7 @@
 
 /// Turns the router's actions into orders; the decisions themselves are the router's.
 pub mod route {
-    use crate::{Addr, Final, Micros};
+    use crate::{Addr, FinalAnswer, Micros};
     use nickelgate::{Action, Get};
 
     /// What the planner is to do.
@@ -103,11 +109,11 @@
         /// An attempt is to go out.
         Send(Get),
         /// The request's final answer.
-        Answer(u64, Final),
+        Answer(u64, FinalAnswer),
         /// The attempt of the request is given up.
         Withdraw(u64, u16),
         /// The router wants this timer, so long from now.
-        Wake(u32, Micros),
+        SetTimer(u32, Micros),
         /// A member is to be asked for its load.
         Probe(Addr),
         /// Nothing is to be done here.
@@ -118,11 +124,11 @@
     ///
     /// ```
     /// use nickelgate::Action;
-    /// use threadward_core::{stages::route::{order, Order}, Final};
+    /// use threadward_core::{stages::route::{order, Order}, FinalAnswer};
     ///
     /// let declined = Action::Decline { request: 4, retry_after: 20_000 };
-    /// assert!(matches!(order(declined), Order::Answer(4, Final::Refused { after: 20_000 })));
-    /// assert!(matches!(order(Action::Fail(4)), Order::Answer(4, Final::Failed)));
+    /// assert!(matches!(order(declined), Order::Answer(4, FinalAnswer::Refused { retry_after: 20_000 })));
+    /// assert!(matches!(order(Action::Fail(4)), Order::Answer(4, FinalAnswer::Failed)));
     /// assert!(matches!(order(Action::Revoke { request: 4, attempt: 1 }), Order::Withdraw(4, 1)));
     /// assert!(matches!(order(Action::Refresh), Order::Nothing));
     /// ```
@@ -130,11 +136,11 @@
         match action {
             Action::Get(g) => Order::Send(g),
             Action::Decline { request, retry_after } => {
-                Order::Answer(request, Final::Refused { after: Micros::from(retry_after) })
+                Order::Answer(request, FinalAnswer::Refused { retry_after: Micros::from(retry_after) })
             }
-            Action::Fail(request) => Order::Answer(request, Final::Failed),
+            Action::Fail(request) => Order::Answer(request, FinalAnswer::Failed),
             Action::Revoke { request, attempt } => Order::Withdraw(request, attempt),
-            Action::Wake { token, after } => Order::Wake(token, Micros::from(after)),
+            Action::Wake { token, after } => Order::SetTimer(token, Micros::from(after)),
             Action::Probe(member) => Order::Probe(member),
             // Changes of the list come unasked here.
             Action::Track | Action::Refresh => Order::Nothing,
@@ -158,51 +164,51 @@
             attempt,
             member: get.member,
             source: Some(get.source).filter(|s| *s != get.member),
-            keep: get.keep,
-            age: Micros::from(get.age),
-            join: get.join,
+            keep_rank: get.keep,
+            max_age: Micros::from(get.age),
+            join_fill: get.join,
             only_held: get.only_held,
             parent_keeps_none: get.parent_keeps_none,
-            renew: get.renew,
+            refresh_in_background: get.renew,
             due: job.ask.due.min(own),
-            id_once: !harmless || !s.parallel,
+            exclusive_connection: !harmless || !s.parallel,
             send_by: if get.send_by == 0 { Micros::MAX } else { get.send_by },
-            decided: now,
+            decided_at: now,
             epoch,
-            ask: job.ask.clone(),
+            client_request: job.ask.clone(),
         }
     }
 }
 
 /// Hands the one final answer to the front; a `Reply` can be used once only.
 pub mod relay {
-    use super::book::{Counter, Counters};
-    use crate::{Final, Reply};
+    use super::accounting::{Counter, Counters};
+    use crate::{FinalAnswer, Reply};
 
     /// Counts the answer and hands it over.
     ///
     /// ```
     /// use std::{cell::Cell, rc::Rc};
-    /// use threadward_core::{stages::relay::answer, Counter, Counters, Final};
+    /// use threadward_core::{stages::relay::answer, Counter, Counters, FinalAnswer};
     ///
     /// let (mut counters, got) = (Counters::default(), Rc::new(Cell::new(None)));
     /// let to = got.clone();
-    /// answer(&mut counters, Box::new(move |last| to.set(Some(last))), Final::Failed);
-    /// assert_eq!((got.take(), counters.line()), (Some(Final::Failed), "answersFailed=1".into()));
+    /// answer(&mut counters, Box::new(move |last| to.set(Some(last))), FinalAnswer::Failed);
+    /// assert_eq!((got.take(), counters.line()), (Some(FinalAnswer::Failed), "answersFailed=1".into()));
     /// ```
-    pub fn answer(counters: &mut Counters, reply: Reply, last: Final) {
+    pub fn answer(counters: &mut Counters, reply: Reply, last: FinalAnswer) {
         counters.add(match &last {
-            Final::Served(p) if p.unchanged => Counter::Unchanged,
-            Final::Served(_) => Counter::Served,
-            Final::Refused { .. } => Counter::Refused,
-            Final::Failed => Counter::Failed,
+            FinalAnswer::Served(p) if p.unchanged => Counter::Unchanged,
+            FinalAnswer::Served(_) => Counter::Served,
+            FinalAnswer::Refused { .. } => Counter::Refused,
+            FinalAnswer::Failed => Counter::Failed,
         });
         reply(last);
     }
 }
 
 /// Counts what is taken in, sent and answered.
-pub mod book {
+pub mod accounting {
     use crate::Micros;
     use nickelgate::Outcome;
 
@@ -334,17 +340,17 @@
     }
 
     /// A request was taken in.
-    pub fn taken(c: &mut Counters) {
+    pub fn count_accepted(c: &mut Counters) {
         c.add(Counter::Taken);
     }
 
     /// A request was served, after so many microseconds.
-    pub fn time(c: &mut Counters, spent: Micros) {
+    pub fn add_service_time(c: &mut Counters, spent: Micros) {
         c.0[Counter::ServedMillis as usize] += spent / 1000;
     }
 
     /// An attempt ended so.
-    pub fn ended(c: &mut Counters, outcome: Outcome) {
+    pub fn count_end(c: &mut Counters, outcome: Outcome) {
         c.add(match outcome {
             Outcome::Ok => Counter::EndOk,
             Outcome::Miss => Counter::EndMiss,
--- a/core/src/unix_time.rs
+++ b/core/src/unix_time.rs
@@ -10,8 +10,8 @@
 ///
 /// let started = UnixTime::from_millis(1_500);
 /// assert!(started < UnixTime::from_micros(2_000_000));
-/// assert_eq!(UnixTime::from_micros(2_000_000).after(started), 500_000);
-/// assert_eq!(started.after(UnixTime::from_micros(2_000_000)), 0);
+/// assert_eq!(UnixTime::from_micros(2_000_000).micros_since(started), 500_000);
+/// assert_eq!(started.micros_since(UnixTime::from_micros(2_000_000)), 0);
 /// ```
 ///
 /// It cannot be compared with a point on the monotonic clock:
@@ -45,7 +45,7 @@
     }
 
     /// The span from an earlier point to this one; 0 where that one is not earlier.
-    pub fn after(self, earlier: UnixTime) -> Micros {
+    pub fn micros_since(self, earlier: UnixTime) -> Micros {
         self.0.saturating_sub(earlier.0)
     }
 }
--- a/core/src/zoned.rs
+++ b/core/src/zoned.rs
@@ -8,46 +8,46 @@
 
 /// What own attempts showed of a zone in the last two seconds. Numbers stop at their type's largest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub struct ZoneObservation {
     /// Its place in the settings.
     pub zone: u16,
     /// Attempts that ended or outlasted patience.
-    pub tried: u16,
+    pub attempts: u16,
     /// Those of them without a good answer.
     pub failed: u16,
     /// Members that were tried.
     pub members: u16,
     /// Those of them at which most attempts failed.
-    pub bad: u16,
+    pub bad_members: u16,
     /// Attempts in the two seconds, those that are out as well.
     pub load: u16,
     /// The mean use that its members reported, in 255ths; 0: none was told.
-    pub busy: u8,
+    pub mean_use: u8,
 }
 
-impl Seen {
+impl ZoneObservation {
     /// Most attempts failed, at most of the members that were tried.
-    pub fn fails(&self) -> bool {
-        self.tried > 0
-            && u32::from(self.failed) * 2 > u32::from(self.tried)
-            && u32::from(self.bad) * 2 > u32::from(self.members)
+    pub fn is_failing(&self) -> bool {
+        self.attempts > 0
+            && u32::from(self.failed) * 2 > u32::from(self.attempts)
+            && u32::from(self.bad_members) * 2 > u32::from(self.members)
     }
 }
 
 /// How a zone may be used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Use {
+pub enum ZoneUse {
     /// As ever.
     #[default]
-    All,
+    Normal,
     /// Its members are in doubt: one own failure is enough.
-    Doubted,
+    Suspected,
     /// As one that started lately and can do this share of what it does when warm, in thousandths.
-    Part(u16),
+    Ramping(u16),
     /// As one that is warm: this proxy is one of so few that try it that all of them cost it less than it bears cold.
-    Tried,
+    Trial,
     /// Nothing new goes there, nor is filled from there.
-    None,
+    Unused,
 }
 
 /// Span of what is told, in buckets.
@@ -92,10 +92,10 @@
 }
 
 /// The zones of one planner. Its tables hold the listed members, the open attempts and two seconds of evidence, no more.
-pub struct Zoned {
+pub struct ZoneTracker {
     settings: Settings,
     list: BTreeMap<Addr, Entry>,
-    uses: Vec<Use>,
+    uses: Vec<ZoneUse>,
     /// Where a zone's ramp stood, in thousandths of the way from cold to warm, and when.
     ramps: Vec<Option<(Micros, u16)>>,
     doubted: Micros,
@@ -107,14 +107,14 @@
     shed: Shed,
 }
 
-impl Zoned {
+impl ZoneTracker {
     /// `zones`: how many the settings name.
-    pub fn new(settings: Settings, zones: usize) -> Zoned {
-        Zoned {
+    pub fn new(settings: Settings, zones: usize) -> ZoneTracker {
+        ZoneTracker {
             shed: Shed::new(&settings),
             settings,
             list: BTreeMap::new(),
-            uses: vec![Use::All; zones],
+            uses: vec![ZoneUse::Normal; zones],
             ramps: vec![None; zones],
             doubted: 0,
             out: BTreeMap::new(),
@@ -125,7 +125,7 @@
     }
 
     /// A change of the list, as the router is to be told of it.
-    pub fn list(&mut self, form: ListForm, mut entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn update_list(&mut self, form: ListForm, mut entries: Vec<Entry>) -> Vec<Entry> {
         if form != ListForm::Failed {
             if form != ListForm::Delta {
                 self.list.retain(|a, _| entries.iter().any(|e| e.addr == *a));
@@ -150,14 +150,14 @@
         if role == Role::Origin || e.state != Lifecycle::Ready || z >= self.uses.len() {
             return e;
         }
-        if self.uses[z] == Use::None {
+        if self.uses[z] == ZoneUse::Unused {
             e.state = Lifecycle::Draining;
         }
         if let Some((at, stood)) = self.ramps[z] {
             let way = self.cold(role) * Micros::from(stood) / 1000;
             e.since = e.since.max(at.saturating_sub(way));
         }
-        if self.uses[z] == Use::Tried {
+        if self.uses[z] == ZoneUse::Trial {
             e.since = 0;
         }
         e
@@ -172,25 +172,25 @@
     }
 
     /// What the fleet says of every zone; gives the members that the router is to be told of anew, and those in doubt.
-    pub fn follow(&mut self, now: Micros, uses: &[Use], refused: u16) -> (Vec<Entry>, Vec<Entry>) {
+    pub fn apply_uses(&mut self, now: Micros, uses: &[ZoneUse], refused: u16) -> (Vec<Entry>, Vec<Entry>) {
         self.shed.share = refused.min(1000);
         let mut changed = vec![false; self.uses.len()];
         for (z, new) in uses.iter().enumerate().take(self.uses.len()) {
             let old = std::mem::replace(&mut self.uses[z], *new);
-            changed[z] = [Use::None, Use::Tried].iter().any(|u| (old == *u) != (*new == *u));
-            if let Use::Part(p) = *new {
+            changed[z] = [ZoneUse::Unused, ZoneUse::Trial].iter().any(|u| (old == *u) != (*new == *u));
+            if let ZoneUse::Ramping(p) = *new {
                 let role =
                     self.list.values().find(|e| usize::from(e.zone) == z).map(|e| self.settings.role(e));
                 let span = self.cold(role.unwrap_or_default()).max(1);
                 let stands = self.ramps[z].map(|(at, p)| u64::from(p) + now.saturating_sub(at) * 1000 / span);
                 let right = |s: u64| (u64::from(p)..=u64::from(p) + AHEAD).contains(&s);
-                if !matches!(old, Use::Part(_)) || !stands.is_some_and(right) {
+                if !matches!(old, ZoneUse::Ramping(_)) || !stands.is_some_and(right) {
                     self.ramps[z] = Some((now, p));
                     changed[z] = true;
                 }
             }
         }
-        let again = now >= self.doubted + DOUBT / 2 && self.uses.contains(&Use::Doubted);
+        let again = now >= self.doubted + DOUBT / 2 && self.uses.contains(&ZoneUse::Suspected);
         if !again && !changed.contains(&true) {
             return (Vec::new(), Vec::new());
         }
@@ -202,7 +202,7 @@
         let doubted: Vec<Entry> = self
             .list
             .values()
-            .filter(|e| again && of(e, &|z| self.uses[z] == Use::Doubted))
+            .filter(|e| again && of(e, &|z| self.uses[z] == ZoneUse::Suspected))
             .map(|e| self.shown(*e))
             .collect();
         if !doubted.is_empty() {
@@ -212,23 +212,23 @@
     }
 
     /// Whether a member started so lately that it is cold, as the router sees it.
-    pub(crate) fn cold_now(&self, now: Micros, member: Addr) -> bool {
+    pub(crate) fn is_cold(&self, now: Micros, member: Addr) -> bool {
         let e = self.list.get(&member).map(|e| self.shown(*e));
         e.is_some_and(|e| e.since > 0 && now < e.since + self.cold(self.settings.role(&e)))
     }
 
     /// The event that holds a member in doubt.
-    pub fn doubt(e: &Entry) -> Event {
+    pub fn suspicion_event(e: &Entry) -> Event {
         Event::Rumour { member: e.addr, incarnation: e.incarnation, lasts: DOUBT }
     }
 
     /// Whether this request is refused at once: what fits nowhere while the own zone is out, of least worth first.
-    pub fn refuses(&mut self, class: u8) -> bool {
+    pub fn should_refuse(&mut self, class: u8) -> bool {
         self.shed.refuses(usize::from(class))
     }
 
     /// An attempt leaves.
-    pub fn sent(&mut self, now: Micros, id: (u64, u16), class: u8, member: Addr, source: Addr) {
+    pub fn attempt_sent(&mut self, now: Micros, id: (u64, u16), class: u8, member: Addr, source: Addr) {
         let c = self.settings.classes.get(usize::from(class));
         // Twice the wanted time, or half of the client's patience: what comes later is as good as no answer.
         let slow = c.map_or(Micros::MAX, |c| (2 * c.aim).min((c.deadline / 2).max(c.aim)));
@@ -246,7 +246,7 @@
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Micros, c: &Completed) {
+    pub fn attempt_ended(&mut self, now: Micros, c: &Completed) {
         let Some(o) = self.out.remove(&(c.request, c.attempt)) else { return };
         let filled = matches!(c.note, Note::Filled | Note::FilledOrigin | Note::Joined);
         let late = now >= o.slow;
@@ -324,7 +324,7 @@
     }
 
     /// What own attempts showed of each zone in the last two seconds; those that outlasted patience count as failed.
-    pub fn seen(&mut self, now: Micros) -> Vec<Seen> {
+    pub fn zone_observations(&mut self, now: Micros) -> Vec<ZoneObservation> {
         let silent: Vec<(u64, u16)> =
             self.out.iter().filter(|(_, o)| !o.counted && now >= o.slow).map(|(id, _)| *id).collect();
         for id in silent {
@@ -340,7 +340,7 @@
         let recent = self.buckets.iter().filter(|b| b.number > late);
         let lately: BTreeSet<u16> = recent.flat_map(|b| b.members.keys()).filter_map(zone).collect();
         let mut members: BTreeMap<Addr, Tried> = BTreeMap::new();
-        let mut zones: BTreeMap<u16, (Seen, u32, u32)> = BTreeMap::new();
+        let mut zones: BTreeMap<u16, (ZoneObservation, u32, u32)> = BTreeMap::new();
         for b in &self.buckets {
             for (a, t) in &b.members {
                 if b.number <= late && zone(a).is_some_and(|z| lately.contains(&z)) {
@@ -364,20 +364,20 @@
                 continue;
             };
             let s = &mut zones.entry(e.zone).or_default().0;
-            s.tried = s.tried.saturating_add(t.all);
+            s.attempts = s.attempts.saturating_add(t.all);
             s.failed = s.failed.saturating_add(t.failed);
             s.members = s.members.saturating_add(1);
-            s.bad = s.bad.saturating_add(u16::from(t.failed * 2 > t.all));
+            s.bad_members = s.bad_members.saturating_add(u16::from(t.failed * 2 > t.all));
         }
-        let told = |(zone, (s, sum, n)): (u16, (Seen, u32, u32))| {
-            let busy = sum.checked_div(n).unwrap_or(0).min(255) as u8;
-            Seen { zone, busy, ..s }
+        let told = |(zone, (s, sum, n)): (u16, (ZoneObservation, u32, u32))| {
+            let mean_use = sum.checked_div(n).unwrap_or(0).min(255) as u8;
+            ZoneObservation { zone, mean_use, ..s }
         };
         zones.into_iter().filter(|(z, _)| usize::from(*z) < self.uses.len()).map(told).collect()
     }
 
     /// The newest start among a zone's members, of those that take requests.
-    pub fn newest(&self, zone: u16) -> Option<Micros> {
+    pub fn newest_start(&self, zone: u16) -> Option<Micros> {
         let of = self.list.values().filter(|e| e.zone == zone && e.state == Lifecycle::Ready);
         of.map(|e| e.since).filter(|s| *s > 0).max()
     }
--- a/core/tests/withdrawn.rs
+++ b/core/tests/withdrawn.rs
@@ -3,7 +3,8 @@
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
 use threadward_core::{
-    Addr, Ask, Caches, Dispatch, End, Entry, Lifecycle, ListForm, Micros, Planner, Progress, Settings,
+    Addr, AttemptEnd, CacheTransport, ClientRequest, Dispatch, Entry, Lifecycle, ListForm, Micros, Planner,
+    Progress, Settings,
 };
 
 const MS: Micros = 1_000;
@@ -17,7 +18,7 @@
 /// A way to caches on which a cancel waits until the test says that it is written.
 struct Way(Rc<RefCell<Seen>>);
 
-impl Caches for Way {
+impl CacheTransport for Way {
     fn send(&mut self, d: Dispatch) {
         self.0.borrow_mut().sent.push(d);
     }
@@ -33,14 +34,14 @@
     let class = nickelgate::Class { aim: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
     let s = Settings { classes: vec![class], cancel: true, parallel, max_attempts: 6, ..Settings::default() };
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let limits = Limits { open: 10, bytes: 1 << 20, pause: 0 };
+    let limits = Limits { max_open: 10, max_bytes: 1 << 20, retry_after: 0 };
     let mut p = Planner::new(s, 1, limits, Box::new(Way(seen.clone())));
     let cache =
         |n| Entry { addr: Addr { ip: [127, 0, 0, n], port: 1 }, state: Lifecycle::Ready, ..Entry::default() };
     let mut now = 1_000_000 * MS;
-    p.members(now, ListForm::Full, vec![cache(1), cache(2)]);
-    let ask = Ask { call: "1".into(), due: now + 4_000 * MS, ..Ask::default() };
-    let id = p.take(now, 0, ask, Box::new(|_| {})).unwrap();
+    p.update_members(now, ListForm::Full, vec![cache(1), cache(2)]);
+    let ask = ClientRequest { call_id: "1".into(), due: now + 4_000 * MS, ..ClientRequest::default() };
+    let id = p.accept_request(now, 0, ask, Box::new(|_| {})).unwrap();
     while seen.borrow().withdrawn == 0 && seen.borrow().sent.len() < 2 {
         now = p.next_due().unwrap();
         p.run_timers(now);
@@ -56,7 +57,7 @@
         (1, 1),
         "the second before the first is off"
     );
-    p.ended(now + 5 * MS, id, 0, End::Withdrawn);
+    p.attempt_ended(now + 5 * MS, id, 0, AttemptEnd::Withdrawn);
     let sent: Vec<Addr> = seen.borrow().sent.iter().map(|d| d.member).collect();
     assert_eq!(sent.len(), 2, "none after the cancel was written");
     assert_ne!(sent[0], sent[1], "to the silent one again");
@@ -65,8 +66,8 @@
 #[test]
 fn an_end_that_crosses_the_withdrawal_counts_once() {
     let (mut p, seen, id, now) = silent(false);
-    p.ended(now + MS, id, 0, End::Broke(Progress::WrittenWhole));
-    p.ended(now + 2 * MS, id, 0, End::Withdrawn);
+    p.attempt_ended(now + MS, id, 0, AttemptEnd::ConnectionFailed(Progress::FullyWritten));
+    p.attempt_ended(now + 2 * MS, id, 0, AttemptEnd::Withdrawn);
     assert_eq!(seen.borrow().sent.len(), 2);
     assert_eq!(p.counters.get(threadward_core::Counter::LateEnds), 0);
 }
@@ -77,7 +78,11 @@
     while let Some(at) = p.next_due() {
         p.run_timers(at);
     }
-    assert_eq!((p.open(), seen.borrow().sent.len()), (0, 1), "answered at its time, nothing sent beside");
+    assert_eq!(
+        (p.open_requests(), seen.borrow().sent.len()),
+        (0, 1),
+        "answered at its time, nothing sent beside"
+    );
 }
 
 #[test]
--- a/core/tests/zoned.rs
+++ b/core/tests/zoned.rs
@@ -4,10 +4,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
-use threadward_core::zoned::{Use, Zoned};
+use threadward_core::zoned::{ZoneTracker, ZoneUse};
 use threadward_core::{
-    Addr, Ask, Caches, Dispatch, End, Entry, Final, Lifecycle, ListForm, Micros, Note, Outcome, Payload,
-    Planner, Report, Settings, Told,
+    Addr, AttemptEnd, CacheAnswer, CacheTransport, ClientRequest, Dispatch, Entry, FinalAnswer, Lifecycle,
+    ListForm, Micros, Note, Outcome, Payload, Planner, Report, Settings,
 };
 
 const MS: Micros = 1_000;
@@ -15,7 +15,7 @@
 
 struct Way(Rc<RefCell<Vec<Dispatch>>>);
 
-impl Caches for Way {
+impl CacheTransport for Way {
     fn send(&mut self, d: Dispatch) {
         self.0.borrow_mut().push(d);
     }
@@ -65,12 +65,12 @@
         ..Settings::default()
     };
     let sent = Rc::default();
-    let limits = Limits { open: 1000, bytes: 1 << 20, pause: 0 };
+    let limits = Limits { max_open: 1000, max_bytes: 1 << 20, retry_after: 0 };
     let mut planner = Planner::new(s, 1, limits, Box::new(Way(Rc::clone(&sent))));
-    planner.by_zones(3);
+    planner.enable_zones(3);
     let drains = Entry { state: Lifecycle::Draining, ..parent(1, 2) };
     let all = vec![cache(1), cache(2), parent(1, 1), drains, parent(2, 1), parent(2, 2)];
-    planner.members(T0, ListForm::Full, all);
+    planner.update_members(T0, ListForm::Full, all);
     World { planner, sent, now: T0, next: 0 }
 }
 
@@ -80,25 +80,25 @@
         &mut self,
         class: u8,
         end: Option<(Outcome, Note)>,
-    ) -> (Vec<Dispatch>, Rc<RefCell<Option<Final>>>) {
+    ) -> (Vec<Dispatch>, Rc<RefCell<Option<FinalAnswer>>>) {
         self.next += 1;
-        let ask = Ask {
-            call: format!("{}", self.next).into(),
+        let ask = ClientRequest {
+            call_id: format!("{}", self.next).into(),
             class,
             object: self.next,
             due: self.now + 4_000 * MS,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         let got = Rc::new(RefCell::new(None));
         let last = Rc::clone(&got);
-        self.planner.take(self.now, 0, ask, Box::new(move |f| *last.borrow_mut() = Some(f)));
+        self.planner.accept_request(self.now, 0, ask, Box::new(move |f| *last.borrow_mut() = Some(f)));
         let sent: Vec<Dispatch> = self.sent.borrow_mut().drain(..).collect();
         self.go(10 * MS);
         for d in &sent {
             let Some((outcome, note)) = end else { continue };
             let payload = (outcome == Outcome::Ok).then(Payload::default);
-            let told = Told { outcome, note, waited: 8 * MS, report: Report::default(), payload };
-            self.planner.ended(self.now, d.request, d.attempt, End::Answered(told));
+            let told = CacheAnswer { outcome, note, source_wait: 8 * MS, report: Report::default(), payload };
+            self.planner.attempt_ended(self.now, d.request, d.attempt, AttemptEnd::Answered(told));
         }
         (sent, got)
     }
@@ -126,9 +126,9 @@
     let mut w = world();
     let before = w.tried(200);
     assert!(before[1] > 30 && before[2] > 60, "{before:?}");
-    w.planner.follow_zones(w.now, &[Use::All, Use::None, Use::All], 0);
+    w.planner.set_zone_uses(w.now, &[ZoneUse::Normal, ZoneUse::Unused, ZoneUse::Normal], 0);
     assert_eq!(w.tried(200)[1], 0, "sent to a zone that is left");
-    w.planner.follow_zones(w.now, &[Use::All; 3], 0);
+    w.planner.set_zone_uses(w.now, &[ZoneUse::Normal; 3], 0);
     // `tried` sees to it that the one that drains gets nothing.
     assert!(w.tried(200)[1] > 30, "nothing goes where the fleet is back");
 }
@@ -137,21 +137,21 @@
 fn a_zone_in_part_starts_cold_one_that_few_try_does_not() {
     let mut w = world();
     let warm = w.tried(300)[1];
-    w.planner.follow_zones(w.now, &[Use::All, Use::None, Use::All], 0);
+    w.planner.set_zone_uses(w.now, &[ZoneUse::Normal, ZoneUse::Unused, ZoneUse::Normal], 0);
     w.go(MS);
-    w.planner.follow_zones(w.now, &[Use::All, Use::Part(0), Use::All], 0);
+    w.planner.set_zone_uses(w.now, &[ZoneUse::Normal, ZoneUse::Ramping(0), ZoneUse::Normal], 0);
     let cold = w.tried(100)[1];
     assert!(cold * 3 * 2 < warm, "{cold} of 100 beside {warm} of 300: as if it were warm");
     // The fleet says so again and again: the way to warm goes on from where it began.
     for _ in 0..110 {
         w.go(100 * MS);
-        w.planner.follow_zones(w.now, &[Use::All, Use::Part(1000), Use::All], 0);
+        w.planner.set_zone_uses(w.now, &[ZoneUse::Normal, ZoneUse::Ramping(1000), ZoneUse::Normal], 0);
     }
     let after = w.tried(300)[1];
     assert!(after * 3 > warm * 2, "{after} of {warm} after the cold time");
     let young = Entry { since: w.now, ..parent(1, 1) };
-    w.planner.members(w.now, ListForm::Delta, vec![young]);
-    w.planner.follow_zones(w.now, &[Use::All, Use::Tried, Use::All], 0);
+    w.planner.update_members(w.now, ListForm::Delta, vec![young]);
+    w.planner.set_zone_uses(w.now, &[ZoneUse::Normal, ZoneUse::Trial, ZoneUse::Normal], 0);
     let tried = w.tried(100)[1];
     assert!(tried * 3 * 2 > warm, "{tried} of 100 beside {warm} of 300: one of few that try it");
 }
@@ -159,12 +159,12 @@
 #[test]
 fn what_fits_nowhere_is_refused_of_least_worth_first() {
     let mut w = world();
-    w.planner.follow_zones(w.now, &[Use::All; 3], 300);
+    w.planner.set_zone_uses(w.now, &[ZoneUse::Normal; 3], 300);
     let mut refused = [0, 0];
     for k in 0..1000 {
         let class = k % 2;
         let got = w.ask(class as u8, Some((Outcome::Ok, Note::Hit))).1;
-        refused[class] += usize::from(matches!(*got.borrow(), Some(Final::Refused { .. })));
+        refused[class] += usize::from(matches!(*got.borrow(), Some(FinalAnswer::Refused { .. })));
     }
     assert_eq!(refused[0], 0, "of the greater worth");
     assert!((280..=310).contains(&refused[1]), "{refused:?} of 1000 for three tenths");
@@ -174,8 +174,8 @@
 /// zones 0 and 1 look like then: tried and failed.
 fn silence(other_answers: bool, given_up: bool) -> [(u16, u16); 2] {
     let s = world().planner.settings().clone();
-    let mut z = Zoned::new(s, 3);
-    z.list(ListForm::Full, vec![cache(1), cache(2), parent(1, 1), parent(2, 1)]);
+    let mut z = ZoneTracker::new(s, 3);
+    z.update_list(ListForm::Full, vec![cache(1), cache(2), parent(1, 1), parent(2, 1)]);
     let end = |request, member, outcome, elapsed| Completed {
         request,
         attempt: 0,
@@ -187,16 +187,16 @@
         waited: 0,
         report: Report::default(),
     };
-    z.sent(T0, (1, 0), 0, cache(1).addr, parent(1, 1).addr);
+    z.attempt_sent(T0, (1, 0), 0, cache(1).addr, parent(1, 1).addr);
     if other_answers {
-        z.sent(T0, (2, 0), 0, cache(2).addr, parent(2, 1).addr);
-        z.ended(T0 + 20 * MS, &end(2, cache(2).addr, Outcome::Ok, 20 * MS));
+        z.attempt_sent(T0, (2, 0), 0, cache(2).addr, parent(2, 1).addr);
+        z.attempt_ended(T0 + 20 * MS, &end(2, cache(2).addr, Outcome::Ok, 20 * MS));
     }
     if given_up {
-        z.ended(T0 + 300 * MS, &end(1, cache(1).addr, Outcome::Cancelled, 300 * MS));
+        z.attempt_ended(T0 + 300 * MS, &end(1, cache(1).addr, Outcome::Cancelled, 300 * MS));
     }
-    let seen = z.seen(T0 + if given_up { 300 } else { 900 } * MS);
-    [0, 1].map(|n| seen.iter().find(|s| s.zone == n).map_or((0, 0), |s| (s.tried, s.failed)))
+    let seen = z.zone_observations(T0 + if given_up { 300 } else { 900 } * MS);
+    [0, 1].map(|n| seen.iter().find(|s| s.zone == n).map_or((0, 0), |s| (s.attempts, s.failed)))
 }
 
 #[test]
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::{self, Read};
-use threadward_core::probes::Watched;
+use threadward_core::probes::ProbingRouter;
 
 const HEADER: usize = 20;
 const EVENT: usize = 56;
@@ -261,7 +261,7 @@
 /// The routers of this process, one per instance. They share nothing.
 #[derive(Default)]
 pub struct Hub {
-    routers: BTreeMap<u16, Watched>,
+    routers: BTreeMap<u16, ProbingRouter>,
     actions: Vec<Action>,
 }
 
@@ -290,7 +290,7 @@
             match code {
                 1 => {
                     let settings = parse_settings(tail_part(tail, &rec, 11, 1)?)?;
-                    self.routers.insert(id, Watched::new(settings, rec.u64(3)?));
+                    self.routers.insert(id, ProbingRouter::new(settings, rec.u64(3)?));
                 }
                 10 => {
                     self.routers.remove(&id);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -18,7 +18,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
-use threadward_core::{Ask, Body, Dispatch, End, Final, Payload, Planner, Progress, Told};
+use threadward_core::{
+    AttemptEnd, Body, CacheAnswer, ClientRequest, Dispatch, FinalAnswer, Payload, Planner, Progress,
+};
 use threadward_gossip::{Gossip, News, Out, BELIEVED};
 
 pub const S: Micros = 1_000_000;
@@ -190,7 +192,7 @@
     Arrive(usize, usize),
     /// A proxy's timers.
     Timers(usize),
-    End(usize, u64, u16, Box<End>),
+    End(usize, u64, u16, Box<AttemptEnd>),
     Look(usize),
     Tick(usize),
     Datagram {
@@ -206,7 +208,7 @@
 struct Proxy {
     planner: Planner,
     orders: Rc<RefCell<Vec<Order>>>,
-    answers: Rc<RefCell<Vec<(usize, Final)>>>,
+    answers: Rc<RefCell<Vec<(usize, FinalAnswer)>>>,
     gossip: Option<Gossip>,
     armed: Micros,
     gossip_armed: Micros,
@@ -294,10 +296,10 @@
         let mut arrivals = Vec::new();
         for i in 0..sc.proxies {
             let (orders, answers) = (Rc::default(), Rc::default());
-            let limits = Limits { open: 4096, bytes: usize::MAX, pause: 250 * MS };
+            let limits = Limits { max_open: 4096, max_bytes: usize::MAX, retry_after: 250 * MS };
             let link = Box::new(RecordedLink(Rc::clone(&orders)));
             let mut planner = Planner::new(settings.clone(), sc.seed ^ i as u64, limits, link);
-            planner.members(T0, ListForm::Full, entries(&sc));
+            planner.update_members(T0, ListForm::Full, entries(&sc));
             let gossip = (sc.talk != Talk::Silent).then(|| {
                 let mut entropy = [0; 32];
                 stream(sc.seed, 0x100 + i as u64).fill_bytes(&mut entropy);
@@ -383,7 +385,7 @@
                 }
                 Event::End(i, id, n, end) => {
                     if self.proxies[i].out.remove(&(id, n)) {
-                        self.proxies[i].planner.ended(now, id, n, *end);
+                        self.proxies[i].planner.attempt_ended(now, id, n, *end);
                         self.after(i);
                     }
                 }
@@ -400,7 +402,7 @@
                     self.purged.insert(object, now);
                     self.stores.values_mut().for_each(|s| s.drop(object));
                     for i in 0..self.proxies.len() {
-                        self.proxies[i].planner.purged(now, 0, Some(object), 0);
+                        self.proxies[i].planner.purge(now, 0, Some(object), 0);
                         self.after(i);
                     }
                 }
@@ -441,7 +443,7 @@
         let now = self.queue.now;
         for i in 0..self.proxies.len() {
             let list = entries(&self.sc).into_iter().filter(|e| e.addr == member).map(&change).collect();
-            self.proxies[i].planner.members(now, ListForm::Delta, list);
+            self.proxies[i].planner.update_members(now, ListForm::Delta, list);
             self.after(i);
         }
     }
@@ -472,17 +474,17 @@
         let class = &self.settings.classes[usize::from(a.class)];
         self.asked += class.worth;
         self.report.requests += 1;
-        let ask = Ask {
-            call: format!("{i}-{k}").into(),
+        let ask = ClientRequest {
+            call_id: format!("{i}-{k}").into(),
             class: a.class,
             object: a.object,
-            row: format!("{:016x}", a.object).into(),
+            object_name: format!("{:016x}", a.object).into(),
             due: now + class.deadline,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         let answers = self.proxies[i].answers.clone();
         let reply = Box::new(move |last| answers.borrow_mut().push((k, last)));
-        self.proxies[i].planner.take(now, 0, ask, reply);
+        self.proxies[i].planner.accept_request(now, 0, ask, reply);
         self.after(i);
     }
 
@@ -503,7 +505,7 @@
             }
         }
         let now = self.queue.now;
-        let answers: Vec<(usize, Final)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
+        let answers: Vec<(usize, FinalAnswer)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
         let s = &self.settings;
         let mut served = 0;
         for (k, last) in answers {
@@ -515,14 +517,14 @@
                 self.report.broken.push(format!("request {k} of n{i} answered after {took} us"));
             }
             match last {
-                Final::Served(_) => {
+                FinalAnswer::Served(_) => {
                     served += 1;
                     self.report.served += 1;
                     self.spent += took;
                     self.earned += class.worth * if took <= class.aim { 1.0 } else { class.late_worth };
                 }
-                Final::Refused { .. } => self.report.refused += 1,
-                Final::Failed => self.report.failed += 1,
+                FinalAnswer::Refused { .. } => self.report.refused += 1,
+                FinalAnswer::Failed => self.report.failed += 1,
             }
         }
         if let Some(g) = &mut self.proxies[i].gossip {
@@ -538,36 +540,44 @@
     /// An attempt reaches a stand-in: checked against the rules, then answered in its time.
     fn send(&mut self, i: usize, d: &Dispatch) {
         let now = self.queue.now;
-        let (id, n, member, object) = (d.request, d.attempt, d.member, d.ask.object);
+        let (id, n, member, object) = (d.request, d.attempt, d.member, d.client_request.object);
         self.proxies[i].out.insert((id, n));
         let drained = |a: &Addr| self.leaving.get(a).is_some_and(|at| now > at + S);
         if drained(&member) || d.source.as_ref().is_some_and(drained) {
             self.report.broken.push(format!("sent to {member:?} after its drain"));
         }
         let purged = self.purged.get(&object).copied().filter(|at| now > at + 300 * MS && now < at + 6 * S);
-        if let Some(at) = purged.filter(|at| d.ask.class != 2 && (d.age == 0 || d.age > now - at)) {
+        if let Some(at) =
+            purged.filter(|at| d.client_request.class != 2 && (d.max_age == 0 || d.max_age > now - at))
+        {
             self.report.broken.push(format!("a copy from before {at} would do for a request at {now}"));
         }
-        if d.ask.class == 2 {
+        if d.client_request.class == 2 {
             let before = self.proxies[i].ran.insert(id, n);
             if before.is_some() {
                 self.report.broken.push(format!("booking {id} of n{i} went out again"));
             }
         }
-        let sending = [90, 20, 5][usize::from(d.ask.class)] * MS;
+        let sending = [90, 20, 5][usize::from(d.client_request.class)] * MS;
         self.cold(member, sending);
         let word = |w: u64| draw(&[self.sc.seed, i as u64, id, u64::from(n), member.ip[3].into(), w]);
         let between = |w, least: Micros, most: Micros| least + (word(w) * (most - least) as f64) as Micros;
         let near = between(1, 8 * MS, 30 * MS) + (sending as f64 * (0.5 + word(2))) as Micros;
         let told = |outcome, note, waited| {
-            let body = Payload { body: Body::part(vec![1], 0..1), tag: "t".into(), unchanged: false };
+            let body = Payload { body: Body::from_range(vec![1], 0..1), tag: "t".into(), unchanged: false };
             let payload = (outcome == Outcome::Ok).then_some(body);
-            End::Answered(Told { outcome, note, waited, report: Report::default(), payload })
+            AttemptEnd::Answered(CacheAnswer {
+                outcome,
+                note,
+                source_wait: waited,
+                report: Report::default(),
+                payload,
+            })
         };
         let (after, end) = match self.trouble(member, now) {
             Some(Trouble::Hang) => return,
-            Some(Trouble::FailFast) => (5 * MS, End::Broke(Progress::WrittenWhole)),
-            _ if d.ask.class == 2 => {
+            Some(Trouble::FailFast) => (5 * MS, AttemptEnd::ConnectionFailed(Progress::FullyWritten)),
+            _ if d.client_request.class == 2 => {
                 let way = d.source.map_or(0, |_| between(3, 60 * MS, 120 * MS));
                 (near + way, told(Outcome::Ok, Note::FilledOrigin, way))
             }
@@ -588,10 +598,11 @@
                 }
             }
         };
-        if d.ask.class != 2 && matches!(&end, End::Answered(t) if t.outcome == Outcome::Ok) {
+        if d.client_request.class != 2 && matches!(&end, AttemptEnd::Answered(t) if t.outcome == Outcome::Ok)
+        {
             self.stores.entry(member).or_default().take(object, self.sc.held.0);
         }
-        if let End::Answered(Told { outcome: Outcome::Miss, .. }) = end {
+        if let AttemptEnd::Answered(CacheAnswer { outcome: Outcome::Miss, .. }) = end {
             self.proxies[i].ran.remove(&id);
         }
         self.queue.put(now + after, Event::End(i, id, n, Box::new(end)));
@@ -647,9 +658,16 @@
             let planner = &mut self.proxies[i].planner;
             match news {
                 News::Doubt(d) => {
-                    planner.rumour(now, d.member, d.incarnation, if d.believed { BELIEVED } else { 0 });
+                    planner.report_suspicion(
+                        now,
+                        d.member,
+                        d.incarnation,
+                        if d.believed { BELIEVED } else { 0 },
+                    );
+                }
+                News::Still { member, incarnation } => {
+                    planner.report_suspicion(now, member, incarnation, BELIEVED)
                 }
-                News::Still { member, incarnation } => planner.rumour(now, member, incarnation, BELIEVED),
                 _ => {}
             }
         }
--- a/lab/src/recorded_link.rs
+++ b/lab/src/recorded_link.rs
@@ -4,7 +4,7 @@
 use nickelgate::Addr;
 use std::cell::RefCell;
 use std::rc::Rc;
-use threadward_core::{Caches, Dispatch};
+use threadward_core::{CacheTransport, Dispatch};
 
 /// What a planner asked its link to do.
 pub(crate) enum Order {
@@ -17,7 +17,7 @@
 /// The link of one planner; the simulation shares its list of orders.
 pub(crate) struct RecordedLink(pub Rc<RefCell<Vec<Order>>>);
 
-impl Caches for RecordedLink {
+impl CacheTransport for RecordedLink {
     fn send(&mut self, dispatch: Dispatch) {
         self.0.borrow_mut().push(Order::Send(Box::new(dispatch)));
     }
--- a/lab/src/regions/arrivals.rs
+++ b/lab/src/regions/arrivals.rs
@@ -3,7 +3,7 @@
 use crate::day::Day;
 use crate::{stream, unit};
 use nickelgate::Micros;
-use threadward_core::{Ask, Final};
+use threadward_core::{ClientRequest, FinalAnswer};
 
 /// The first stream of random numbers that belongs to arrivals; each proxy has one.
 const STREAM: u64 = 0x1000;
@@ -49,31 +49,31 @@
         if self.touched(i, now) {
             self.report.asked_hit += class.worth;
         }
-        let ask = Ask {
-            call: format!("{i}-{index}").into(),
+        let ask = ClientRequest {
+            call_id: format!("{i}-{index}").into(),
             class: arrival.class,
             object: arrival.object,
             due: now + class.deadline,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         if let Some(next) = self.arrivals[i].get(index + 1) {
             self.queue.put(next.at, Event::Arrive(i, index + 1));
         }
         let answers = self.proxies[i].answers.clone();
         let reply = Box::new(move |last| answers.borrow_mut().push((index, last)));
-        self.proxies[i].planner.take(now, 0, ask, reply);
+        self.proxies[i].planner.accept_request(now, 0, ask, reply);
         self.after(i);
     }
 
     /// Takes the answers that a planner has given since the last call.
     pub(super) fn take_answers(&mut self, i: usize) {
-        let answers: Vec<(usize, Final)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
+        let answers: Vec<(usize, FinalAnswer)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
         for (index, last) in answers {
             self.take_answer(i, index, &last);
         }
     }
 
-    fn take_answer(&mut self, i: usize, index: usize, last: &Final) {
+    fn take_answer(&mut self, i: usize, index: usize, last: &FinalAnswer) {
         let arrival = &mut self.arrivals[i][index];
         arrival.answered += 1;
         let (at, class) = (arrival.at, &self.settings.classes[usize::from(arrival.class)]);
@@ -83,15 +83,15 @@
         }
         let earned = class.worth * if took <= class.aim { 1.0 } else { class.late_worth };
         match last {
-            Final::Served(_) => {
+            FinalAnswer::Served(_) => {
                 self.report.served += 1;
                 self.report.earned += earned;
                 if self.touched(i, at) {
                     self.report.earned_hit += earned;
                 }
             }
-            Final::Refused { .. } => self.report.refused += 1,
-            Final::Failed => self.report.failed += 1,
+            FinalAnswer::Refused { .. } => self.report.refused += 1,
+            FinalAnswer::Failed => self.report.failed += 1,
         }
     }
 
--- a/lab/src/regions/control.rs
+++ b/lab/src/regions/control.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 use threadward_budgets::Budgets;
 use threadward_zones::map::Epoch;
-use threadward_zones::{Out, Seat, Seen, Use, Zones};
+use threadward_zones::{Out, Seat, ZoneObservation, ZoneUse, Zones};
 
 const LEASE: Micros = 1_200_000;
 /// The first stream of random numbers that belongs to the entropy of instances; each proxy has one.
@@ -57,9 +57,17 @@
 }
 
 /// What a liar says: that one hub fails, and nothing of any location.
-fn lie(seen: &mut Vec<Seen>, hubs: std::ops::Range<u16>, zone: u16) {
+fn lie(seen: &mut Vec<ZoneObservation>, hubs: std::ops::Range<u16>, zone: u16) {
     seen.retain(|report| hubs.contains(&report.zone) && report.zone != zone);
-    seen.push(Seen { zone, tried: 900, failed: 900, members: 90, bad: 90, load: 60_000, busy: 1 });
+    seen.push(ZoneObservation {
+        zone,
+        attempts: 900,
+        failed: 900,
+        members: 90,
+        bad_members: 90,
+        load: 60_000,
+        mean_use: 1,
+    });
 }
 
 impl Regions {
@@ -71,7 +79,7 @@
         }
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
-        let mut seen = proxy.planner.seen(now);
+        let mut seen = proxy.planner.zone_observations(now);
         if self.day.liar == Some(i) {
             lie(&mut seen, self.day.locations..self.day.many(), self.day.hub(0));
         }
@@ -106,8 +114,8 @@
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
         if control.zones.ready(now) {
-            let uses: Vec<Use> = (0..self.day.many()).map(|zone| control.zones.usage(zone)).collect();
-            proxy.planner.follow_zones(now, &uses, control.zones.refused());
+            let uses: Vec<ZoneUse> = (0..self.day.many()).map(|zone| control.zones.usage(zone)).collect();
+            proxy.planner.set_zone_uses(now, &uses, control.zones.refused());
         }
         let epoch = control.zones.map().epoch;
         if epoch > control.epoch {
--- a/lab/src/regions/mod.rs
+++ b/lab/src/regions/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
-use threadward_core::{End, Final, Planner};
+use threadward_core::{AttemptEnd, FinalAnswer, Planner};
 use threadward_zones::map::Epoch;
 use threadward_zones::state::State;
 use threadward_zones::wire;
@@ -48,7 +48,7 @@
     /// The timers of a planner.
     Timers(usize),
     /// The end of an attempt: of a request, and the number of the attempt.
-    End(usize, u64, u16, Box<End>),
+    End(usize, u64, u16, Box<AttemptEnd>),
     /// A proxy looks at what its traffic showed.
     Observe(usize),
     /// The timer of a proxy's budgets.
@@ -66,7 +66,7 @@
 struct Proxy {
     planner: Planner,
     orders: Rc<RefCell<Vec<Order>>>,
-    answers: Rc<RefCell<Vec<(usize, Final)>>>,
+    answers: Rc<RefCell<Vec<(usize, FinalAnswer)>>>,
     control: Option<ControlPart>,
     /// When its planner's timer is due.
     armed: Micros,
@@ -111,14 +111,14 @@
 impl Proxy {
     fn new(day: &Day, i: usize) -> Proxy {
         let (orders, answers) = (Rc::default(), Rc::default());
-        let limits = Limits { open: 4096, bytes: usize::MAX, pause: 250 * MS };
+        let limits = Limits { max_open: 4096, max_bytes: usize::MAX, retry_after: 250 * MS };
         let link = Box::new(RecordedLink(Rc::clone(&orders)));
         let mut planner = Planner::new(day.settings(i), day.seed ^ i as u64, limits, link);
         let control = day.zones.then(|| ControlPart::new(day, i));
         if control.is_some() {
-            planner.by_zones(usize::from(day.many()));
+            planner.enable_zones(usize::from(day.many()));
         }
-        planner.members(T0, ListForm::Full, day.entries(i));
+        planner.update_members(T0, ListForm::Full, day.entries(i));
         let (in_flight, ran) = (HashSet::new(), HashSet::new());
         Proxy { planner, orders, answers, control, armed: Micros::MAX, in_flight, ran }
     }
@@ -199,7 +199,7 @@
             }
             Event::End(i, request, attempt, end) => {
                 if self.proxies[i].in_flight.remove(&(request, attempt)) {
-                    self.proxies[i].planner.ended(now, request, attempt, *end);
+                    self.proxies[i].planner.attempt_ended(now, request, attempt, *end);
                     self.after(i);
                 }
             }
--- a/lab/src/regions/outages.rs
+++ b/lab/src/regions/outages.rs
@@ -58,7 +58,7 @@
         let now = self.queue.now;
         for i in 0..self.day.proxies {
             if self.day.lists(i, zone) {
-                self.proxies[i].planner.members(now, ListForm::Delta, list.clone());
+                self.proxies[i].planner.update_members(now, ListForm::Delta, list.clone());
                 self.after(i);
             }
         }
--- a/lab/src/regions/rules.rs
+++ b/lab/src/regions/rules.rs
@@ -27,7 +27,7 @@
             self.check_member(i, member);
         }
         let request = dispatch.request;
-        if dispatch.ask.class == BOOKINGS && !self.proxies[i].ran.insert(request) {
+        if dispatch.client_request.class == BOOKINGS && !self.proxies[i].ran.insert(request) {
             self.report.broken.push(format!("booking {request} of n{i} went out again"));
         }
     }
--- a/lab/src/regions/stand_ins.rs
+++ b/lab/src/regions/stand_ins.rs
@@ -7,7 +7,7 @@
 use crate::draw;
 use nickelgate::{Addr, Micros, Note, Outcome, Report};
 use std::collections::{BTreeMap, HashSet, VecDeque};
-use threadward_core::{Body, Dispatch, End, Payload, Progress, Told};
+use threadward_core::{AttemptEnd, Body, CacheAnswer, Dispatch, Payload, Progress};
 
 /// Mean sending time of each class, and of all as they are asked for.
 const SENDING: [Micros; 3] = [90 * MS, 20 * MS, 5 * MS];
@@ -97,7 +97,7 @@
 impl Attempt<'_> {
     /// Each draw belongs to the request, the attempt and the member, so two runs of one seed differ only where decisions do.
     fn new(seed: u64, proxy: usize, dispatch: &Dispatch) -> Attempt<'_> {
-        let sending = SENDING[usize::from(dispatch.ask.class)];
+        let sending = SENDING[usize::from(dispatch.client_request.class)];
         let member = u64::from(u32::from_be_bytes(dispatch.member.ip));
         let attempt = u64::from(dispatch.attempt);
         let word = |purpose: u64| draw(&[seed, proxy as u64, dispatch.request, attempt, member, purpose]);
@@ -116,19 +116,22 @@
 /// How an attempt ends, and after what time.
 struct Reply {
     after: Micros,
-    end: End,
+    end: AttemptEnd,
 }
 
 impl Reply {
     fn broken() -> Reply {
-        Reply { after: 5 * MS, end: End::Broke(Progress::WrittenWhole) }
+        Reply { after: 5 * MS, end: AttemptEnd::ConnectionFailed(Progress::FullyWritten) }
     }
 
     fn answered(after: Micros, outcome: Outcome, note: Note, waited: Micros, busy: f32) -> Reply {
-        let body = Payload { body: Body::part(vec![1], 0..1), tag: "t".into(), unchanged: false };
+        let body = Payload { body: Body::from_range(vec![1], 0..1), tag: "t".into(), unchanged: false };
         let payload = (outcome == Outcome::Ok).then_some(body);
         let report = Report { n: 1, values: [busy, 0.0, 0.0, 0.0] };
-        Reply { after, end: End::Answered(Told { outcome, note, waited, report, payload }) }
+        Reply {
+            after,
+            end: AttemptEnd::Answered(CacheAnswer { outcome, note, source_wait: waited, report, payload }),
+        }
     }
 }
 
@@ -147,7 +150,7 @@
 
     /// What comes of an attempt; nothing, where the member is silent.
     fn answer(&mut self, attempt: &Attempt) -> Option<Reply> {
-        let Dispatch { member, request, ref ask, .. } = *attempt.dispatch;
+        let Dispatch { member, request, client_request: ref ask, .. } = *attempt.dispatch;
         let harm = self.harm(attempt.proxy, member, self.queue.now, attempt.member_lot);
         match harm {
             Some(Harm::Kill) => return None,
@@ -204,7 +207,7 @@
             self.forget(attempt);
             return Some(Reply::answered(8 * MS, Outcome::Refused, Note::SourceRefused, 4 * MS, busy));
         };
-        let at_hub = source != ORIGIN && self.held(source, attempt.dispatch.ask.object, HUB_HOLDS);
+        let at_hub = source != ORIGIN && self.held(source, attempt.dispatch.client_request.object, HUB_HOLDS);
         let (note, way) = if at_hub {
             (Note::Filled, between(attempt.fill, 25 * MS, 70 * MS))
         } else {
@@ -218,7 +221,7 @@
     /// The member holds no copy after all: its fill came to nothing.
     fn forget(&mut self, attempt: &Attempt) {
         let stand_in = self.stand_ins.entry(attempt.dispatch.member).or_default();
-        stand_in.filled.remove(&attempt.dispatch.ask.object);
+        stand_in.filled.remove(&attempt.dispatch.client_request.object);
     }
 
     fn wait_at_origin(&mut self, units: f64) -> Micros {
--- a/lab/src/scale/discovery.rs
+++ b/lab/src/scale/discovery.rs
@@ -15,7 +15,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use threadward_core::stages::admit::Limits;
-use threadward_core::{Caches, Dispatch, Planner};
+use threadward_core::{CacheTransport, Dispatch, Planner};
 
 const SECOND: Micros = 1_000_000;
 /// A comment that keeps a silent watch open.
@@ -32,7 +32,7 @@
 /// No way to any cache: the planner is asked for nothing.
 struct NoCaches;
 
-impl Caches for NoCaches {
+impl CacheTransport for NoCaches {
     fn send(&mut self, _: Dispatch) {}
     fn withdraw(&mut self, _: u64, _: u16) -> bool {
         false
@@ -110,7 +110,7 @@
     let before = meter.allocated();
     let mut planner = new_planner(seed);
     let from = thread_nanoseconds();
-    planner.members(SECOND, ListForm::Full, read_list(&list));
+    planner.update_members(SECOND, ListForm::Full, read_list(&list));
     let list_seconds = (thread_nanoseconds() - from) / 1e9;
     let many = (purges_per_second * seconds as f64) as u64;
     let (mut bytes, mut nanoseconds) = (0usize, 0.0);
@@ -120,7 +120,7 @@
         bytes += event.len();
         let from = thread_nanoseconds();
         if let Some((object, issued)) = read_purge(&event) {
-            planner.purged(now, now.saturating_sub(issued), Some(object), 0);
+            planner.purge(now, now.saturating_sub(issued), Some(object), 0);
         }
         planner.run_timers(now);
         nanoseconds += thread_nanoseconds() - from - meter.clock_cost();
@@ -144,7 +144,7 @@
         max_attempts: 8,
         ..Settings::default()
     };
-    let limits = Limits { open: 4_096, bytes: usize::MAX, pause: 250_000 };
+    let limits = Limits { max_open: 4_096, max_bytes: usize::MAX, retry_after: 250_000 };
     Planner::new(settings, seed, limits, Box::new(NoCaches))
 }
 
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use threadward_budgets::Budgets;
 use threadward_control::{ControlTree, Level};
-use threadward_zones::{wire, Author, Seat, Seen, Use, Zones};
+use threadward_zones::{wire, Author, Seat, ZoneObservation, ZoneUse, Zones};
 
 /// How often a proxy looks at what its traffic showed.
 const LOOK: Micros = 100_000;
@@ -100,13 +100,21 @@
 }
 
 impl Evidence {
-    fn seen(&self, zones: &Zones) -> Vec<Seen> {
+    fn seen(&self, zones: &Zones) -> Vec<ZoneObservation> {
         let used = std::iter::once(self.stands).chain(self.hubs..self.zones);
         let seen = |zone| {
-            let tried = if zones.usage(zone) == Use::None { 0 } else { 40 };
+            let tried = if zones.usage(zone) == ZoneUse::Unused { 0 } else { 40 };
             let failing = self.failing.get() == Some(zone);
             let (failed, bad) = if failing { (tried, 20) } else { (0, 0) };
-            Seen { zone, tried, failed, members: 20, bad, load: tried, busy: 60 }
+            ZoneObservation {
+                zone,
+                attempts: tried,
+                failed,
+                members: 20,
+                bad_members: bad,
+                load: tried,
+                mean_use: 60,
+            }
         };
         used.map(seen).collect()
     }
--- a/lab/tests/terms.rs
+++ b/lab/tests/terms.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
 use threadward_core::{
-    Ask, Body, Caches, Dispatch, End, Final, ListForm, Micros, Note, Outcome, Payload, Planner, Progress,
-    Report, Terms, Told,
+    AttemptEnd, Body, CacheAnswer, CacheTransport, ClientRequest, Dispatch, FinalAnswer, ListForm, Micros,
+    Note, Outcome, Payload, Planner, Progress, Report, Terms,
 };
 use threadward_lab::event_queue::EventQueue;
 use threadward_lab::fleet::{cache, hub, settings, ORIGIN, T0};
@@ -40,12 +40,12 @@
 #[derive(Default)]
 struct Seen {
     orders: Vec<Dispatch>,
-    answers: Vec<Final>,
+    answers: Vec<FinalAnswer>,
 }
 
 struct RecordedLink(Rc<RefCell<Seen>>);
 
-impl Caches for RecordedLink {
+impl CacheTransport for RecordedLink {
     fn send(&mut self, d: Dispatch) {
         self.0.borrow_mut().orders.push(d);
     }
@@ -57,13 +57,19 @@
 
 enum Event {
     Timers,
-    End(u16, End),
+    End(u16, AttemptEnd),
 }
 
-fn told(outcome: Outcome) -> End {
-    let payload = Payload { body: Body::part(vec![1], 0..1), tag: "t".into(), unchanged: false };
+fn told(outcome: Outcome) -> AttemptEnd {
+    let payload = Payload { body: Body::from_range(vec![1], 0..1), tag: "t".into(), unchanged: false };
     let payload = (outcome == Outcome::Ok).then_some(payload);
-    End::Answered(Told { outcome, note: Note::None, waited: 0, report: Report::default(), payload })
+    AttemptEnd::Answered(CacheAnswer {
+        outcome,
+        note: Note::None,
+        source_wait: 0,
+        report: Report::default(),
+        payload,
+    })
 }
 
 /// What came of a request.
@@ -79,18 +85,18 @@
 fn play(class: u8, terms: Terms, fates: &[Fate]) -> Play {
     let s = settings(1);
     let seen: Rc<RefCell<Seen>> = Rc::default();
-    let limits = Limits { open: 10, bytes: usize::MAX, pause: MS };
+    let limits = Limits { max_open: 10, max_bytes: usize::MAX, retry_after: MS };
     let mut p = Planner::new(s.clone(), 3, limits, Box::new(RecordedLink(seen.clone())));
     let entry =
         |addr, zone, kind, weight| threadward_core::Entry { addr, zone, kind, weight, ..Default::default() };
     let list = (1..=3)
         .map(|n| entry(cache(n), 1, 0, 6.0))
         .chain([entry(hub(1), 0, 1, 12.0), entry(ORIGIN, 0, 2, 0.0)]);
-    p.members(T0, ListForm::Full, list.collect());
+    p.update_members(T0, ListForm::Full, list.collect());
     let due = T0 + s.classes[usize::from(class)].deadline;
-    let ask = Ask { call: "c".into(), class, object: 9, due, terms, ..Ask::default() };
+    let ask = ClientRequest { call_id: "c".into(), class, object: 9, due, terms, ..ClientRequest::default() };
     let own = seen.clone();
-    p.take(T0, 0, ask, Box::new(move |last| own.borrow_mut().answers.push(last)));
+    p.accept_request(T0, 0, ask, Box::new(move |last| own.borrow_mut().answers.push(last)));
     let mut queue = EventQueue::new(T0);
     let (mut ran, mut doubled, mut answers) = (0, 0, Vec::new());
     loop {
@@ -101,9 +107,9 @@
             ran += usize::from(!matches!(fate, Fate::Refused | Fate::PartlyWritten));
             let mut put = |after: Micros, end| queue.put(now + after, Event::End(d.attempt, end));
             match fate {
-                Fate::Refused => put(10 * MS, End::Broke(Progress::NotConnected)),
-                Fate::PartlyWritten => put(20 * MS, End::Broke(Progress::PartlyWritten)),
-                Fate::Reset => put(30 * MS, End::Broke(Progress::WrittenWhole)),
+                Fate::Refused => put(10 * MS, AttemptEnd::ConnectionFailed(Progress::NotConnected)),
+                Fate::PartlyWritten => put(20 * MS, AttemptEnd::ConnectionFailed(Progress::PartlyWritten)),
+                Fate::Reset => put(30 * MS, AttemptEnd::ConnectionFailed(Progress::FullyWritten)),
                 Fate::Late => put(due + 100 * MS - now, told(Outcome::Ok)),
                 Fate::Hang => {}
                 Fate::Served => put(60 * MS, told(Outcome::Ok)),
@@ -115,7 +121,7 @@
             }
         }
         for last in std::mem::take(&mut seen.borrow_mut().answers) {
-            answers.push((now as i64 - due as i64, matches!(last, Final::Refused { .. })));
+            answers.push((now as i64 - due as i64, matches!(last, FinalAnswer::Refused { .. })));
         }
         let timer = p.next_due().unwrap_or(Micros::MAX);
         if queue.peek().is_none_or(|at| at > timer) {
@@ -124,7 +130,7 @@
         match queue.pop(due + 500 * MS) {
             None => return Play { ran, doubled, answers },
             Some(Event::Timers) => p.run_timers(queue.now),
-            Some(Event::End(n, end)) => p.ended(queue.now, 1, n, end),
+            Some(Event::End(n, end)) => p.attempt_ended(queue.now, 1, n, end),
         }
     }
 }
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -147,7 +147,7 @@
             0 => Micros::MAX,
             units => (1_000_000 * PROBE).div_ceil(units.into()),
         });
-        let probed = self.node.plan(|p, _| p.pace_probes(pause));
+        let probed = self.node.plan(|p, _| p.set_probe_pause(pause));
         if !probed {
             net::log("budgets: no cache is probed here: this proxy takes no share");
         }
@@ -212,7 +212,7 @@
     /// What this proxy sends to members that started lately is kept to its share.
     fn keep_cold(&self) {
         let share = self.share(COLD_MEMBERS);
-        let sends = self.node.plan(|p, now| p.keep_cold(now, share / COLD));
+        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
         self.want(COLD_MEMBERS, sends.saturating_mul(COLD));
     }
 
--- a/node/src/bulletin.rs
+++ b/node/src/bulletin.rs
@@ -2,7 +2,7 @@
 //! proxies. It owns the number of the last event, the calls to the bulletin and the one watch that is
 //! heard. It must never judge an event: it hands each to the pool and the planner once, in order, at once.
 use crate::clock::unix_now;
-use crate::config::{event, stand_in, Bulletin, Listed};
+use crate::config::{event, stand_in, Bulletin, ListedServer};
 use crate::net::{self, now, sleep_until};
 use crate::node::Node;
 use crate::wire::{self, Malformed};
@@ -41,28 +41,29 @@
 
 /// Makes the planner and the pool hold what is so of these servers, after a call of the staff that was made no longer ago
 /// than `within`.
-pub fn hold(node: &Node, servers: Vec<Listed>, within: Micros) {
+pub fn hold(node: &Node, servers: Vec<ListedServer>, within: Micros) {
     let bans = node.bans.borrow();
-    node.pool.bar(bans.calls().keys().filter(|id| bans.is_out(id)).map(|id| stand_in(id)).collect());
+    node.pool.bar(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| stand_in(id)).collect());
     drop(bans);
     if !servers.is_empty() {
         take_over(node, ListForm::Delta, servers, within);
     }
 }
 
-fn take_over(node: &Node, form: ListForm, mut servers: Vec<Listed>, within: Micros) {
+fn take_over(node: &Node, form: ListForm, mut servers: Vec<ListedServer>, within: Micros) {
     node.start_times.borrow_mut().place(form, &mut servers, (unix_now(), now()), within);
     let displaced = node.pool.roster(form, &servers);
     let gone = |addr| Entry { addr, state: Lifecycle::Gone, ..Entry::default() };
     let listed = servers.into_iter().map(|s| s.entry);
     let entries = displaced.into_iter().map(gone).chain(listed).collect();
-    node.plan(|p, now| p.members(now, form, entries));
+    node.plan(|p, now| p.update_members(now, form, entries));
 }
 
 pub fn apply(node: &Node, b: Bulletin, cached: bool) {
     match b {
         Bulletin::Roster { form, mut servers } => {
-            let more = |s: &&Listed| s.entry.state != Lifecycle::Gone && node.pool.id(s.entry.addr).is_none();
+            let more =
+                |s: &&ListedServer| s.entry.state != Lifecycle::Gone && node.pool.id(s.entry.addr).is_none();
             // The last good list stays in use, and so do the drains it told of.
             let why = match form {
                 ListForm::Full if servers.is_empty() && !cached => Some("a whole list of no servers"),
@@ -76,13 +77,13 @@
                 return unusable(node, why);
             }
             let form = if cached && form == ListForm::Full { ListForm::Cached } else { form };
-            node.bans.borrow_mut().hear(form, &mut servers);
+            node.bans.borrow_mut().apply_list(form, &mut servers);
             let within = node.all_heard.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
             take_over(node, form, servers, if cached { Micros::MAX } else { within });
         }
         // It counts from this moment on: copies from before are older, whatever the wall clocks say. It was issued before.
         Bulletin::Recall { issued: _, object, group } => {
-            node.plan(|p, now| p.purged(now, 0, object, group));
+            node.plan(|p, now| p.purge(now, 0, object, group));
         }
     }
 }
@@ -326,7 +327,7 @@
             continue;
         };
         match node.config.peers.iter().position(|p| *p == from) {
-            Some(i) if n <= 256 => node.plan(|p, now| p.peer(now, i as u32, buf[..n].to_vec())),
+            Some(i) if n <= 256 => node.plan(|p, now| p.peer_message(now, i as u32, buf[..n].to_vec())),
             _ => node.count(Counter::PeerDropped),
         }
     }
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -2,7 +2,7 @@
 //! what is out on each, and how far every attempt came. It must never choose a member, repeat an attempt, or call
 //! the planner while the planner is calling it: every end is reported from a task of a connection.
 use crate::calls;
-use crate::config::{Listed, Names};
+use crate::config::{ListedServer, Names};
 use crate::net::{now, read_now, sleep_until, Signal};
 use crate::wire;
 use async_io::Async;
@@ -16,8 +16,8 @@
 use std::rc::{Rc, Weak};
 use threadward_core::send_check::{may_send, SendFacts};
 use threadward_core::{
-    Addr, Body, Caches, Counter, Dispatch, End, Lifecycle, ListForm, Micros, Note, Outcome, Payload,
-    Progress, Report, Told,
+    Addr, AttemptEnd, Body, CacheAnswer, CacheTransport, Counter, Dispatch, Lifecycle, ListForm, Micros,
+    Note, Outcome, Payload, Progress, Report,
 };
 
 /// Attempts out on a connection before another one is opened: answers come whole, so a long one holds up what
@@ -60,7 +60,7 @@
 /// Who the pool works for: starts its tasks and hears of its ends.
 pub trait Home {
     fn start(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>);
-    fn ended(&self, request: u64, attempt: u16, end: End);
+    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd);
     /// How many purges and list changes were told.
     fn epoch(&self) -> u64;
     /// Whether the client of a request still waits for its answer.
@@ -163,7 +163,7 @@
         let mut pending = self.pending.borrow_mut();
         if let Some(p) = call.and_then(|id| pending.get_mut(id)) {
             p.written = now();
-            p.progress = if whole { Progress::WrittenWhole } else { Progress::PartlyWritten };
+            p.progress = if whole { Progress::FullyWritten } else { Progress::PartlyWritten };
         }
     }
     /// Takes an id out of use here.
@@ -232,9 +232,9 @@
     /// Takes in a change of the list. A member that left or started anew gets no more on its old connections. Gives
     /// those whose address another one has now: they are gone, though nobody has told it yet, and what is sent for
     /// them would reach the new one.
-    pub fn roster(&self, form: ListForm, listed: &[Listed]) -> Vec<Addr> {
-        let ready = |l: &&Listed| l.entry.state == Lifecycle::Ready;
-        let at = |sock: SocketAddr| listed.iter().filter(ready).find(move |l| l.sock == sock);
+    pub fn roster(&self, form: ListForm, listed: &[ListedServer]) -> Vec<Addr> {
+        let ready = |l: &&ListedServer| l.entry.state == Lifecycle::Ready;
+        let at = |sock: SocketAddr| listed.iter().filter(ready).find(move |l| l.socket_addr == sock);
         let mut displaced = Vec::new();
         let mut servers = self.servers.borrow_mut();
         let retire = |s: &Server| {
@@ -262,8 +262,9 @@
         });
         for l in listed {
             let a = l.entry.addr;
-            let same =
-                servers.get(&a).is_some_and(|s| s.sock == l.sock && s.incarnation == l.entry.incarnation);
+            let same = servers
+                .get(&a)
+                .is_some_and(|s| s.sock == l.socket_addr && s.incarnation == l.entry.incarnation);
             if same && l.entry.state != Lifecycle::Gone {
                 continue;
             }
@@ -271,10 +272,10 @@
                 retire(&old);
             }
             if l.entry.state != Lifecycle::Gone {
-                if l.entry.state != Lifecycle::Ready && servers.values().any(|s| s.sock == l.sock) {
+                if l.entry.state != Lifecycle::Ready && servers.values().any(|s| s.sock == l.socket_addr) {
                     continue;
                 }
-                let (id, sock, incarnation) = (l.id.clone(), l.sock, l.entry.incarnation);
+                let (id, sock, incarnation) = (l.id.clone(), l.socket_addr, l.entry.incarnation);
                 let (conns, enough) = (RefCell::default(), Cell::new(0));
                 servers.insert(a, Rc::new(Server { id, sock, incarnation, listed: now(), conns, enough }));
             }
@@ -292,14 +293,14 @@
     }
 
     /// Reports an end from a task of its own.
-    fn report_later(self: &Rc<Self>, request: u64, attempt: u16, end: End) {
+    fn report_later(self: &Rc<Self>, request: u64, attempt: u16, end: AttemptEnd) {
         let pool = self.clone();
         if let Some(home) = self.home() {
             home.start("report", Box::pin(async move { pool.report(request, attempt, end) }));
         }
     }
 
-    fn report(&self, request: u64, attempt: u16, end: End) {
+    fn report(&self, request: u64, attempt: u16, end: AttemptEnd) {
         self.out.borrow_mut().remove(&(request, attempt));
         if let Some(home) = self.home() {
             home.ended(request, attempt, end);
@@ -314,16 +315,18 @@
 
     /// Puts an attempt on a connection of its member.
     fn place(self: &Rc<Self>, d: Rc<Dispatch>, moves: u8) {
-        let server = self.servers.borrow().get(&d.member).cloned().filter(|s| s.listed <= d.decided);
-        let Some(server) = server else { return self.report_later(d.request, d.attempt, End::Stale) };
-        let Some(c) = self.connection(&server, &d.ask.call) else {
+        let server = self.servers.borrow().get(&d.member).cloned().filter(|s| s.listed <= d.decided_at);
+        let Some(server) = server else {
+            return self.report_later(d.request, d.attempt, AttemptEnd::Outdated);
+        };
+        let Some(c) = self.connection(&server, &d.client_request.call_id) else {
             // Short of descriptors or of places: that is this proxy's doing and says nothing of the member.
-            return self.report_later(d.request, d.attempt, End::Stale);
+            return self.report_later(d.request, d.attempt, AttemptEnd::Outdated);
         };
         let p =
             Pending { dispatch: d.clone(), progress: Progress::NotConnected, written: Micros::MAX, moves };
         self.out.borrow_mut().insert((d.request, d.attempt), c.clone());
-        c.pending.borrow_mut().insert(d.ask.call.clone(), p);
+        c.pending.borrow_mut().insert(d.client_request.call_id.clone(), p);
         c.queue.borrow_mut().push_back(Item::Serve(d));
         c.signal.notify();
     }
@@ -424,7 +427,7 @@
         let called_off =
             queued.into_iter().filter_map(|i| if let Item::Cancel(_, a) = i { Some(a) } else { None });
         for (request, attempt) in c.calling_off.take().into_iter().chain(called_off) {
-            self.report(request, attempt, End::Withdrawn);
+            self.report(request, attempt, AttemptEnd::Withdrawn);
         }
         if !pending.is_empty() {
             self.count(Counter::Broken);
@@ -441,13 +444,13 @@
             let d = &p.dispatch;
             // What broke before the request was out whole proves that nothing ran, and where the connection had come
             // up, it proves nothing of the member: idle and new connections get reset by whatever is in between.
-            let unsent = p.progress != Progress::WrittenWhole;
+            let unsent = p.progress != Progress::FullyWritten;
             if unsent && own {
-                self.report(d.request, d.attempt, End::Stale);
+                self.report(d.request, d.attempt, AttemptEnd::Outdated);
             } else if unsent && (failed.is_none() || others) && p.moves < MOVES {
                 self.place(d.clone(), p.moves + 1);
             } else {
-                self.report(d.request, d.attempt, End::Broke(p.progress));
+                self.report(d.request, d.attempt, AttemptEnd::ConnectionFailed(p.progress));
             }
         }
     }
@@ -506,7 +509,7 @@
                 }
             }
             if let Some((request, attempt)) = c.calling_off.take() {
-                self.report(request, attempt, End::Withdrawn);
+                self.report(request, attempt, AttemptEnd::Withdrawn);
             }
         }
     }
@@ -532,22 +535,26 @@
             if !matches!(c.queue.borrow().front(), Some(Item::Serve(f)) if Rc::ptr_eq(f, &d)) {
                 continue;
             }
-            let moves =
-                c.pending.borrow().get(&d.ask.call).filter(|p| Rc::ptr_eq(&p.dispatch, &d)).map(|p| p.moves);
+            let moves = c
+                .pending
+                .borrow()
+                .get(&d.client_request.call_id)
+                .filter(|p| Rc::ptr_eq(&p.dispatch, &d))
+                .map(|p| p.moves);
             let bytes =
                 moves.filter(|_| !c.retired.get() && self.may_leave(&d)).and_then(|_| self.encode(&d));
             if let Some(bytes) = bytes {
-                return Next::Bytes(bytes, Some(d.ask.call.clone()));
+                return Next::Bytes(bytes, Some(d.client_request.call_id.clone()));
             }
             c.queue.borrow_mut().pop_front();
             let Some(moves) = moves else { continue };
-            c.pending.borrow_mut().remove(&d.ask.call);
+            c.pending.borrow_mut().remove(&d.client_request.call_id);
             // Its connection is not to be used, the member may be.
             if c.retired.get() && moves < MOVES && self.may_leave(&d) {
                 self.out.borrow_mut().remove(&(d.request, d.attempt));
                 self.place(d, moves + 1);
             } else {
-                self.report(d.request, d.attempt, End::Stale);
+                self.report(d.request, d.attempt, AttemptEnd::Outdated);
             }
         }
     }
@@ -558,7 +565,7 @@
         let barred = self.barred.borrow();
         let facts = SendFacts {
             now: now(),
-            decided: d.decided,
+            decided: d.decided_at,
             // What purges and drains told since counts from the first byte.
             notified_since: home.epoch() != d.epoch,
             grace: OUTDATED.min(self.names.grace),
@@ -575,33 +582,33 @@
     }
 
     fn encode(&self, d: &Dispatch) -> Option<Vec<u8>> {
-        let ask = &d.ask;
+        let ask = &d.client_request;
         let class = self.names.classes.get(usize::from(ask.class))?;
         let left = d.due.saturating_sub(now()) / 1000;
-        let mut f = format!("queue={class},path={},blk={},budget={}", ask.row, ask.part, left.max(1));
+        let mut f = format!("queue={class},path={},blk={},budget={}", ask.object_name, ask.part, left.max(1));
         let mut put = |name: &str, value: &str| {
             f.push(',');
             f.push_str(name);
             f.push('=');
             f.push_str(value);
         };
-        if let Some(key) = &ask.key {
+        if let Some(key) = &ask.idempotency_key {
             put("uniq", key);
         }
         if let Some(source) = d.source {
             put("fetch", &self.id(source)?);
         }
-        if d.keep > 0 {
-            put("retain", &d.keep.to_string());
+        if d.keep_rank > 0 {
+            put("retain", &d.keep_rank.to_string());
         }
-        if d.age > 0 {
-            put("newer", &(d.age / 1000).max(1).to_string());
+        if d.max_age > 0 {
+            put("newer", &(d.max_age / 1000).max(1).to_string());
         }
         let flags = [
-            (d.join, "coalesce"),
+            (d.join_fill, "coalesce"),
             (d.only_held, "shallow"),
             (d.parent_keeps_none, "transit"),
-            (d.renew, "freshen"),
+            (d.refresh_in_background, "freshen"),
         ];
         let how: Vec<&str> = flags.iter().filter(|(on, _)| *on).map(|(_, w)| *w).collect();
         if !how.is_empty() {
@@ -610,7 +617,7 @@
         if let Some(tag) = &ask.tag {
             put("holds", tag);
         }
-        Some(wire::resp_write(&[b"serve", ask.call.as_bytes(), f.as_bytes(), &ask.body]))
+        Some(wire::resp_write(&[b"serve", ask.call_id.as_bytes(), f.as_bytes(), &ask.body]))
     }
 
     async fn read(&self, c: &Conn, stream: &Async<TcpStream>) {
@@ -676,7 +683,7 @@
             };
             at += used;
             // Only of what was asked on this connection, went out whole and is still wanted; all else is dropped.
-            let whole = |p: &Pending| p.progress == Progress::WrittenWhole;
+            let whole = |p: &Pending| p.progress == Progress::FullyWritten;
             if !c.pending.borrow().get(&*call).is_some_and(whole) {
                 self.count(Counter::LateEnds);
                 // Something that nobody asked for, while nothing was asked: what else it says cannot be believed.
@@ -688,7 +695,7 @@
             let Some(p) = c.pending.borrow_mut().remove(&*call) else { continue };
             if let Some(payload) = &mut told.payload {
                 // A client may be told that its copy is the one only where the cache named that very copy.
-                if payload.unchanged && p.dispatch.ask.tag.as_ref() != Some(&payload.tag) {
+                if payload.unchanged && p.dispatch.client_request.tag.as_ref() != Some(&payload.tag) {
                     c.pending.borrow_mut().insert(call, p);
                     return (self.count(Counter::Malformed), false).1;
                 }
@@ -697,16 +704,16 @@
                     let part = at - 2 - body..at - 2;
                     payload.body = if at == buf.len() {
                         at = 0;
-                        Body::part(std::mem::take(buf), part)
+                        Body::from_range(std::mem::take(buf), part)
                     } else {
-                        Body::part(buf[part].to_vec(), 0..body)
+                        Body::from_range(buf[part].to_vec(), 0..body)
                     };
                 }
             }
-            if p.dispatch.id_once {
+            if p.dispatch.exclusive_connection {
                 c.spend(call);
             }
-            self.report(p.dispatch.request, p.dispatch.attempt, End::Answered(told));
+            self.report(p.dispatch.request, p.dispatch.attempt, AttemptEnd::Answered(told));
         }
         buf.drain(..at);
         match wire::resp_length(buf) {
@@ -750,7 +757,7 @@
 /// What the planner holds of the pool.
 pub struct Way(pub Rc<Pool>);
 
-impl Caches for Way {
+impl CacheTransport for Way {
     fn probe(&mut self, member: Addr) {
         let (pool, home) = (self.0.clone(), self.0.home());
         let Some(home) = home else { return };
@@ -797,7 +804,7 @@
 }
 
 /// What a cache's answer says: the id, and how the attempt ended. The body is left where it is.
-pub fn answer(parts: &[&[u8]], columns: &[String]) -> Option<(Box<str>, Told)> {
+pub fn answer(parts: &[&[u8]], columns: &[String]) -> Option<(Box<str>, CacheAnswer)> {
     let [id, word, fields, body] = parts else { return None };
     let id = std::str::from_utf8(id).ok()?;
     let fields = std::str::from_utf8(fields).ok()?;
@@ -833,7 +840,10 @@
     }
     let payload =
         (outcome == Outcome::Ok).then(|| Payload { body: Body::default(), tag: tag.into(), unchanged });
-    Some((id.into(), Told { outcome, note, waited: (waited.max(0.0) * 1000.0) as Micros, report, payload }))
+    Some((
+        id.into(),
+        CacheAnswer { outcome, note, source_wait: (waited.max(0.0) * 1000.0) as Micros, report, payload },
+    ))
 }
 
 /// The load that an answer's fields tell, in the order of the settings' columns.
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -5,7 +5,7 @@
 use nickelgate_drill::parse_settings;
 use serde_json::Value;
 use std::net::SocketAddr;
-pub use threadward_core::bans::Listed;
+pub use threadward_core::bans::ListedServer;
 use threadward_core::{Addr, Entry, Lifecycle, ListForm, Micros, Settings, UnixTime};
 
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Bulletin {
-    Roster { form: ListForm, servers: Vec<Listed> },
+    Roster { form: ListForm, servers: Vec<ListedServer> },
     Recall { issued: UnixTime, object: Option<u64>, group: u16 },
 }
 
@@ -285,7 +285,7 @@
             ..Entry::default()
         };
         let started = UnixTime::from_millis(s.get("started_ms").and_then(Value::as_u64).unwrap_or(0));
-        servers.push(Listed { id, sock, entry, started, called_back: None });
+        servers.push(ListedServer { id, socket_addr: sock, entry, started_at: started, lifted_at: None });
     }
     let form = if full { ListForm::Full } else { ListForm::Delta };
     Ok((no, Some(Bulletin::Roster { form, servers })))
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use threadward_core::{Ask, Counter, Final, Micros, Terms};
+use threadward_core::{ClientRequest, Counter, FinalAnswer, Micros, Terms};
 
 /// Requests that may be open on one connection.
 const OPEN: usize = 32;
@@ -65,7 +65,7 @@
     fn leave(&self) {
         let open: Vec<u64> = self.open.borrow_mut().drain().map(|(_, id)| id).collect();
         for id in open {
-            self.node.plan(|p, now| p.leave(now, id));
+            self.node.plan(|p, now| p.client_left(now, id));
         }
     }
     fn written(&self, answer: &Out) {
@@ -277,7 +277,7 @@
             if let [Val::Int(id)] = params.as_slice() {
                 let id = u32::try_from(*id).ok().and_then(|id| c.open.borrow_mut().remove(&id));
                 if let Some(id) = id {
-                    c.node.plan(|p, now| p.leave(now, id));
+                    c.node.plan(|p, now| p.client_left(now, id));
                     c.touch();
                 }
             }
@@ -319,32 +319,32 @@
     }
 }
 
-fn take(c: &Rc<Client>, id: u32, ask: Ask) {
+fn take(c: &Rc<Client>, id: u32, ask: ClientRequest) {
     if c.node.closing() {
         c.node.count(Counter::RefusedClosing);
         return c.push(wire::rpc_error(id, "Full", &[]));
     }
     c.open.borrow_mut().insert(id, 0);
     let client = Rc::downgrade(c);
-    let reply = Box::new(move |last: Final| {
+    let reply = Box::new(move |last: FinalAnswer| {
         let Some(c) = client.upgrade() else { return };
         if c.open.borrow_mut().remove(&id).is_none() {
             return;
         }
         c.push(match last {
-            Final::Served(p) => {
+            FinalAnswer::Served(p) => {
                 let (unchanged, etag) = (("notmod", "1"), ("etag", &*p.tag));
                 let tail = wire::rpc_fields(&[unchanged, etag][usize::from(!p.unchanged)..]);
                 Out { head: wire::rpc_served(id, p.body.len()), body: p.body, tail }
             }
-            Final::Refused { after: 0 } => wire::rpc_error(id, "Full", &[]).into(),
-            Final::Refused { after } => {
+            FinalAnswer::Refused { retry_after: 0 } => wire::rpc_error(id, "Full", &[]).into(),
+            FinalAnswer::Refused { retry_after: after } => {
                 wire::rpc_error(id, "Full", &[("pushback", &after.div_ceil(1000).to_string())]).into()
             }
-            Final::Failed => wire::rpc_error(id, "Error", &[]).into(),
+            FinalAnswer::Failed => wire::rpc_error(id, "Error", &[]).into(),
         });
     });
-    let number = c.node.plan(|p, now| p.take(now, c.node.held(), ask, reply));
+    let number = c.node.plan(|p, now| p.accept_request(now, c.node.held(), ask, reply));
     if let (Some(n), Some(open)) = (number, c.open.borrow_mut().get_mut(&id)) {
         *open = n;
     }
@@ -358,7 +358,7 @@
     method: &[u8],
     params: &[Val<'_>],
     at: Micros,
-) -> Option<Ask> {
+) -> Option<ClientRequest> {
     let class = classes.iter().position(|c| c.as_bytes() == method)?;
     let [Val::Map(fields), Val::Bin(body)] = params else { return None };
     let mut texts: HashMap<&str, &str> = HashMap::new();
@@ -388,17 +388,17 @@
     if keyed && key.is_none() || body.len() > 48_000 {
         return None;
     }
-    Some(Ask {
-        call: call.into(),
+    Some(ClientRequest {
+        call_id: call.into(),
         class: u8::try_from(class).ok()?,
         object: u64::from_str_radix(row, 16).ok()?,
-        row: row.into(),
+        object_name: row.into(),
         part: number("seg", u64::from(u32::MAX))? as u32,
         group: number("bucket", 255)? as u16,
         kbytes: size(texts.get("heap").copied()),
         due: at + number("ttl", patience.div_ceil(1000))? * 1000,
         repeat: texts.get("rep") == Some(&"1"),
-        key,
+        idempotency_key: key,
         tag: plain("etag")?,
         body: body.to_vec(),
         terms: Terms::default(),
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -97,11 +97,11 @@
                 net::log(&format!("gossip: peer {name} {word}"));
             }
             News::Still { member, incarnation } => {
-                self.node.plan(|p, now| p.rumour(now, member, incarnation, BELIEVED));
+                self.node.plan(|p, now| p.report_suspicion(now, member, incarnation, BELIEVED));
             }
             News::Doubt(d) => {
                 let lasts = if d.believed { BELIEVED } else { 0 };
-                self.node.plan(|p, now| p.rumour(now, d.member, d.incarnation, lasts));
+                self.node.plan(|p, now| p.report_suspicion(now, d.member, d.incarnation, lasts));
                 let id = self.node.pool.id(d.member).unwrap_or_default();
                 if d.believed {
                     self.node.count(Counter::GossipDoubts);
@@ -128,7 +128,7 @@
             let good = outcome == Outcome::Ok;
             // A probe that confirms a suspicion counts any other answer as none.
             let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
-            talk.node.plan(|p, now| p.probed(now, member, outcome, report));
+            talk.node.plan(|p, now| p.probe_ended(now, member, outcome, report));
             talk.call(|g, now, out| g.probed(now, member, good, out));
         });
     }
@@ -152,7 +152,7 @@
     fn look(self: &Rc<Self>) {
         let (standings, served, open) = self.node.plan(|p, _| {
             let served = p.counters.get(Counter::Served) + p.counters.get(Counter::Unchanged);
-            (p.standings(), served, p.open())
+            (p.standings(), served, p.open_requests())
         });
         let new = served - self.served.replace(served);
         let busy = open * 2 > self.node.config.names.max_open;
--- a/node/src/ledger.rs
+++ b/node/src/ledger.rs
@@ -8,13 +8,13 @@
 use std::io::{Read, Write};
 use std::os::unix::fs::{FileExt, MetadataExt};
 use std::path::{Path, PathBuf};
-use threadward_core::bans::{Call, Calls, MOST};
-use threadward_core::shift::{Phase, Rank, Sign};
+use threadward_core::bans::{BanState, BanStates, MAX_SERVERS};
+use threadward_core::shift::{Phase, ProcessStatus, Rank};
 use threadward_core::{Learned, UnixTime};
 
 /// Longest line of the file of calls, and longest file: what is larger is not ours.
 const LINE: usize = 200;
-const FILE: u64 = (MOST * LINE) as u64;
+const FILE: u64 = (MAX_SERVERS * LINE) as u64;
 /// Entries of the folder that are looked at: it is ours, but nobody empties it.
 const ENTRIES: usize = 1_000;
 
@@ -48,12 +48,14 @@
 }
 
 /// The calls as they stand in the file, with their version: it counts up with each change.
-pub fn write_calls(version: u64, calls: &Calls) -> String {
+pub fn write_calls(version: u64, calls: &BanStates) -> String {
     let mut text = format!("version {version}\n");
     for (id, c) in calls {
         text += &match c {
-            Call::Out(at) => format!("out {id} {}\n", at.micros()),
-            Call::Back { out, at } => format!("back {id} {} {}\n", out.micros(), at.micros()),
+            BanState::Banned(at) => format!("out {id} {}\n", at.micros()),
+            BanState::Lifted { banned_at: out, lifted_at: at } => {
+                format!("back {id} {} {}\n", out.micros(), at.micros())
+            }
         };
     }
     seal("bans", &text)
@@ -63,22 +65,22 @@
 ///
 /// # Errors
 /// Why it cannot be trusted.
-pub fn read_calls(text: &str) -> Result<(u64, Calls), String> {
+pub fn read_calls(text: &str) -> Result<(u64, BanStates), String> {
     let mut lines = unseal("bans", text)?.lines();
     let version = lines.next().and_then(|l| l.strip_prefix("version ")?.parse().ok()).ok_or("no version")?;
-    let mut calls = Calls::new();
+    let mut calls = BanStates::new();
     for line in lines {
         let words: Vec<&str> = line.split(' ').collect();
         let time =
             |t: &str| t.parse().map(UnixTime::from_micros).map_err(|_| format!("a time that is none: {t}"));
         let (id, call) = match words[..] {
-            ["out", id, at] => (id, Call::Out(time(at)?)),
-            ["back", id, out, at] => (id, Call::Back { out: time(out)?, at: time(at)? }),
+            ["out", id, at] => (id, BanState::Banned(time(at)?)),
+            ["back", id, out, at] => (id, BanState::Lifted { banned_at: time(out)?, lifted_at: time(at)? }),
             _ => return Err("a line that is no call".into()),
         };
         calls.insert(id.to_owned(), call);
     }
-    (calls.len() <= MOST).then_some((version, calls)).ok_or_else(|| "too many calls".into())
+    (calls.len() <= MAX_SERVERS).then_some((version, calls)).ok_or_else(|| "too many calls".into())
 }
 
 /// What one process hands to the next: the figures, and the classes that they are about, by name.
@@ -101,7 +103,7 @@
 }
 
 /// A process as its file shows it.
-fn sign(name: &str, text: &str) -> Option<Sign> {
+fn sign(name: &str, text: &str) -> Option<ProcessStatus> {
     let (started, number) = name.split_once('-')?;
     let rank: Rank = (u64::from_str_radix(started, 16).ok()?, number.parse().ok()?);
     // One that is only just there, or writing, is a process that starts.
@@ -111,7 +113,7 @@
         "leaving" => Phase::Leaving,
         _ => Phase::Starting,
     };
-    Some(Sign { rank, phase, bans: bans.trim().parse().unwrap_or(0) })
+    Some(ProcessStatus { rank, phase, bans_version: bans.trim().parse().unwrap_or(0) })
 }
 
 /// Why the calls are not there.
@@ -131,7 +133,7 @@
     own: RefCell<Option<File>>,
     rank: Rank,
     /// Who lived when the folder could last be read.
-    lived: RefCell<Vec<Sign>>,
+    lived: RefCell<Vec<ProcessStatus>>,
 }
 
 impl Ledger {
@@ -200,14 +202,14 @@
 
     /// The other processes of this proxy that live. What the ended ones left is removed. While the folder cannot be read
     /// they are those that lived before: one that cannot be looked at has not ended.
-    pub fn others(&self) -> Vec<Sign> {
+    pub fn others(&self) -> Vec<ProcessStatus> {
         if let Ok(found) = self.alive() {
             self.lived.replace(found);
         }
         self.lived.borrow().clone()
     }
 
-    fn alive(&self) -> std::io::Result<Vec<Sign>> {
+    fn alive(&self) -> std::io::Result<Vec<ProcessStatus>> {
         let (prefix, own) = (format!("{}.run-", self.name), self.path("run", self.rank));
         let names = std::fs::read_dir(&self.folder)?.take(ENTRIES);
         let names = names.filter_map(|e| e.ok()?.file_name().into_string().ok());
@@ -257,7 +259,7 @@
     ///
     /// # Errors
     /// Why they cannot be had, or not be trusted.
-    pub fn calls(&self) -> Result<(u64, Calls), Unusable> {
+    pub fn calls(&self) -> Result<(u64, BanStates), Unusable> {
         let text = bounded(&self.calls_path())?;
         Ok(text.map(|t| read_calls(&t)).transpose().map_err(Unusable::Bad)?.unwrap_or_default())
     }
@@ -308,7 +310,7 @@
     ///
     /// # Errors
     /// What cannot be written or synced. The calls may have taken effect all the same.
-    pub fn keep(&self, version: u64, calls: &Calls) -> Result<(), String> {
+    pub fn keep(&self, version: u64, calls: &BanStates) -> Result<(), String> {
         self.replace(&self.calls_path(), &write_calls(version, calls), File::sync_all)?;
         self.sync_folder()
     }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -63,7 +63,7 @@
     let node = Node::new(config, executor);
     if fronts.zones.is_some() {
         // Before the first list, so that every member is known by its zone.
-        node.plan(|p, _| p.by_zones(node.config.names.zones.len()));
+        node.plan(|p, _| p.enable_zones(node.config.names.zones.len()));
     }
     for b in node.config.known.clone() {
         bulletin::apply(&node, b, true);
@@ -184,7 +184,7 @@
         shift.iter().for_each(|s| s.look());
         talk.iter().for_each(gossip::Talk::leave);
         client.iter().for_each(|c| c.leave());
-        net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open())));
+        net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open_requests())));
         node.drained().await;
     }));
     net::log(&format!("counters: {}", node.counters()));
--- a/node/src/net.rs
+++ b/node/src/net.rs
@@ -237,7 +237,7 @@
 impl Out {
     /// Memory that it holds.
     pub fn held(&self) -> usize {
-        self.head.capacity() + self.body.held() + self.tail.capacity()
+        self.head.capacity() + self.body.allocated_bytes() + self.tail.capacity()
     }
 
     /// Writes it whole, the parts together; false when the client is gone.
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -16,7 +16,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use threadward_core::{
-    bans::Bans, stages::admit::Limits, Addr, Counter, End, Micros, Outcome, Planner, Report,
+    bans::Bans, stages::admit::Limits, Addr, AttemptEnd, Counter, Micros, Outcome, Planner, Report,
 };
 
 /// New connections and requests keep coming for so long after SIGTERM.
@@ -255,7 +255,8 @@
 impl Node {
     pub fn new(config: Config, executor: &'static LocalExecutor<'static>) -> Rc<Node> {
         let pool = Pool::new(config.names.clone(), beside_lingering(config.sockets));
-        let limits = Limits { open: config.names.max_open, bytes: config.memory / 4, pause: 250_000 };
+        let limits =
+            Limits { max_open: config.names.max_open, max_bytes: config.memory / 4, retry_after: 250_000 };
         let planner = Planner::new(config.settings.clone(), config.seed, limits, Box::new(Way(pool.clone())));
         let node = Rc::new(Node {
             bulletin: Cell::new(config.bulletin),
@@ -319,7 +320,7 @@
     pub fn share(&self, of: usize) {
         self.sharers.set(of);
         self.pool.share(beside_lingering(self.config.sockets), of);
-        self.plan(|p, _| p.share(of, self.config.memory / 4 / of));
+        self.plan(|p, _| p.share_limits(of, self.config.memory / 4 / of));
         let (guests, at) = (self.guests.borrow(), now());
         let idle = guests.values().filter(|g| !g.busy.get() && g.asked_to_go.get() == Micros::MAX);
         let mut idle: Vec<&Rc<Guest>> = idle.collect();
@@ -452,7 +453,7 @@
             if self.closing() && !std::mem::replace(&mut let_go, true) {
                 self.let_go();
             }
-            let owed = self.plan(|p, _| p.open()) + self.unwritten.get() > 0;
+            let owed = self.plan(|p, _| p.open_requests()) + self.unwritten.get() > 0;
             let lasts = self.giving_way.get() || now() < self.killed() - LAST_CLOSE;
             let late = self.connections() > 0 && lasts || !(self.giving_way.get() || self.closing());
             if !late && !owed {
@@ -552,8 +553,8 @@
     fn start(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.spawn(what, task);
     }
-    fn ended(&self, request: u64, attempt: u16, end: End) {
-        self.plan(|p, now| p.ended(now, request, attempt, end));
+    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd) {
+        self.plan(|p, now| p.attempt_ended(now, request, attempt, end));
     }
     fn epoch(&self) -> u64 {
         self.plan(|p, _| p.epoch())
@@ -565,6 +566,6 @@
         Node::count(self, c);
     }
     fn probed(&self, member: Addr, outcome: Outcome, report: Report) {
-        self.plan(|p, now| p.probed(now, member, outcome, report));
+        self.plan(|p, now| p.probe_ended(now, member, outcome, report));
     }
 }
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -12,8 +12,8 @@
 use std::net::TcpListener;
 use std::path::Path;
 use std::rc::Rc;
-use threadward_core::bans::{Calls, Refused};
-use threadward_core::shift::{self, Facts, Phase, Rank, Sign, View};
+use threadward_core::bans::{BanError, BanStates};
+use threadward_core::shift::{self, OtherProcesses, Phase, ProcessStatus, Rank, ReadinessFacts};
 use threadward_core::{Counter, Micros};
 
 /// How often the files are looked at: a ban set at one process holds in the other well within a second.
@@ -45,7 +45,7 @@
     shown: Cell<Option<(Phase, u64)>>,
     /// What could not be shown, as it was said.
     hidden: Cell<Option<(Phase, u64)>>,
-    view: RefCell<View>,
+    view: RefCell<OtherProcesses>,
     pub listening: Cell<bool>,
     warm: Micros,
 }
@@ -103,22 +103,22 @@
         let others = ledger.others();
         self.teach(ledger, &others);
         self.learn(ledger, &others);
-        let view = shift::view(&others);
+        let view = shift::summarize(&others);
         let before = self.view.replace(view);
         if before.others != view.others {
             log(&format!("shift: {} other processes of this proxy live", view.others));
             self.node.share(1 + view.others);
         }
-        if view.relieved && !before.relieved {
+        if view.other_ready && !before.other_ready {
             log("shift: another process is ready to take over");
         }
-        if view.relieved && self.node.stopping.get().is_some() {
+        if view.other_ready && self.node.stopping.get().is_some() {
             self.node.give_way();
         }
     }
 
     /// Hands what was learned to each process that starts, once. Two may be seen in one look, in any order.
-    fn teach(&self, ledger: &Ledger, others: &[Sign]) {
+    fn teach(&self, ledger: &Ledger, others: &[ProcessStatus]) {
         let mut pupils = self.pupils.borrow_mut();
         pupils.retain(|p| others.iter().any(|o| o.rank == *p));
         for pupil in others.iter().filter(|o| o.phase == Phase::Starting && self.listening.get()) {
@@ -136,7 +136,7 @@
     }
 
     /// Takes over what an older process has learned; without one, or after a while, goes on without.
-    fn learn(&self, ledger: &Ledger, others: &[Sign]) {
+    fn learn(&self, ledger: &Ledger, others: &[ProcessStatus]) {
         if self.taught.get() {
             return;
         }
@@ -198,7 +198,10 @@
                 self.version.set(version);
                 let within = self.read_at.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
                 self.apply(calls, within);
-                log(&format!("bans: {} servers are out (version {version})", self.node.bans.borrow().out()));
+                log(&format!(
+                    "bans: {} servers are out (version {version})",
+                    self.node.bans.borrow().banned_count()
+                ));
             }
             Ok(_) => self.read_at.set(Some(now())),
             Err(Unusable::Unread(e) | Unusable::Bad(e)) => {
@@ -208,7 +211,7 @@
     }
 
     /// Puts calls in force that were made no longer ago than `within`.
-    fn apply(&self, calls: Calls, within: Micros) {
+    fn apply(&self, calls: BanStates, within: Micros) {
         let changed = self.node.bans.borrow_mut().adopt(calls);
         bulletin::hold(&self.node, changed, within);
     }
@@ -256,13 +259,13 @@
     /// Whether it could be ready if it listened: before that it takes no clients from the process beside it. One that was
     /// told to end begins no listening.
     pub fn may_listen(&self) -> bool {
-        let alone = self.ledger.as_ref().is_none_or(|l| self.view.borrow().alone(l.rank()));
+        let alone = self.ledger.as_ref().is_none_or(|l| self.view.borrow().may_listen_early(l.rank()));
         let facts = self.facts(true);
         !facts.ending && alone || shift::ready(facts).is_ok()
     }
 
-    fn facts(&self, listening: bool) -> Facts {
-        Facts {
+    fn facts(&self, listening: bool) -> ReadinessFacts {
+        ReadinessFacts {
             ending: self.node.stopping.get().is_some(),
             listed: self.node.plan(|p, _| p.ready()),
             // The first look, before anything else, puts the bans in force.
@@ -279,7 +282,7 @@
         // The other processes look at the file by themselves; the yes is theirs as well.
         while self.ledger.is_some() && now() < until {
             self.look();
-            if self.view.borrow().bans.is_none_or(|b| b >= version) {
+            if self.view.borrow().min_bans_version.is_none_or(|b| b >= version) {
                 break;
             }
             sleep_until(now() + LOOK / 5).await;
@@ -305,23 +308,23 @@
         let (at, mut next) = (unix_now(), self.node.bans.borrow().clone());
         let changed = if out { next.disable(id, at) } else { next.enable(id, at) };
         let changed = changed.map_err(|e| match e {
-            Refused::Unknown => "unknown cache server".to_owned(),
-            Refused::Full => "too many servers are out".to_owned(),
+            BanError::Unknown => "unknown cache server".to_owned(),
+            BanError::Full => "too many servers are out".to_owned(),
         })?;
         if !changed {
             // The call before may have failed after the file had its name.
             let synced = self.ledger.as_ref().map_or(Ok(()), Ledger::sync_folder);
             return synced.map(|()| self.version.get()).map_err(|e| format!("cannot be kept: {e}"));
         }
-        next.tidy(at, self.warm);
+        next.forget_old_lifted(at, self.warm);
         let version = self.version.get() + 1;
         if let Some(ledger) = &self.ledger {
             // Not kept is not agreed: it would be undone by the next version, without a word.
-            ledger.keep(version, next.calls()).map_err(|e| format!("cannot be kept: {e}"))?;
+            ledger.keep(version, next.states()).map_err(|e| format!("cannot be kept: {e}"))?;
             self.stamp.set(ledger.stamp());
         }
         self.version.set(version);
-        self.apply(next.calls().clone(), 0);
+        self.apply(next.states().clone(), 0);
         self.show();
         drop(lock);
         self.node.count(if out { Counter::ServersOut } else { Counter::ServersBack });
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -26,7 +26,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use threadward_core::{Ask, Counter, Final, Micros, Payload, Terms};
+use threadward_core::{ClientRequest, Counter, FinalAnswer, Micros, Payload, Terms};
 
 /// The attribute that carries the token (RFC 9246, section 3.3).
 const ATTRIBUTE: &str = "URISigningPackage";
@@ -527,28 +527,28 @@
     // The end of the link on the planner's clock: a deadline is a point on the clock that it travels by.
     let ends = now() + pass.exp.saturating_sub((f.clock)() + f.gate.s.skew);
     let due = ends.min(now() + c.deadline);
-    let ask = Ask {
-        call: f.call(),
+    let ask = ClientRequest {
+        call_id: f.call(),
         class: class as u8,
         object: w.object,
-        row: w.row.into(),
+        object_name: w.row.into(),
         part: w.part,
         group: w.group,
         kbytes: 0.0,
         due,
         repeat: false,
-        key: w.key.map(Into::into),
+        idempotency_key: w.key.map(Into::into),
         tag: w.tag.map(Into::into),
         body,
         terms: Terms::default(),
     };
     let (slot, signal) = (Rc::new(RefCell::new(None)), Rc::new(Signal::default()));
     let (s, g) = (slot.clone(), signal.clone());
-    let reply = Box::new(move |last: Final| {
+    let reply = Box::new(move |last: FinalAnswer| {
         *s.borrow_mut() = Some(last);
         g.notify();
     });
-    let number = node.plan(|p, now| p.take(now, node.held(), ask, reply));
+    let number = node.plan(|p, now| p.accept_request(now, node.held(), ask, reply));
     let leaving = Leaving { node: node.clone(), number: Cell::new(number) };
     let gone = async {
         // What a client sends ahead is kept for its turn, within a bound.
@@ -567,19 +567,19 @@
     let last = slot.borrow_mut().take()?;
     // Whatever came: not a byte of it goes out once the link has ended.
     let tick = 2 * node.config.settings.tick.max(1_000);
-    if f.gate.expired(&pass, (f.clock)() + if matches!(last, Final::Served(_)) { 0 } else { tick }) {
+    if f.gate.expired(&pass, (f.clock)() + if matches!(last, FinalAnswer::Served(_)) { 0 } else { tick }) {
         return Some(denied(node, Deny::Expired).into());
     }
     let late = now() + tick >= due;
     Some(match last {
-        Final::Served(p) => served(p),
-        Final::Refused { .. } | Final::Failed if late => response(504, &[], 0).into(),
-        Final::Refused { after } => {
+        FinalAnswer::Served(p) => served(p),
+        FinalAnswer::Refused { .. } | FinalAnswer::Failed if late => response(504, &[], 0).into(),
+        FinalAnswer::Refused { retry_after: after } => {
             f.gate.give_back(&pass);
             let secs = after.max(PAUSE).div_ceil(1_000_000).to_string();
             response(503, &[("Retry-After", &secs)], 0).into()
         }
-        Final::Failed => response(502, &[], 0).into(),
+        FinalAnswer::Failed => response(502, &[], 0).into(),
     })
 }
 
@@ -603,7 +603,7 @@
 impl Drop for Leaving {
     fn drop(&mut self) {
         if let Some(id) = self.number.take() {
-            self.node.plan(|p, now| p.leave(now, id));
+            self.node.plan(|p, now| p.client_left(now, id));
         }
     }
 }
--- a/node/src/snmp.rs
+++ b/node/src/snmp.rs
@@ -97,12 +97,12 @@
     });
     let gauge = |n: usize| Value::Gauge32(u32::try_from(n).unwrap_or(u32::MAX));
     let gauges = [
-        node.plan(|p, _| p.open()),
+        node.plan(|p, _| p.open_requests()),
         node.clients(),
         node.unwritten.get(),
         node.peers_live.get(),
         node.suspects.get(),
-        node.bans.borrow().out(),
+        node.bans.borrow().banned_count(),
     ];
     all.extend(gauges.iter().enumerate().map(|(i, n)| (name(2, i), gauge(*n))));
     all
--- a/node/src/start_times.rs
+++ b/node/src/start_times.rs
@@ -2,7 +2,7 @@
 //! be wrong, so the moment at which a start was heard bounds how long ago it was. A start keeps its point for as long as
 //! the server is listed: slow start is neither skipped nor begun anew when the same start is told again.
 use std::collections::HashMap;
-use threadward_core::bans::Listed;
+use threadward_core::bans::ListedServer;
 use threadward_core::{Lifecycle, ListForm, Micros, UnixTime};
 
 /// A wall clock is taken to be wrong by no more than this: what lies further back is long ago.
@@ -27,7 +27,7 @@
     pub fn place(
         &mut self,
         form: ListForm,
-        servers: &mut [Listed],
+        servers: &mut [ListedServer],
         (unix, now): (UnixTime, Micros),
         heard: Micros,
     ) {
@@ -35,14 +35,14 @@
             let listed: std::collections::HashSet<&str> = servers.iter().map(|l| l.id.as_str()).collect();
             self.known.retain(|id, _| listed.contains(id.as_str()));
         }
-        let newest = servers.iter().map(|l| l.started).max().unwrap_or_default();
+        let newest = servers.iter().map(|l| l.started_at).max().unwrap_or_default();
         let unix = if heard == Micros::MAX { believed(unix, newest) } else { unix };
         for server in servers {
             if server.entry.state == Lifecycle::Gone {
                 self.known.remove(&server.id);
                 continue;
             }
-            let told = (server.started, server.called_back);
+            let told = (server.started_at, server.lifted_at);
             let known = self.known.get(&server.id).filter(|(start, _)| *start == told);
             let since = known.map_or_else(|| point(told, unix, now, heard), |(_, since)| *since);
             self.known.insert(server.id.clone(), (told, since));
@@ -55,7 +55,7 @@
 /// The Unix time by which starts are judged that may have been told long ago. It is never before the newest of them, and a
 /// wall clock that is far ahead of it is not believed: slow start then lasts longer than it has to.
 fn believed(unix: UnixTime, newest: UnixTime) -> UnixTime {
-    let quiet = unix.after(newest);
+    let quiet = unix.micros_since(newest);
     let ahead = (MAX_QUIET..=MAX_WALL_ERROR).contains(&quiet);
     if newest.is_known() && (ahead || unix < newest) {
         newest
@@ -67,7 +67,7 @@
 /// The later of a start and a call back; 0: long ago.
 fn point((started, called_back): Told, unix: UnixTime, now: Micros, heard: Micros) -> Micros {
     let on_monotonic = |at: UnixTime| {
-        let age = unix.after(at);
+        let age = unix.micros_since(at);
         let bound = if age > MAX_WALL_ERROR { age } else { heard };
         now.saturating_sub(age.min(bound)).max(1)
     };
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use threadward_core::{Counter, Micros};
 use threadward_zones::state::State;
-use threadward_zones::{Kind, Moved, Out, Settings, Use, Zone, Zones};
+use threadward_zones::{Kind, Moved, Out, Settings, Zone, ZoneUse, Zones};
 
 /// How often own traffic is looked at.
 const TRAFFIC_INTERVAL: Micros = 100_000;
@@ -109,10 +109,10 @@
         if !z.ready(uptime()) {
             return;
         }
-        let uses: Vec<Use> = (0..self.names.len() as u16).map(|n| z.usage(n)).collect();
+        let uses: Vec<ZoneUse> = (0..self.names.len() as u16).map(|n| z.usage(n)).collect();
         let refused = z.refused();
         drop(z);
-        self.node.plan(|p, now| p.follow_zones(now, &uses, refused));
+        self.node.plan(|p, now| p.set_zone_uses(now, &uses, refused));
     }
 
     fn told(&self, m: &Moved) {
@@ -144,7 +144,7 @@
         let (seen, newest) = self.node.plan(|p, at| {
             let newest: Vec<_> =
                 (0..zones).map(|z| p.newest_start(z).map(|t| at.saturating_sub(t))).collect();
-            (p.seen(at), newest)
+            (p.zone_observations(at), newest)
         });
         let seat = self.budgets.seat();
         self.call(|z, now, out| {
--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -528,14 +528,15 @@
         w.all_do(served());
         let answers = Rc::new(RefCell::new(Vec::new()));
         let into = answers.clone();
-        let ask = threadward_core::Ask {
-            call: "00".into(),
-            row: OBJECT.into(),
+        let ask = threadward_core::ClientRequest {
+            call_id: "00".into(),
+            object_name: OBJECT.into(),
             object: u64::from_str_radix(OBJECT, 16).unwrap(),
             due: now() + 2 * S,
-            ..threadward_core::Ask::default()
+            ..threadward_core::ClientRequest::default()
         };
-        w.node.plan(|p, now| p.take(now, 0, ask, Box::new(move |last| into.borrow_mut().push(last))));
+        w.node
+            .plan(|p, now| p.accept_request(now, 0, ask, Box::new(move |last| into.borrow_mut().push(last))));
         // No task has its turn meanwhile: the attempt stands in the queue of a connection that is not up.
         std::thread::sleep(std::time::Duration::from_micros(waits));
         // Both are told, as it is not known which was chosen; the origin stays.
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -17,7 +17,8 @@
 use threadward::net::{now, sleep_until};
 use threadward::{config, wire};
 use threadward_core::{
-    Addr, Ask, Caches, Counter, Dispatch, End, Entry, ListForm, Micros, Outcome, Progress, Report, UnixTime,
+    Addr, AttemptEnd, CacheTransport, ClientRequest, Counter, Dispatch, Entry, ListForm, Micros, Outcome,
+    Progress, Report, UnixTime,
 };
 
 const MS: Micros = 1_000;
@@ -282,7 +283,7 @@
 /// A pool that is played by itself, before one cache: what it reports, and how many list changes it takes to be told.
 struct Alone {
     ex: &'static LocalExecutor<'static>,
-    ends: RefCell<Vec<(u64, u16, End)>>,
+    ends: RefCell<Vec<(u64, u16, AttemptEnd)>>,
     epoch: Cell<u64>,
 }
 
@@ -290,7 +291,7 @@
     fn start(self: Rc<Self>, _: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.ex.spawn(task).detach();
     }
-    fn ended(&self, request: u64, attempt: u16, end: End) {
+    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd) {
         self.ends.borrow_mut().push((request, attempt, end));
     }
     fn client_waits(&self, _: u64) -> bool {
@@ -318,31 +319,41 @@
     pool.join(&home);
     let entry = Entry { addr: config::stand_in("c-0"), ..Entry::default() };
     let started = UnixTime::default();
-    let listed = config::Listed { id: "c-0".into(), sock: h.at, entry, started, called_back: None };
+    let listed = config::ListedServer {
+        id: "c-0".into(),
+        socket_addr: h.at,
+        entry,
+        started_at: started,
+        lifted_at: None,
+    };
     pool.roster(ListForm::Full, &[listed]);
     (alone, home, Way(pool))
 }
 
 fn attempt(request: u64, attempt: u16, body: usize, id_once: bool) -> Dispatch {
-    let ask =
-        Ask { call: call(request as u32).into(), row: OBJECT.into(), body: vec![7; body], ..Ask::default() };
+    let ask = ClientRequest {
+        call_id: call(request as u32).into(),
+        object_name: OBJECT.into(),
+        body: vec![7; body],
+        ..ClientRequest::default()
+    };
     Dispatch {
         request,
         attempt,
         member: config::stand_in("c-0"),
         source: None,
-        keep: 0,
-        age: 0,
-        join: false,
+        keep_rank: 0,
+        max_age: 0,
+        join_fill: false,
         only_held: false,
         parent_keeps_none: false,
-        renew: false,
+        refresh_in_background: false,
         due: now() + 4_000 * MS,
         send_by: Micros::MAX,
-        id_once,
-        decided: now(),
+        exclusive_connection: id_once,
+        decided_at: now(),
         epoch: 0,
-        ask: Rc::new(ask),
+        client_request: Rc::new(ask),
     }
 }
 
@@ -382,8 +393,9 @@
             served += usize::from(parts[0] == "serve");
             off += usize::from(parts[0] == "cancel");
         }
-        let ended = |of: &End| alone.ends.borrow().iter().filter(|e| e.2 == *of).count();
-        let (stale, refused) = (ended(&End::Stale), ended(&End::Broke(Progress::NotConnected)));
+        let ended = |of: &AttemptEnd| alone.ends.borrow().iter().filter(|e| e.2 == *of).count();
+        let (stale, refused) =
+            (ended(&AttemptEnd::Outdated), ended(&AttemptEnd::ConnectionFailed(Progress::NotConnected)));
         if withdrawn {
             assert_eq!((served, off, stale), (begun, begun, 0));
         } else {
@@ -420,7 +432,7 @@
         }
         until("the second end", || alone.ends.borrow().len() == 2).await;
         let ends = alone.ends.borrow();
-        let served = |e: &End| matches!(e, End::Answered(t) if t.outcome == Outcome::Ok);
+        let served = |e: &AttemptEnd| matches!(e, AttemptEnd::Answered(t) if t.outcome == Outcome::Ok);
         assert!(ends[0].1 == 0 && !served(&ends[0].2) && ends[1].1 == 1 && served(&ends[1].2));
     });
 }
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -157,7 +157,7 @@
             assert_eq!(c.answer().await, Some((id, Some("Error".into()), vec![])));
         }
         assert!(ends(&c).await, "reset");
-        assert_eq!((w.node.plan(|p, _| p.open()), w.sent().len()), (0, 1));
+        assert_eq!((w.node.plan(|p, _| p.open_requests()), w.sent().len()), (0, 1));
     });
 }
 
@@ -197,7 +197,7 @@
         let counted = |c| w.node.plan(|p, _| p.counters.get(c));
         until("the requests", || counted(Counter::Taken) == u64::from(n) + 32 && w.sent().len() > n as usize)
             .await;
-        let open = w.node.plan(|p, _| p.open()) as u64;
+        let open = w.node.plan(|p, _| p.open_requests()) as u64;
         assert_eq!(open, 32, "the others were declined");
         let begun = now();
         let mut kept = None;
@@ -222,7 +222,7 @@
         w.all_do(Act::Break);
         w.caches[0].reply(&call(n), b"nobody waits").await;
         sleep_until(now() + 100_000).await;
-        assert_eq!(w.node.plan(|p, _| p.open()), 0);
+        assert_eq!(w.node.plan(|p, _| p.open_requests()), 0);
         drop(kept);
         until("its memory", || w.node.unwritten_bytes.get() == 0 && w.node.connections() == 0).await;
         assert_eq!((w.sent().len(), w.node.unwritten.get()), (sent, 0));
@@ -254,7 +254,8 @@
                 Goes::Cancels => at_once(c.as_ref().unwrap(), &cancel(1)),
             }
         }
-        until("its end", || w.node.plan(|p, _| p.open()) == 0 && w.node.unwritten_bytes.get() == 0).await;
+        until("its end", || w.node.plan(|p, _| p.open_requests()) == 0 && w.node.unwritten_bytes.get() == 0)
+            .await;
         if let Some(c) = c.as_mut() {
             w.all_do(served());
             if matches!(how, Goes::Cancels) {
@@ -421,7 +422,7 @@
             let taken = || count(Counter::Accepted) + count(Counter::TurnedAway) == come;
             until("all of the backlog", taken).await;
         }
-        until("all gone", || w.node.connections() == 0 && w.node.plan(|p, _| p.open()) == 0).await;
+        until("all gone", || w.node.connections() == 0 && w.node.plan(|p, _| p.open_requests()) == 0).await;
         over.set(true);
         println!("longest answer {longest} us, most connections {}", most.get());
         assert!(most.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", most.get());
@@ -469,6 +470,6 @@
         gone.send(&[request(1, "media", &[("call", "00000000000000aa")]), vec![0xc1]].concat()).await;
         until("the attempt", || w.sent().len() == 2).await;
         drop(gone);
-        until("its end", || w.node.plan(|p, _| p.open()) == 0).await;
+        until("its end", || w.node.plan(|p, _| p.open_requests()) == 0).await;
     });
 }
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -14,7 +14,7 @@
 use threadward::ledger::{write_learned, Ledger};
 use threadward::net::{self, now, sleep_until};
 use threadward::{handover, shift::Shift};
-use threadward_core::bans::{Call, Calls};
+use threadward_core::bans::{BanState, BanStates};
 use threadward_core::shift::Phase;
 use threadward_core::{Learned, UnixTime};
 use threadward_faults::{Process, Start};
@@ -54,7 +54,7 @@
     let list = [0, 1].map(|i| server(&format!("s-{i}"), caches[i].at, "std", "active", 0));
     let json = configuration(front, bulletin(ex), &list);
     let folder = tempdir().unwrap();
-    let out = Calls::from([("s-0".into(), Call::Out(UnixTime::from_micros(5)))]);
+    let out = BanStates::from([("s-0".into(), BanState::Banned(UnixTime::from_micros(5)))]);
     Ledger::open(folder.path(), "n0", (1, 1)).unwrap().keep(1, &out).unwrap();
     Site { caches, front, doors, json, folder }
 }
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -14,9 +14,9 @@
 use threadward::clock::unix_now;
 use threadward::ledger::{read_calls, read_learned, write_calls, write_learned, Ledger};
 use threadward::net::{now, sleep_until};
-use threadward_core::bans::{self, Calls};
-use threadward_core::shift::{Phase, Sign};
-use threadward_core::{Ask, Counter, Final, Learned, UnixTime};
+use threadward_core::bans::{self, BanStates};
+use threadward_core::shift::{Phase, ProcessStatus};
+use threadward_core::{ClientRequest, Counter, FinalAnswer, Learned, UnixTime};
 
 #[rstest]
 #[case::ready(b"READY", Ok(Call::Ready))]
@@ -35,10 +35,13 @@
     assert_eq!(call(line), want);
 }
 
-fn calls() -> Calls {
+fn calls() -> BanStates {
     let at = UnixTime::from_micros;
-    let out = bans::Call::Out(at(5));
-    Calls::from([("s-1".into(), out), ("s-2".into(), bans::Call::Back { out: at(5), at: at(9) })])
+    let out = bans::BanState::Banned(at(5));
+    BanStates::from([
+        ("s-1".into(), out),
+        ("s-2".into(), bans::BanState::Lifted { banned_at: at(5), lifted_at: at(9) }),
+    ])
 }
 
 /// A file is taken whole or not at all: any cut, any changed byte, another kind or version is refused.
@@ -71,12 +74,12 @@
     std::fs::write(dir.join("threadward-n1.run-0000000000000001-78"), "ready 3\n").unwrap();
     let a = Ledger::open(dir, "n0", (5, 1)).unwrap();
     let b = Ledger::open(dir, "n0", (6, 2)).unwrap();
-    assert_eq!(a.others(), [Sign { rank: (6, 2), phase: Phase::Starting, bans: 0 }]);
+    assert_eq!(a.others(), [ProcessStatus { rank: (6, 2), phase: Phase::Starting, bans_version: 0 }]);
     assert!(!dir.join("threadward-n0.run-0000000000000001-77").exists());
     assert!(dir.join("threadward-n1.run-0000000000000001-78").exists(), "another proxy's file is left alone");
     b.show(Phase::Ready, 12).unwrap();
     b.show(Phase::Leaving, 4).unwrap();
-    assert_eq!(a.others(), [Sign { rank: (6, 2), phase: Phase::Leaving, bans: 4 }]);
+    assert_eq!(a.others(), [ProcessStatus { rank: (6, 2), phase: Phase::Leaving, bans_version: 4 }]);
     let held = a.lock().unwrap();
     assert!(b.lock().unwrap().is_none());
     drop(held);
@@ -131,7 +134,7 @@
         // A process that starts now finds the ban.
         let other = world(ex, 2).await;
         let (_other, _) = door(&other, Some(dir));
-        assert!(other.node.bans.borrow().is_out("s-0"));
+        assert!(other.node.bans.borrow().is_banned("s-0"));
         assert_eq!(ask(at, &["ENABLE s-0\n"]).await, "done in use\n");
         let (cold, warm) = play(100).await;
         assert!(cold > 0 && cold * 2 < warm, "{cold} to the one that came back, {warm} to the other");
@@ -164,18 +167,23 @@
     run(|ex| async move {
         let w = world(ex, 2).await;
         w.all_do(served());
-        let said: Rc<std::cell::RefCell<Option<Final>>> = Rc::default();
+        let said: Rc<std::cell::RefCell<Option<FinalAnswer>>> = Rc::default();
         let (told, object) = (said.clone(), u64::from_str_radix(OBJECT, 16).unwrap());
-        let ask =
-            Ask { call: "00".into(), row: OBJECT.into(), object, due: now() + 2_000_000, ..Ask::default() };
+        let ask = ClientRequest {
+            call_id: "00".into(),
+            object_name: OBJECT.into(),
+            object,
+            due: now() + 2_000_000,
+            ..ClientRequest::default()
+        };
         let reply = Box::new(move |last| *told.borrow_mut() = Some(last));
-        w.node.plan(|p, now| p.take(now, 0, ask, reply));
+        w.node.plan(|p, now| p.accept_request(now, 0, ask, reply));
         // No task has had its turn since.
-        let out = [0, 1].map(|i| (format!("s-{i}"), bans::Call::Out(unix_now())));
-        let changed = w.node.bans.borrow_mut().adopt(Calls::from(out));
+        let out = [0, 1].map(|i| (format!("s-{i}"), bans::BanState::Banned(unix_now())));
+        let changed = w.node.bans.borrow_mut().adopt(BanStates::from(out));
         bulletin::hold(&w.node, changed, 0);
         until("the answer", || said.borrow().is_some()).await;
-        assert!(matches!(*said.borrow(), Some(Final::Refused { .. })), "{:?}", said.borrow());
+        assert!(matches!(*said.borrow(), Some(FinalAnswer::Refused { .. })), "{:?}", said.borrow());
         assert!(w.sent().is_empty(), "{:?}", w.sent());
     });
 }
--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -108,7 +108,7 @@
     assert_eq!((&*id, told.outcome, told.note), ("9b1f", outcome, note));
     assert_eq!(told.payload.is_some(), outcome == Outcome::Ok);
     if fields.contains("use=") {
-        assert_eq!((told.waited, told.report.n, told.report.values), (12_500, 3, [0.5, 0.0, 0.25, 0.0]));
+        assert_eq!((told.source_wait, told.report.n, told.report.values), (12_500, 3, [0.5, 0.0, 0.25, 0.0]));
     }
 }
 
@@ -236,7 +236,7 @@
 }
 
 /// A client's request of the first class with the fields given, as the front reads it.
-fn asked(extra: &[(&'static str, &'static str)]) -> Option<threadward_core::Ask> {
+fn asked(extra: &[(&'static str, &'static str)]) -> Option<threadward_core::ClientRequest> {
     let class = nickelgate::Class { deadline: 6_000_000, ..Default::default() };
     let settings = threadward_core::Settings { classes: vec![class], ..Default::default() };
     let base = [
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -37,7 +37,7 @@
         w.all_do(ok());
         c.send(&request(2, "nothing", &[])).await;
         assert_eq!(c.answer().await.unwrap().0, 2);
-        until("all requests closed", || w.node.plan(|p, _| p.open()) == 0).await;
+        until("all requests closed", || w.node.plan(|p, _| p.open_requests()) == 0).await;
     });
 }
 
@@ -288,7 +288,7 @@
             assert!(id < 500, "never closed");
             c.send(&request(id, "media", &[])).await;
             until("its answer", || {
-                w.node.plan(|p, _| p.open()) == 0 && w.sent().len() == id as usize || malformed() > 0
+                w.node.plan(|p, _| p.open_requests()) == 0 && w.sent().len() == id as usize || malformed() > 0
             })
             .await;
             assert!(w.node.unwritten_bytes.get() < 70 * 240_100);
--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
 use threadward::{bulletin, config, wire};
-use threadward_core::{Ask, Counter, Micros, UnixTime};
+use threadward_core::{ClientRequest, Counter, Micros, UnixTime};
 
 const S: Micros = 1_000_000;
 
@@ -91,15 +91,15 @@
 fn what_waits_unwritten_follows_the_graces_of_the_settings() {
     run(|ex| async move {
         let w = world_with(ex, 2, |j| with(&j, "/settings/family_info/purge_slack", json!(50_000))).await;
-        let ask = Ask {
-            call: "00".into(),
-            row: OBJECT.into(),
+        let ask = ClientRequest {
+            call_id: "00".into(),
+            object_name: OBJECT.into(),
             object: u64::from_str_radix(OBJECT, 16).unwrap(),
             group: 17,
             due: now() + 2 * S,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
-        w.node.plan(|p, now| p.take(now, 0, ask, Box::new(|_| {})));
+        w.node.plan(|p, now| p.accept_request(now, 0, ask, Box::new(|_| {})));
         // No task has its turn meanwhile: the attempt stands in the queue of a connection that is not up.
         std::thread::sleep(std::time::Duration::from_millis(120));
         let (issued, at) = (UnixTime::default(), now());
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -20,7 +20,7 @@
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::State;
 use threadward_zones::wire::Body;
-use threadward_zones::{wire, Author, Seen};
+use threadward_zones::{wire, Author, ZoneObservation};
 
 type Ex = &'static LocalExecutor<'static>;
 
@@ -443,8 +443,16 @@
         self.seq += 1;
         // Who sees every zone fail is cut off itself: one is left out now and then.
         let zones = (0..ZONES.len() as u16).filter(|z| self.seq % 8 != u32::from(*z));
-        let seen: Vec<Seen> = zones
-            .map(|zone| Seen { zone, tried: 99, failed: 99, members: 2, bad: 2, load: 99, busy: 0 })
+        let seen: Vec<ZoneObservation> = zones
+            .map(|zone| ZoneObservation {
+                zone,
+                attempts: 99,
+                failed: 99,
+                members: 2,
+                bad_members: 2,
+                load: 99,
+                mean_use: 0,
+            })
             .collect();
         for p in 0..PROXIES {
             let (seq, to, epoch, hash) = (self.seq, self.lives[p], map.epoch, map.hash());
--- a/zones/src/decider.rs
+++ b/zones/src/decider.rs
@@ -5,7 +5,7 @@
 use crate::judge::{Reports, Verdict, FRESH, LIVE};
 use crate::map::{Epoch, Map};
 use crate::state::{self, Around, State, Status};
-use crate::{Author, Kind, Seen, Settings, Tally, AGAIN};
+use crate::{Author, Kind, Settings, Tally, ZoneObservation, AGAIN};
 use nickelgate::Micros;
 use std::collections::BTreeMap;
 use std::mem::discriminant;
@@ -141,7 +141,7 @@
         to: u64,
         map: (u64, u64),
         place: u16,
-        seen: Vec<Seen>,
+        seen: Vec<ZoneObservation>,
     ) -> bool {
         if to != me.life {
             self.hello.insert(by.place, (now, map.0));
--- a/zones/src/instance.rs
+++ b/zones/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::state::{self, State, Status, STEPS};
 use crate::voter::Voter;
 use crate::wire::{self, Body};
-use crate::{check, Author, Seen, Settings, Tally, Use, MOST_ZONES, WAITS};
+use crate::{check, Author, Settings, Tally, ZoneObservation, ZoneUse, MOST_ZONES, WAITS};
 use nickelgate::Micros;
 
 /// What the election of budgets says now, to this proxy.
@@ -44,7 +44,7 @@
     pub(crate) told: Vec<Told>,
     pub(crate) voter: Option<Voter>,
     pub(crate) decider: Decider,
-    pub(crate) seen: Vec<Seen>,
+    pub(crate) seen: Vec<ZoneObservation>,
     pub(crate) seq: u32,
     pub(crate) next_report: Micros,
     started: Micros,
@@ -61,7 +61,7 @@
     /// One line that says what is wrong with the settings.
     ///
     /// ```
-    /// use threadward_zones::{Author, Kind, Settings, Use, Zone, Zones};
+    /// use threadward_zones::{Author, Kind, Settings, ZoneUse, Zone, Zones};
     /// let hub = |other| Zone { kind: Kind::Hub, region: other, cold: 20_000_000, takers: vec![other] };
     /// let s = Settings {
     ///     me: Author { place: 0, life: 7 },
@@ -72,7 +72,7 @@
     ///     zones: vec![hub(1), hub(0)],
     /// };
     /// let z = Zones::new(0, s.clone()).unwrap();
-    /// assert_eq!(z.usage(1), Use::All, "every zone is in service until a majority says otherwise");
+    /// assert_eq!(z.usage(1), ZoneUse::Normal, "every zone is in service until a majority says otherwise");
     /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "two voters make no majority");
     /// ```
     pub fn new(now: Micros, settings: Settings) -> Result<Zones, String> {
@@ -108,21 +108,23 @@
     }
 
     /// How a zone may be used now.
-    pub fn usage(&self, zone: u16) -> Use {
-        let Some(s) = self.map.zones.get(usize::from(zone)) else { return Use::All };
+    pub fn usage(&self, zone: u16) -> ZoneUse {
+        let Some(s) = self.map.zones.get(usize::from(zone)) else { return ZoneUse::Normal };
         match s.state {
-            State::In => Use::All,
-            State::Suspect => Use::Doubted,
-            State::Leaving | State::Out => Use::None,
+            State::In => ZoneUse::Normal,
+            State::Suspect => ZoneUse::Suspected,
+            State::Leaving | State::Out => ZoneUse::Unused,
             State::Probing if s.tried_by(self.settings.me.place) => {
                 if s.tries <= state::FEW {
-                    Use::Tried
+                    ZoneUse::Trial
                 } else {
-                    Use::Part(0)
+                    ZoneUse::Ramping(0)
                 }
             }
-            State::Probing => Use::None,
-            State::Returning => Use::Part(u16::from(s.step.saturating_sub(1)) * 1000 / u16::from(STEPS)),
+            State::Probing => ZoneUse::Unused,
+            State::Returning => {
+                ZoneUse::Ramping(u16::from(s.step.saturating_sub(1)) * 1000 / u16::from(STEPS))
+            }
         }
     }
 
@@ -143,9 +145,9 @@
     }
 
     /// What own attempts showed of each zone in the last two seconds. What fails is reported at once.
-    pub fn seen(&mut self, now: Micros, seen: Vec<Seen>) {
+    pub fn seen(&mut self, now: Micros, seen: Vec<ZoneObservation>) {
         self.now = self.now.max(now);
-        let fails = |all: &[Seen], z: u16| all.iter().any(|s| s.zone == z && s.fails());
+        let fails = |all: &[ZoneObservation], z: u16| all.iter().any(|s| s.zone == z && s.is_failing());
         let news = seen.iter().any(|s| fails(&seen, s.zone) != fails(&self.seen, s.zone));
         self.seen = seen;
         self.seen.truncate(MOST_ZONES);
@@ -169,7 +171,7 @@
     /// whose [`Zones::receive`] takes it. With one voter that decides alone:
     ///
     /// ```
-    /// use threadward_zones::{Author, Kind, Seat, Seen, Settings, Use, Zone, Zones, AGAIN};
+    /// use threadward_zones::{Author, Kind, Seat, ZoneObservation, Settings, ZoneUse, Zone, Zones, AGAIN};
     /// let zone = |region, taker| Zone { kind: Kind::Hub, region, cold: 0, takers: vec![taker] };
     /// let zones = vec![zone(0, 1), zone(1, 0)];
     /// let me = |place| Author { place, life: 7 + u64::from(place) };
@@ -180,7 +182,15 @@
     /// };
     /// let mut all: Vec<Zones> = (0..3).map(new).collect();
     /// assert!(!all[1].ready(0), "it waits for the map");
-    /// let seen = |zone, failed, bad| Seen { zone, tried: 9, failed, members: 2, bad, load: 9, busy: 60 };
+    /// let seen = |zone, failed, bad| ZoneObservation {
+    ///     zone,
+    ///     attempts: 9,
+    ///     failed,
+    ///     members: 2,
+    ///     bad_members: bad,
+    ///     load: 9,
+    ///     mean_use: 60,
+    /// };
     /// for n in 0..9 {
     ///     let now = n * AGAIN;
     ///     for from in 0..3 {
@@ -196,7 +206,8 @@
     ///         }
     ///     }
     /// }
-    /// assert!(all.iter().all(|z| z.usage(0) == Use::None && z.usage(1) == Use::All), "left by all at once");
+    /// let left = |z: &Zones| z.usage(0) == ZoneUse::Unused && z.usage(1) == ZoneUse::Normal;
+    /// assert!(all.iter().all(left), "left by all at once");
     /// assert!(all[1].ready(0) && all[1].moves().iter().all(|m| m.zone == 0));
     /// ```
     pub fn tick(&mut self, now: Micros, seat: Seat, out: &mut Out) {
--- a/zones/src/judge.rs
+++ b/zones/src/judge.rs
@@ -3,7 +3,7 @@
 use nickelgate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use threadward_budgets::wire::Author;
-use threadward_core::zoned::Seen;
+use threadward_core::zoned::ZoneObservation;
 
 /// A report says nothing any more after this: it comes every [`crate::BRISK`] while anything is wrong.
 pub const FRESH: Micros = 1_500_000;
@@ -26,14 +26,14 @@
     pub hash: u64,
     /// The zone that it stands in.
     pub place: u16,
-    pub seen: Vec<Seen>,
+    pub seen: Vec<ZoneObservation>,
 }
 
 impl Heard {
     /// Every zone that it tried fails: it is itself cut off.
     fn blind(&self) -> bool {
-        self.seen.iter().filter(|s| s.tried > 0).count() > 1
-            && self.seen.iter().filter(|s| s.tried > 0).all(Seen::fails)
+        self.seen.iter().filter(|s| s.attempts > 0).count() > 1
+            && self.seen.iter().filter(|s| s.attempts > 0).all(ZoneObservation::is_failing)
     }
 }
 
@@ -70,7 +70,7 @@
         seq: u32,
         map: (u64, u64),
         place: u16,
-        seen: Vec<Seen>,
+        seen: Vec<ZoneObservation>,
     ) -> bool {
         let (epoch, hash) = map;
         let heard = Heard { life: by.life, former: [0; FORMER], seq, at: now, epoch, hash, place, seen };
@@ -106,9 +106,17 @@
     ///
     /// ```
     /// use threadward_zones::judge::{Reports, Verdict, FRESH};
-    /// use threadward_zones::{Author, Seen};
+    /// use threadward_zones::{Author, ZoneObservation};
     /// let mut r = Reports::default();
-    /// let seen = |zone, bad| Seen { zone, tried: 8, failed: bad * 2, members: 4, bad, load: 8, busy: 0 };
+    /// let seen = |zone, bad| ZoneObservation {
+    ///     zone,
+    ///     attempts: 8,
+    ///     failed: bad * 2,
+    ///     members: 4,
+    ///     bad_members: bad,
+    ///     load: 8,
+    ///     mean_use: 0,
+    /// };
     /// let mut says = |place: u16, seen| r.take(0, Author { place, life: 1 }, 1, (0, 0), place % 2, seen);
     /// says(0, vec![seen(0, 4), seen(1, 0)]);
     /// says(1, vec![seen(0, 3), seen(1, 0)]);
@@ -124,13 +132,13 @@
         let (mut from, mut places) = (BTreeSet::new(), BTreeSet::new());
         let named = |p: u16| by.is_none_or(|drawn| drawn(p));
         for (_, h) in self.0.iter().filter(|(p, h)| now < h.at + FRESH && named(**p)) {
-            let Some(s) = h.seen.iter().find(|s| s.zone == zone && s.tried > 0) else { continue };
+            let Some(s) = h.seen.iter().find(|s| s.zone == zone && s.attempts > 0) else { continue };
             if h.blind() {
                 continue;
             }
             says += 1;
             places.insert(h.place);
-            if s.fails() {
+            if s.is_failing() {
                 bad += 1;
                 from.insert(h.place);
             }
@@ -154,9 +162,9 @@
         let (mut load, mut told, mut busy) = (0u32, 0u64, 0u64);
         for s in own.filter(|s| s.zone == zone) {
             load = load.saturating_add(u32::from(s.load));
-            if s.busy > 0 {
+            if s.mean_use > 0 {
                 told += u64::from(s.load);
-                busy += u64::from(s.load) * u64::from(s.busy);
+                busy += u64::from(s.load) * u64::from(s.mean_use);
             }
         }
         let most = (busy > 0).then(|| u32::try_from(u64::from(load) * 255 * told / busy).unwrap_or(u32::MAX));
--- a/zones/src/lib.rs
+++ b/zones/src/lib.rs
@@ -24,7 +24,7 @@
 pub use settings::{check, Kind, Settings, Zone};
 pub use tally::Tally;
 pub use threadward_budgets::wire::Author;
-pub use threadward_core::zoned::{Seen, Use};
+pub use threadward_core::zoned::{ZoneObservation, ZoneUse};
 
 /// Zones that settings may name: a map of them fits one datagram of an Ethernet.
 pub const MOST_ZONES: usize = 40;
--- a/zones/src/reporting.rs
+++ b/zones/src/reporting.rs
@@ -3,12 +3,13 @@
 use crate::instance::Zones;
 use crate::state::State;
 use crate::wire::Body;
-use crate::{Out, Seen, BRISK, CALM_REPORT};
+use crate::{Out, ZoneObservation, BRISK, CALM_REPORT};
 
 impl Zones {
     /// Reports what own attempts showed, and the map in use, to the decider.
     pub(crate) fn report(&mut self, out: &mut Out) {
-        let amiss = self.map.zones.iter().any(|z| z.state != State::In) || self.seen.iter().any(Seen::fails);
+        let amiss = self.map.zones.iter().any(|z| z.state != State::In)
+            || self.seen.iter().any(ZoneObservation::is_failing);
         self.next_report = self.now + if amiss { BRISK } else { CALM_REPORT };
         self.seq = self.seq.wrapping_add(1);
         let (me, seq, place, seen) = (self.settings.me, self.seq, self.settings.stands, self.seen.clone());
--- a/zones/src/wire.rs
+++ b/zones/src/wire.rs
@@ -7,7 +7,7 @@
 use crate::MOST_ZONES;
 use nickelgate::Micros;
 use threadward_budgets::wire::Author;
-use threadward_core::zoned::Seen;
+use threadward_core::zoned::ZoneObservation;
 
 /// The first byte of every message; those of budgets begin with 1 to 7.
 const FIRST: u8 = 32;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Body {
     /// What own attempts showed; the map in use; the zone that the sender stands in.
-    Report { seq: u32, to: u64, epoch: u64, hash: u64, place: u16, seen: Vec<Seen> },
+    Report { seq: u32, to: u64, epoch: u64, hash: u64, place: u16, seen: Vec<ZoneObservation> },
     /// A new decider asks a voter for what it took last, and to take nothing below this number from anybody else.
     Read { number: u64 },
     /// A voter's answer: no map before `barred` is taken. `fresh`: it took none since it started and may have forgotten one.
@@ -67,10 +67,10 @@
             [to, epoch, hash].iter().for_each(|n| out.extend(n.to_be_bytes()));
             out.extend(place.to_be_bytes());
             for s in seen.iter().take(MOST_ZONES) {
-                [s.zone, s.tried, s.failed, s.members, s.bad, s.load]
+                [s.zone, s.attempts, s.failed, s.members, s.bad_members, s.load]
                     .iter()
                     .for_each(|n| out.extend(n.to_be_bytes()));
-                out.push(s.busy);
+                out.push(s.mean_use);
             }
             0
         }
@@ -122,18 +122,18 @@
             fits.then_some(())?;
             let mut seen = Vec::new();
             while !r.0.is_empty() {
-                let s = Seen {
+                let s = ZoneObservation {
                     zone: r.short()?,
-                    tried: r.short()?,
+                    attempts: r.short()?,
                     failed: r.short()?,
                     members: r.short()?,
-                    bad: r.short()?,
+                    bad_members: r.short()?,
                     load: r.short()?,
-                    busy: r.byte()?,
+                    mean_use: r.byte()?,
                 };
                 // Each zone once, in order: one that tells a zone twice counts twice.
-                let follows = seen.last().is_none_or(|last: &Seen| last.zone < s.zone);
-                let sums = s.failed <= s.tried && s.bad <= s.members && s.members <= MOST_MEMBERS;
+                let follows = seen.last().is_none_or(|last: &ZoneObservation| last.zone < s.zone);
+                let sums = s.failed <= s.attempts && s.bad_members <= s.members && s.members <= MOST_MEMBERS;
                 (follows && sums).then(|| seen.push(s))?;
             }
             Body::Report { seq, to, epoch, hash, place, seen }
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! answer or fail. It owns what is true; it must never tell an instance more than messages and own attempts would.
 use std::collections::{BTreeMap, VecDeque};
 use threadward_budgets::{Budgets, Settings as Terms};
-use threadward_zones::{wire, Kind, Seat, Seen, Settings, Use, Zone, Zones};
+use threadward_zones::{wire, Kind, Seat, Settings, Zone, ZoneObservation, ZoneUse, Zones};
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -141,9 +141,9 @@
         let mut seen = Vec::new();
         for z in 0..self.zones.len() as u16 {
             let tried = match p.zones.usage(z) {
-                Use::All | Use::Doubted | Use::Tried => RATE,
-                Use::Part(n) => (RATE * n / 1000).max(1),
-                Use::None => 0,
+                ZoneUse::Normal | ZoneUse::Suspected | ZoneUse::Trial => RATE,
+                ZoneUse::Ramping(n) => (RATE * n / 1000).max(1),
+                ZoneUse::Unused => 0,
             };
             let fails = (self.dead)(i, z);
             let past = &mut p.past[usize::from(z)];
@@ -151,7 +151,15 @@
             past.drain(..past.len().saturating_sub(20));
             let (tried, failed) = past.iter().fold((0, 0), |(t, f), (a, b)| (t + a, f + b));
             let bad = if failed * 2 > tried { 4 } else { 0 };
-            seen.push(Seen { zone: z, tried, failed, members: 4, bad, load: tried, busy });
+            seen.push(ZoneObservation {
+                zone: z,
+                attempts: tried,
+                failed,
+                members: 4,
+                bad_members: bad,
+                load: tried,
+                mean_use: busy,
+            });
         }
         p.zones.seen(now, seen);
     }
--- a/zones/tests/model.rs
+++ b/zones/tests/model.rs
@@ -8,7 +8,7 @@
 use threadward_zones::state::State::{self, In, Leaving, Out, Probing, Returning, Suspect};
 use threadward_zones::state::Why;
 use threadward_zones::wire::{self, Body};
-use threadward_zones::{Author, Kind, Seat, Seen, Settings, Tally, Use, Zone, Zones, AGAIN};
+use threadward_zones::{Author, Kind, Seat, Settings, Tally, Zone, ZoneObservation, ZoneUse, Zones, AGAIN};
 
 const N: usize = 3;
 /// States that are visited by lot from each start.
@@ -106,8 +106,16 @@
     fn tick(&mut self, i: usize, span: u64, fails: bool) {
         self.clocks[i] += span;
         let (now, mut out) = (self.clocks[i], Vec::new());
-        let bad = |zone| Seen { zone, tried: 9, failed: 9, members: 2, bad: 2, load: 9, busy: 60 };
-        let fine = |zone| Seen { failed: 0, bad: 0, ..bad(zone) };
+        let bad = |zone| ZoneObservation {
+            zone,
+            attempts: 9,
+            failed: 9,
+            members: 2,
+            bad_members: 2,
+            load: 9,
+            mean_use: 60,
+        };
+        let fine = |zone| ZoneObservation { failed: 0, bad_members: 0, ..bad(zone) };
         // Both hubs fail for all, the location does not.
         let hub = |zone| if fails { bad(zone) } else { fine(zone) };
         let seen = vec![hub(0), hub(1), fine(2)];
@@ -138,7 +146,9 @@
         let took = self.took.get(&(epoch, hash)).map_or(0, |bits| bits.count_ones());
         let known = self.acted.entry(epoch.number).or_insert((hash, map.clone())).0;
         let returns = (0..2).all(|z| match self.all[i].usage(z) {
-            Use::Part(share) => share <= u16::from(map.zones[usize::from(z)].step.saturating_sub(1)) * 125,
+            ZoneUse::Ramping(share) => {
+                share <= u16::from(map.zones[usize::from(z)].step.saturating_sub(1)) * 125
+            }
             _ => true,
         });
         let own = epoch.life == self.lives[i] && self.decider == Some(i);
--- a/zones/tests/wire.rs
+++ b/zones/tests/wire.rs
@@ -3,7 +3,7 @@
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::{State, Status};
 use threadward_zones::wire::{self, Body};
-use threadward_zones::{Author, Kind, Seat, Seen, Settings, Zone, Zones, MOST_ZONES};
+use threadward_zones::{Author, Kind, Seat, Settings, Zone, ZoneObservation, Zones, MOST_ZONES};
 
 const NOW: u64 = 100_000_000;
 
@@ -38,7 +38,7 @@
     #[test]
     fn what_is_written_is_read(map in maps(), number: u64, fresh: bool, n in 0..=MOST_ZONES as u16) {
         let epoch = map.epoch;
-        let one = |zone| Seen { zone, tried: 9, failed: 3, members: 4, bad: 1, load: 9, busy: 7 };
+        let one = |zone| ZoneObservation { zone, attempts: 9, failed: 3, members: 4, bad_members: 1, load: 9, mean_use: 7 };
         let report = Body::Report { seq: 1, to: number, epoch: 2, hash: 3, place: 4, seen: (0..n).map(one).collect() };
         let all = [
             report,
@@ -80,7 +80,15 @@
 #[test]
 fn what_cannot_be_is_counted_and_dropped() {
     let by = Author { place: 1, life: 9 };
-    let seen = |zone, failed, bad| Seen { zone, tried: 5, failed, members: 4, bad, load: 5, busy: 0 };
+    let seen = |zone, failed, bad| ZoneObservation {
+        zone,
+        attempts: 5,
+        failed,
+        members: 4,
+        bad_members: bad,
+        load: 5,
+        mean_use: 0,
+    };
     let report = |seen| Body::Report { seq: 1, to: 7, epoch: 0, hash: 0, place: 0, seen };
     let (map, seat) = (Map::new(3, 0), Seat { decides: true, promised: Some(by), decider: 0 });
     let cases = [
