--- a/budgets/src/grant.rs
+++ b/budgets/src/grant.rs
@@ -11,7 +11,7 @@
 //! the asker among them; of the asker's own life the largest grant counts. So after an answer the sum is at most the
 //! pool, or what it was before where that was more: where a pool shrank below what is granted. This holds whatever the
 //! division says.
-use crate::fair_share::{FairShare, Part, Standing};
+use crate::fair_share::{Allocation, FairShare, HolderState};
 use crate::wire::Author;
 use crate::{Amounts, Terms};
 use nickelgate::Micros;
@@ -25,29 +25,29 @@
 /// A grant that may still be used.
 #[derive(Clone, Debug)]
 struct Outstanding {
-    life: u64,
-    question: u32,
+    incarnation: u64,
+    request_id: u32,
     until: Micros,
     share: Amounts,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Holder {
-    life: u64,
+    incarnation: u64,
     /// The newest question of that life.
-    question: u32,
+    request_id: u32,
     heard: Micros,
     outstanding: Vec<Outstanding>,
     /// Of each budget.
-    standings: Vec<Standing>,
+    states: Vec<HolderState>,
     /// Its entry in the queue: when it has to be looked at.
     due: Micros,
 }
 
 impl Holder {
     /// The largest grant of one life.
-    fn largest(&self, budget: usize, life: u64) -> u32 {
-        let of_life = self.outstanding.iter().filter(|grant| grant.life == life);
+    fn largest(&self, budget: usize, incarnation: u64) -> u32 {
+        let of_life = self.outstanding.iter().filter(|grant| grant.incarnation == incarnation);
         of_life.map(|grant| units(&grant.share, budget)).max().unwrap_or(0)
     }
 
@@ -55,9 +55,10 @@
     fn counted(&self, budget: usize, but: Option<u64>) -> u32 {
         let mut sum = 0;
         for (at, grant) in self.outstanding.iter().enumerate() {
-            let life_is_counted = self.outstanding[..at].iter().any(|other| other.life == grant.life);
-            if Some(grant.life) != but && !life_is_counted {
-                sum += self.largest(budget, grant.life);
+            let life_is_counted =
+                self.outstanding[..at].iter().any(|other| other.incarnation == grant.incarnation);
+            if Some(grant.incarnation) != but && !life_is_counted {
+                sum += self.largest(budget, grant.incarnation);
             }
         }
         sum
@@ -75,16 +76,16 @@
 
     /// Whether this question or a newer one of that life was heard before.
     fn has_heard(&self, request: &Request) -> bool {
-        let newer = request.question.wrapping_sub(self.question) as i32 > 0;
-        self.life == request.by.life && !newer && self.heard > 0
+        let newer = request.request_id.wrapping_sub(self.request_id) as i32 > 0;
+        self.incarnation == request.by.incarnation && !newer && self.heard > 0
     }
 
     /// Takes a question in. The holder uses the grant that it names or a later one: the earlier ones are over.
     fn hear(&mut self, now: Micros, request: &Request) {
-        let Request { by, question, holds, .. } = *request;
-        (self.life, self.question, self.heard) = (by.life, question, now);
-        let counts = |grant: &Outstanding| holds.wrapping_sub(grant.question) as i32 <= 0;
-        self.outstanding.retain(|grant| grant.life != by.life || counts(grant));
+        let Request { by, request_id, held_request, .. } = *request;
+        (self.incarnation, self.request_id, self.heard) = (by.incarnation, request_id, now);
+        let counts = |grant: &Outstanding| held_request.wrapping_sub(grant.request_id) as i32 <= 0;
+        self.outstanding.retain(|grant| grant.incarnation != by.incarnation || counts(grant));
     }
 }
 
@@ -98,11 +99,11 @@
     /// Who asks.
     pub by: Author,
     /// The number of the question, higher with each question of one life.
-    pub question: u32,
+    pub request_id: u32,
     /// The question that brought the grant that the holder uses.
-    pub holds: u32,
+    pub held_request: u32,
     /// What the holder would use of each budget, in units.
-    pub wants: &'a [u32],
+    pub demands: &'a [u32],
 }
 
 /// What may be handed on.
@@ -119,7 +120,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// How long the share lasts, from when the question was sent.
-    pub lasts: Micros,
+    pub duration: Micros,
     /// Units of each budget.
     pub share: Amounts,
 }
@@ -131,10 +132,10 @@
 ///
 /// let terms = Terms { lease: 1_000_000, proxies: 2, pools: vec![10], floors: vec![0] };
 /// let mut ledger = Ledger::new(0, &terms);
-/// let (first, second) = (Author { place: 0, life: 1 }, Author { place: 1, life: 1 });
+/// let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
 /// let supply = Supply { pools: &terms.pools, until: 9_000_000 };
-/// let mut ask = |by, now, question, holds| {
-///     let request = Request { by, question, holds, wants: &[10] };
+/// let mut ask = |by, now, request_id, held_request| {
+///     let request = Request { by, request_id, held_request, demands: &[10] };
 ///     ledger.answer(now, &request, &supply, &terms).map(|grant| grant.share[0])
 /// };
 /// assert_eq!(ask(first, 600_000, 1, 0), Some(10), "nobody else has asked");
@@ -172,32 +173,32 @@
         terms: &Terms,
     ) -> Option<Grant> {
         self.expire(now, terms);
-        let known = self.holders.get(&request.by.place);
+        let known = self.holders.get(&request.by.index);
         if known.is_some_and(|holder| holder.has_heard(request)) {
             return None;
         }
-        let place = request.by.place;
+        let index = request.by.index;
         if self.divisions.len() < supply.pools.len() {
             self.divisions.resize_with(supply.pools.len(), FairShare::default);
         }
-        let mut holder = self.holders.remove(&place).unwrap_or_default();
-        holder.standings.resize_with(self.divisions.len(), Standing::default);
+        let mut holder = self.holders.remove(&index).unwrap_or_default();
+        holder.states.resize_with(self.divisions.len(), HolderState::default);
         holder.hear(now, request);
         let grant = self.divide(now, request, supply, terms, &mut holder);
         let due = holder.next_due(terms);
-        self.put(place, holder, due);
+        self.put(index, holder, due);
         grant
     }
 
     /// One has left by will and uses nothing any more.
-    pub fn left(&mut self, by: Author) {
-        let Some(mut holder) = self.holders.remove(&by.place) else { return };
-        holder.outstanding.retain(|grant| grant.life != by.life);
-        self.recount(by.place, &mut holder);
-        if holder.life == by.life {
-            self.want_nothing(by.place, &mut holder);
+    pub fn record_leave(&mut self, by: Author) {
+        let Some(mut holder) = self.holders.remove(&by.index) else { return };
+        holder.outstanding.retain(|grant| grant.incarnation != by.incarnation);
+        self.recount(by.index, &mut holder);
+        if holder.incarnation == by.incarnation {
+            self.clear_demand(by.index, &mut holder);
         }
-        self.put(by.place, holder, AT_ONCE);
+        self.put(by.index, holder, AT_ONCE);
     }
 
     /// Units of a budget that holders may still be using now: the sum of what counts of each holder.
@@ -208,8 +209,8 @@
     }
 
     /// The sum of the newest wants of the holders that are known.
-    pub fn wanted(&self, budget: usize) -> u64 {
-        self.divisions.get(budget).map_or(0, FairShare::wanted)
+    pub fn total_demand(&self, budget: usize) -> u64 {
+        self.divisions.get(budget).map_or(0, FairShare::total_demand)
     }
 
     /// Divides what is free; nothing for a holder with too many grants out.
@@ -222,8 +223,8 @@
         holder: &mut Holder,
     ) -> Option<Grant> {
         let by = request.by;
-        self.recount(by.place, holder);
-        let parts = self.parts(request, supply, holder);
+        self.recount(by.index, holder);
+        let parts = self.allocations(request, supply, holder);
         if holder.outstanding.len() >= MOST_OUT {
             return None;
         }
@@ -231,75 +232,80 @@
         for (budget, (part, pool)) in parts.iter().zip(supply.pools).enumerate() {
             let most =
                 if now < self.hears_until { pool / u32::from(terms.proxies.max(1)) } else { part.units };
-            let given = part.units.min(most).min(self.free(budget, *pool, by.life, holder));
-            if part.over && given == part.units {
-                self.divisions[budget].turn(by.place, &mut holder.standings[budget]);
+            let given = part.units.min(most).min(self.free(budget, *pool, by.incarnation, holder));
+            if part.has_extra && given == part.units {
+                self.divisions[budget].record_extra_unit(by.index, &mut holder.states[budget]);
             }
             share.push(given);
         }
-        let until = supply.until.min(now + terms.longer(terms.lease));
-        let lasts = terms.within(until.saturating_sub(now));
-        let Request { question, .. } = *request;
-        holder.outstanding.push(Outstanding { life: by.life, question, until, share: share.clone() });
-        self.recount(by.place, holder);
-        Some(Grant { lasts, share })
+        let until = supply.until.min(now + terms.lengthened(terms.lease));
+        let duration = terms.fit_lengthened(until.saturating_sub(now));
+        let Request { request_id, .. } = *request;
+        holder.outstanding.push(Outstanding {
+            incarnation: by.incarnation,
+            request_id,
+            until,
+            share: share.clone(),
+        });
+        self.recount(by.index, holder);
+        Some(Grant { duration, share })
     }
 
     /// The holder's fair part of each budget, whether it is free or not.
-    fn parts(&mut self, request: &Request, supply: &Supply, holder: &mut Holder) -> Vec<Part> {
+    fn allocations(&mut self, request: &Request, supply: &Supply, holder: &mut Holder) -> Vec<Allocation> {
         let mut parts = Vec::new();
         for (budget, pool) in supply.pools.iter().enumerate() {
-            let want = units(request.wants, budget);
-            let standing = &mut holder.standings[budget];
-            parts.push(self.divisions[budget].part(request.by.place, standing, want, *pool));
+            let demand = units(request.demands, budget);
+            let state = &mut holder.states[budget];
+            parts.push(self.divisions[budget].allocate(request.by.index, state, demand, *pool));
         }
         parts
     }
 
     /// What is left of a pool by all others, the holder's other lives among them.
-    fn free(&self, budget: usize, pool: u32, life: u64, holder: &Holder) -> u32 {
-        let own = holder.standings[budget].counted() - holder.counted(budget, Some(life));
+    fn free(&self, budget: usize, pool: u32, incarnation: u64, holder: &Holder) -> u32 {
+        let own = holder.states[budget].granted() - holder.counted(budget, Some(incarnation));
         let others = self.divisions[budget].granted() - u64::from(own);
         u64::from(pool).saturating_sub(others) as u32
     }
 
     /// Brings the sums up to date with the holder's grants.
-    fn recount(&mut self, place: u16, holder: &mut Holder) {
-        for budget in 0..holder.standings.len() {
+    fn recount(&mut self, index: u16, holder: &mut Holder) {
+        for budget in 0..holder.states.len() {
             let counted = holder.counted(budget, None);
-            self.divisions[budget].count(place, &mut holder.standings[budget], counted);
+            self.divisions[budget].set_granted(index, &mut holder.states[budget], counted);
         }
     }
 
-    fn want_nothing(&mut self, place: u16, holder: &mut Holder) {
-        for (division, standing) in self.divisions.iter_mut().zip(&mut holder.standings) {
-            division.want_nothing(place, standing);
+    fn clear_demand(&mut self, index: u16, holder: &mut Holder) {
+        for (division, state) in self.divisions.iter_mut().zip(&mut holder.states) {
+            division.clear_demand(index, state);
         }
     }
 
     /// Puts a holder back that was taken out, to be looked at when it is due.
-    fn put(&mut self, place: u16, mut holder: Holder, due: Micros) {
-        self.dues.remove(&(holder.due, place));
+    fn put(&mut self, index: u16, mut holder: Holder, due: Micros) {
+        self.dues.remove(&(holder.due, index));
         holder.due = due;
-        self.dues.insert((due, place));
-        self.holders.insert(place, holder);
+        self.dues.insert((due, index));
+        self.holders.insert(index, holder);
     }
 
     /// Ends what has run out by now, and forgets holders of whom nothing is left.
     fn expire(&mut self, now: Micros, terms: &Terms) {
-        while let Some((due, place)) = self.dues.first().copied() {
+        while let Some((due, index)) = self.dues.first().copied() {
             if now < due {
                 return;
             }
-            self.dues.remove(&(due, place));
-            let Some(mut holder) = self.holders.remove(&place) else { continue };
+            self.dues.remove(&(due, index));
+            let Some(mut holder) = self.holders.remove(&index) else { continue };
             holder.outstanding.retain(|grant| now < grant.until);
-            self.recount(place, &mut holder);
+            self.recount(index, &mut holder);
             if holder.is_over(now, terms) {
-                self.want_nothing(place, &mut holder);
+                self.clear_demand(index, &mut holder);
             } else {
                 let due = holder.next_due(terms);
-                self.put(place, holder, due);
+                self.put(index, holder, due);
             }
         }
     }
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -4,23 +4,23 @@
 //! that holds. All times are microseconds on the caller's clock, all amounts whole units of a budget.
 //!
 //! ```
-//! use threadward_budgets::{Budgets, Out, Settings};
+//! use threadward_budgets::{Budgets, Outbox, Settings};
 //!
 //! // Three proxies share 90 units: 3 each are theirs for good, 81 are divided among those that ask.
-//! let settings = |place| Settings {
-//!     place,
+//! let settings = |index| Settings {
+//!     index,
 //!     proxies: 3,
 //!     voters: vec![0, 1, 2],
-//!     wholes: vec![90],
+//!     totals: vec![90],
 //!     lease: 1_000_000,
 //! };
-//! let new = |place: u16| Budgets::new(0, settings(place), [place as u8 + 1; 32]);
+//! let new = |index: u16| Budgets::new(0, settings(index), [index as u8 + 1; 32]);
 //! let mut all = (0..3).map(new).collect::<Result<Vec<_>, _>>()?;
-//! all.iter_mut().for_each(|b| b.want(0, 50));
+//! all.iter_mut().for_each(|b| b.set_demand(0, 50));
 //! let mut now = 0;
 //! while now < 10_000_000 {
 //!     now += 10_000;
-//!     let mut out = Out::new();
+//!     let mut out = Outbox::new();
 //!     all.iter_mut().for_each(|b| b.tick(now, &mut out));
 //!     // The caller is the network: here nothing is lost or late.
 //!     while let Some((to, bytes)) = out.pop() {
@@ -28,7 +28,7 @@
 //!     }
 //!     assert!(all.iter_mut().map(|b| b.share(now, 0)).sum::<u32>() <= 90);
 //! }
-//! assert_eq!(all.iter().filter(|b| b.grants(now)).count(), 1);
+//! assert_eq!(all.iter().filter(|b| b.is_coordinator(now)).count(), 1);
 //! assert!(all.iter_mut().all(|b| b.share(now, 0) == 30));
 //! // No word for a lease time, and each has its floor alone.
 //! assert!(all.iter_mut().all(|b| b.share(now + 1_000_000, 0) == 3));
@@ -46,7 +46,7 @@
 pub mod wire;
 
 use grant::{Ledger, Request, Supply};
-use holder::{Divisible, Holder, Received, Taken};
+use holder::{Divisible, GrantOutcome, Holder, ReceivedGrant};
 use nickelgate::Micros;
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -54,11 +54,11 @@
 use wire::{Author, Body};
 
 /// Budgets that a file may name.
-pub const MOST_BUDGETS: usize = 8;
+pub const MAX_BUDGETS: usize = 8;
 /// Proxies that a file may name.
-pub const MOST_PROXIES: usize = 4096;
+pub const MAX_PROXIES: usize = 4096;
 /// Voters that a file may name.
-pub const MOST_VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 /// Part of a whole that is set aside as floors: one part in so many.
 const ASIDE: u32 = 10;
 /// Clocks run within 1% of true time; both ends of a lease are moved apart by a little more, in thousandths.
@@ -79,13 +79,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The own place among the proxies of the file, from 0.
-    pub place: u16,
+    pub index: u16,
     /// Proxies in the file, whether they live or not.
     pub proxies: u16,
     /// Places of the voters, odd in number.
     pub voters: Vec<u16>,
     /// The whole of each budget, in units.
-    pub wholes: Amounts,
+    pub totals: Amounts,
     /// Lease time, 200 ms to 60 s.
     pub lease: Micros,
 }
@@ -97,8 +97,8 @@
 ///
 /// let t = Terms { lease: 1_000_000, proxies: 1, pools: vec![90], floors: vec![10] };
 /// // Clocks may differ by 1%: the holder's end of a lease always comes before the grantor's.
-/// assert_eq!((t.shorter(t.lease), t.longer(t.lease)), (987_998, 1_012_001));
-/// assert!(t.longer(t.within(t.lease)) <= t.lease);
+/// assert_eq!((t.shortened(t.lease), t.lengthened(t.lease)), (987_998, 1_012_001));
+/// assert!(t.lengthened(t.fit_lengthened(t.lease)) <= t.lease);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Terms {
@@ -114,20 +114,20 @@
 
 impl Terms {
     fn new(s: &Settings) -> Terms {
-        let floors: Amounts = s.wholes.iter().map(|w| w / ASIDE / u32::from(s.proxies.max(1))).collect();
-        let pools = s.wholes.iter().zip(&floors).map(|(w, f)| w - f * u32::from(s.proxies)).collect();
+        let floors: Amounts = s.totals.iter().map(|w| w / ASIDE / u32::from(s.proxies.max(1))).collect();
+        let pools = s.totals.iter().zip(&floors).map(|(w, f)| w - f * u32::from(s.proxies)).collect();
         Terms { lease: s.lease, proxies: s.proxies.max(1), pools, floors }
     }
     /// A span as one counts that must not end too soon.
-    pub fn longer(&self, span: Micros) -> Micros {
+    pub fn lengthened(&self, span: Micros) -> Micros {
         span + (span * DRIFT).div_ceil(1000) + 1
     }
     /// A span as one counts that must not end too late.
-    pub fn shorter(&self, span: Micros) -> Micros {
+    pub fn shortened(&self, span: Micros) -> Micros {
         (span - span * DRIFT / 1000).saturating_sub(2)
     }
-    /// The span whose `longer` is no more than this.
-    pub fn within(&self, span: Micros) -> Micros {
+    /// The span whose `lengthened` is no more than this.
+    pub fn fit_lengthened(&self, span: Micros) -> Micros {
         (span * 1000 / (1000 + DRIFT)).saturating_sub(2)
     }
 }
@@ -140,7 +140,7 @@
 /// ```
 /// use threadward_budgets::{check, Settings};
 ///
-/// let good = Settings { place: 0, proxies: 2, voters: vec![0], wholes: vec![10], lease: 1_000_000 };
+/// let good = Settings { index: 0, proxies: 2, voters: vec![0], totals: vec![10], lease: 1_000_000 };
 /// assert_eq!(check(&good), Ok(()));
 /// let even = Settings { voters: vec![0, 1], ..good };
 /// assert_eq!(check(&even), Err("2 voters: an odd number, 7 at most".into()));
@@ -148,18 +148,18 @@
 pub fn check(s: &Settings) -> Result<(), String> {
     let proxies = usize::from(s.proxies);
     let bad = |what: String| Err(what);
-    if !(1..=MOST_PROXIES).contains(&proxies) || usize::from(s.place) >= proxies {
+    if !(1..=MAX_PROXIES).contains(&proxies) || usize::from(s.index) >= proxies {
         return bad(format!(
-            "{proxies} proxies, place {}: 1 to {MOST_PROXIES}, the own one among them",
-            s.place
+            "{proxies} proxies, place {}: 1 to {MAX_PROXIES}, the own one among them",
+            s.index
         ));
     }
     check_voters(&s.voters, s.proxies)?;
-    if s.wholes.is_empty()
-        || s.wholes.len() > MOST_BUDGETS
-        || s.wholes.iter().any(|w| !(1..=1_000_000).contains(w))
+    if s.totals.is_empty()
+        || s.totals.len() > MAX_BUDGETS
+        || s.totals.iter().any(|w| !(1..=1_000_000).contains(w))
     {
-        return bad(format!("1 to {MOST_BUDGETS} budgets, each from 1 to 1000000 units"));
+        return bad(format!("1 to {MAX_BUDGETS} budgets, each from 1 to 1000000 units"));
     }
     if !(200_000..=60_000_000).contains(&s.lease) {
         return bad("'lease_ms' has to lie from 200 to 60000".into());
@@ -174,23 +174,23 @@
     if distinct.len() != voters.len() || distinct.iter().any(|voter| *voter >= members) {
         return Err("a voter stands twice or is no proxy".into());
     }
-    if distinct.len().is_multiple_of(2) || distinct.len() > MOST_VOTERS {
-        return Err(format!("{} voters: an odd number, {MOST_VOTERS} at most", distinct.len()));
+    if distinct.len().is_multiple_of(2) || distinct.len() > MAX_VOTERS {
+        return Err(format!("{} voters: an odd number, {MAX_VOTERS} at most", distinct.len()));
     }
     Ok(())
 }
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     /// Bytes of the messages that were given out to be sent, whatever the caller adds to them not counted.
     pub sent_bytes: u64,
     /// Messages that were no message, or of a place that is none.
     pub malformed: u64,
     /// Leases that ran out without a new one.
-    pub lapsed: u64,
+    pub leases_expired: u64,
     /// Times that this instance became grantor.
-    pub elected: u64,
+    pub times_elected: u64,
 }
 
 /// A group that divides a supply: its members are called seats, since the process that speaks for one may change.
@@ -204,24 +204,24 @@
     pub voters: Vec<u16>,
     /// Lease time.
     pub lease: Micros,
-    /// What the leader divides of each budget until [`Budgets::supply`] says otherwise.
+    /// What the leader divides of each budget until [`Budgets::set_supply`] says otherwise.
     pub pools: Amounts,
     /// What belongs to the own seat for good.
-    pub own: Amounts,
-    /// Whether the seat hands its share on: a newer grant then waits for [`Budgets::confirm`].
+    pub floors: Amounts,
+    /// Whether the seat hands its share on: a newer grant then waits for [`Budgets::adopt_pending`].
     pub relays: bool,
 }
 
 impl Group {
     fn check(&self) -> Result<(), String> {
         let members = usize::from(self.members);
-        if !(1..=MOST_PROXIES).contains(&members) || self.seat >= self.members {
-            return Err(format!("{members} members, seat {}: 1 to {MOST_PROXIES}", self.seat));
+        if !(1..=MAX_PROXIES).contains(&members) || self.seat >= self.members {
+            return Err(format!("{members} members, seat {}: 1 to {MAX_PROXIES}", self.seat));
         }
         check_voters(&self.voters, self.members)?;
         let budgets = self.pools.len();
-        if !(1..=MOST_BUDGETS).contains(&budgets) || self.own.len() != budgets {
-            return Err(format!("{budgets} pools and {} floors: 1 to {MOST_BUDGETS}", self.own.len()));
+        if !(1..=MAX_BUDGETS).contains(&budgets) || self.floors.len() != budgets {
+            return Err(format!("{budgets} pools and {} floors: 1 to {MAX_BUDGETS}", self.floors.len()));
         }
         if !GROUP_LEASES.contains(&self.lease) {
             return Err(format!("a lease of {} us", self.lease));
@@ -240,18 +240,18 @@
 /// One proxy's part. It does nothing by itself: the caller brings the time and messages, and sends what it is given.
 ///
 /// ```
-/// use threadward_budgets::{Budgets, Out, Settings};
+/// use threadward_budgets::{Budgets, Outbox, Settings};
 ///
 /// // Alone it votes for itself, once it is sure that no former life's promise still counts.
-/// let s = Settings { place: 0, proxies: 1, voters: vec![0], wholes: vec![100], lease: 1_000_000 };
+/// let s = Settings { index: 0, proxies: 1, voters: vec![0], totals: vec![100], lease: 1_000_000 };
 /// let mut b = Budgets::new(0, s, [7; 32])?;
-/// b.want(0, 60);
-/// let mut out = Out::new();
-/// assert_eq!((b.share(0, 0), b.leased(0)), (10, false), "the floor, whatever happens");
+/// b.set_demand(0, 60);
+/// let mut out = Outbox::new();
+/// assert_eq!((b.share(0, 0), b.has_lease(0)), (10, false), "the floor, whatever happens");
 /// while b.next_due() < 5_000_000 {
 ///     b.tick(b.next_due(), &mut out);
 /// }
-/// assert!(b.grants(5_000_000) && b.leased(5_000_000) && out.is_empty());
+/// assert!(b.is_coordinator(5_000_000) && b.has_lease(5_000_000) && out.is_empty());
 /// assert_eq!(b.share(5_000_000, 0), 60);
 /// b.leave(&mut out);
 /// assert_eq!(b.share(5_000_000, 0), 10);
@@ -260,28 +260,28 @@
 pub struct Budgets {
     voters: Vec<u16>,
     terms: Terms,
-    me: Author,
+    identity: Author,
     rng: ChaCha8Rng,
     voter: Option<Voter>,
     candidate: Candidate,
     ledger: Ledger,
     supplied: Supplied,
-    wants: Amounts,
+    demands: Amounts,
     holder: Holder,
     next_ask: Micros,
     /// Whom to ask, and questions since it last answered.
-    grantor: u16,
+    coordinator: u16,
     unanswered: u32,
     /// It ended by will.
     gone: bool,
     /// The clock only goes forward.
     now: Micros,
     /// What was counted since the start.
-    pub tally: Tally,
+    pub counters: Counters,
 }
 
 /// Messages to send: to which place, and the bytes.
-pub type Out = Vec<(u16, Vec<u8>)>;
+pub type Outbox = Vec<(u16, Vec<u8>)>;
 
 impl Budgets {
     /// `entropy` has to differ with every start: the life is drawn from it.
@@ -291,7 +291,7 @@
     pub fn new(now: Micros, settings: Settings, entropy: [u8; 32]) -> Result<Budgets, String> {
         check(&settings)?;
         let holder = Holder::consumer();
-        Ok(Budgets::start(now, settings.place, &settings.voters, Terms::new(&settings), holder, entropy))
+        Ok(Budgets::start(now, settings.index, &settings.voters, Terms::new(&settings), holder, entropy))
     }
 
     /// One seat of a group of a tree. `entropy` has to differ with every start.
@@ -302,38 +302,38 @@
         group.check()?;
         let holder = if group.relays { Holder::relay() } else { Holder::consumer() };
         let terms =
-            Terms { lease: group.lease, proxies: group.members, pools: group.pools, floors: group.own };
+            Terms { lease: group.lease, proxies: group.members, pools: group.pools, floors: group.floors };
         Ok(Budgets::start(now, group.seat, &group.voters, terms, holder, entropy))
     }
 
     fn start(
         now: Micros,
-        place: u16,
+        index: u16,
         voters: &[u16],
         terms: Terms,
         holder: Holder,
         entropy: [u8; 32],
     ) -> Budgets {
         let mut rng = ChaCha8Rng::from_seed(entropy);
-        let me = Author { place, life: rng.next_u64() };
+        let identity = Author { index, incarnation: rng.next_u64() };
         // By lot: those that started together would stand together.
-        let first_stand = now + terms.longer(terms.lease) + rng.next_u64() % (terms.lease / 2).max(1);
+        let first_stand = now + terms.lengthened(terms.lease) + rng.next_u64() % (terms.lease / 2).max(1);
         Budgets {
-            voter: voters.contains(&me.place).then(|| Voter::new(now, &terms)),
+            voter: voters.contains(&identity.index).then(|| Voter::new(now, &terms)),
             candidate: Candidate::new(first_stand),
             ledger: Ledger::default(),
             supplied: Supplied { pools: terms.pools.clone(), until: Micros::MAX },
-            wants: vec![0; terms.pools.len()],
+            demands: vec![0; terms.pools.len()],
             holder,
             next_ask: now,
-            grantor: voters.first().copied().unwrap_or(0),
+            coordinator: voters.first().copied().unwrap_or(0),
             unanswered: 0,
             gone: false,
             now,
-            tally: Tally::default(),
+            counters: Counters::default(),
             voters: voters.to_vec(),
             terms,
-            me,
+            identity,
             rng,
         }
     }
@@ -347,15 +347,16 @@
 
     /// What this proxy would use of a budget, in units: the floor is part of it. It goes out with the next question to
     /// the grantor.
-    pub fn want(&mut self, budget: usize, units: u32) {
-        let (Some(want), Some(floor)) = (self.wants.get_mut(budget), self.terms.floors.get(budget)) else {
+    pub fn set_demand(&mut self, budget: usize, units: u32) {
+        let (Some(demand), Some(floor)) = (self.demands.get_mut(budget), self.terms.floors.get(budget))
+        else {
             return;
         };
-        *want = units.saturating_sub(*floor);
-        let asked = self.holder.asked_for(budget);
-        if self.holder.relays() && *want / 2 >= asked.max(1) {
+        *demand = units.saturating_sub(*floor);
+        let asked = self.holder.last_demand(budget);
+        if self.holder.relays() && *demand / 2 >= asked.max(1) {
             // What others wait for is asked for early, yet no more than a few times as often.
-            let early = self.holder.asked_at() + self.terms.lease / ASKS / PROMPT;
+            let early = self.holder.last_request_at() + self.terms.lease / ASKS / PROMPT;
             self.next_ask = self.next_ask.min(early.max(self.now));
         }
     }
@@ -363,7 +364,7 @@
     /// Replaces what this instance divides while it leads: units of each budget, and until when the supply lasts. All
     /// that is granted from here on ends by then. Less than is granted already is no error: nothing more is granted then
     /// until enough has ended.
-    pub fn supply(&mut self, pools: &[u32], until: Micros) {
+    pub fn set_supply(&mut self, pools: &[u32], until: Micros) {
         self.supplied.pools.clear();
         self.supplied.pools.extend_from_slice(pools);
         self.supplied.until = until;
@@ -376,8 +377,8 @@
     }
 
     /// Sum of what the holders that are known to this leader want of a budget beyond their own.
-    pub fn wanted(&self, budget: usize) -> u64 {
-        self.ledger.wanted(budget)
+    pub fn total_demand(&self, budget: usize) -> u64 {
+        self.ledger.total_demand(budget)
     }
 
     /// Of a relay: what it may hand on of its lease now.
@@ -387,103 +388,103 @@
 
     /// Of a relay: takes a newer grant into use if what it has handed on fits into that and `own`, what it may hand on
     /// without any lease. Both in units of each budget.
-    pub fn confirm(&mut self, now: Micros, handed_on: &[u32], own: &[u32]) {
+    pub fn adopt_pending(&mut self, now: Micros, handed_on: &[u32], own: &[u32]) {
         self.now = self.now.max(now);
-        if self.holder.confirm(self.now, handed_on, own) == Taken::Shrunk {
+        if self.holder.adopt_pending(self.now, handed_on, own) == GrantOutcome::Shrunk {
             self.next_ask = self.next_ask.min(self.now + SOON);
         }
     }
 
     /// Whether a lease lasts now.
-    pub fn leased(&self, now: Micros) -> bool {
-        self.holder.lasts(self.now.max(now))
+    pub fn has_lease(&self, now: Micros) -> bool {
+        self.holder.has_lease(self.now.max(now))
     }
 
     /// Whether this instance divides the budgets now.
-    pub fn grants(&self, now: Micros) -> bool {
-        self.candidate.authority(self.now.max(now)).is_some()
+    pub fn is_coordinator(&self, now: Micros) -> bool {
+        self.candidate.authority_until(self.now.max(now)).is_some()
     }
 
     /// The own place and life.
-    pub fn me(&self) -> Author {
-        self.me
+    pub fn identity(&self) -> Author {
+        self.identity
     }
 
     /// Of a voter: the life that it is promised to now.
-    pub fn promised(&self, now: Micros) -> Option<Author> {
-        self.voter.as_ref().and_then(|v| v.promised(self.now.max(now)))
+    pub fn promised_to(&self, now: Micros) -> Option<Author> {
+        self.voter.as_ref().and_then(|v| v.promised_to(self.now.max(now)))
     }
 
     /// The place of the one that divides, as far as it knows.
-    pub fn grantor(&self) -> u16 {
-        self.grantor
+    pub fn coordinator(&self) -> u16 {
+        self.coordinator
     }
 
     /// When [`Budgets::tick`] has something to do next.
     pub fn next_due(&self) -> Micros {
         if self.voter.is_some() {
-            self.next_ask.min(self.candidate.next)
+            self.next_ask.min(self.candidate.next_election_at)
         } else {
             self.next_ask
         }
     }
 
     /// Carries out what is due by now.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outbox) {
         self.now = self.now.max(now);
         let now = self.now;
-        if self.voter.is_some() && now >= self.candidate.next {
-            self.stand(now, out);
+        if self.voter.is_some() && now >= self.candidate.next_election_at {
+            self.advance_election(now, out);
         }
         if now >= self.next_ask {
             self.ask(now, out);
         }
-        self.tally.lapsed += u64::from(self.holder.expire(now));
+        self.counters.leases_expired += u64::from(self.holder.expire(now));
     }
 
     /// Ends by will: nothing is used from here on, and the grantor is told.
-    pub fn leave(&mut self, out: &mut Out) {
+    pub fn leave(&mut self, out: &mut Outbox) {
         self.gone = true;
-        self.holder.give_up();
-        self.wants.fill(0);
-        let to = self.grantor;
+        self.holder.drop_leases();
+        self.demands.fill(0);
+        let to = self.coordinator;
         self.post(to, &Body::Leave, out);
         self.next_ask = Micros::MAX;
         self.candidate.resign();
     }
 
-    fn post(&mut self, to: u16, body: &Body, out: &mut Out) {
-        if to == self.me.place {
+    fn post(&mut self, to: u16, body: &Body, out: &mut Outbox) {
+        if to == self.identity.index {
             // To itself without a network; an answer follows at once.
-            return self.take(self.me, body.clone(), out);
+            return self.take(self.identity, body.clone(), out);
         }
-        let bytes = wire::write(self.me, body);
-        self.tally.sent_bytes += bytes.len() as u64;
+        let bytes = wire::write(self.identity, body);
+        self.counters.sent_bytes += bytes.len() as u64;
         out.push((to, bytes));
     }
 
     /// Asks the voters for their promises: early enough while in authority, else when the own vote is free. Those of a
     /// question that did not win are given back, else two that each have too few would hold them from everybody.
-    fn stand(&mut self, now: Micros, out: &mut Out) {
-        let (lease, grants) = (self.terms.lease, self.grants(now));
+    fn advance_election(&mut self, now: Micros, out: &mut Outbox) {
+        let (lease, is_coordinator) = (self.terms.lease, self.is_coordinator(now));
         // Two that stand together take votes from each other: the lot parts them.
         let lot = self.rng.next_u64() % (lease / 2).max(1);
-        let body = match self.candidate.give_up().filter(|_| !grants) {
-            Some(question) => {
-                self.candidate.next = now + lease / 8 + lot;
-                Body::Release { question }
+        let body = match self.candidate.abandon_election().filter(|_| !is_coordinator) {
+            Some(request_id) => {
+                self.candidate.next_election_at = now + lease / 8 + lot;
+                Body::ReleaseVote { request_id }
             }
-            None if grants => {
-                self.candidate.next = now + lease / 3;
-                Body::Stand { question: self.candidate.stand(now) }
+            None if is_coordinator => {
+                self.candidate.next_election_at = now + lease / 3;
+                Body::VoteRequest { request_id: self.candidate.start_election(now) }
             }
             None => {
-                self.candidate.next = now + lease / 8 + lot;
-                if self.voter.as_ref().is_some_and(|v| v.promised(now).is_some()) {
+                self.candidate.next_election_at = now + lease / 8 + lot;
+                if self.voter.as_ref().is_some_and(|v| v.promised_to(now).is_some()) {
                     return;
                 }
-                self.candidate.next = now + lease / 4;
-                Body::Stand { question: self.candidate.stand(now) }
+                self.candidate.next_election_at = now + lease / 4;
+                Body::VoteRequest { request_id: self.candidate.start_election(now) }
             }
         };
         for v in self.voters.clone() {
@@ -491,104 +492,111 @@
         }
     }
 
-    fn ask(&mut self, now: Micros, out: &mut Out) {
+    fn ask(&mut self, now: Micros, out: &mut Outbox) {
         let every = self.terms.lease / ASKS;
         // A little by lot, so that those that started together do not ask together for good.
         self.next_ask = now + every - self.rng.next_u64() % (every / 8).max(1);
         if self.unanswered >= 2 {
             // Any voter knows more.
             let at = (self.rng.next_u64() % self.voters.len() as u64) as usize;
-            self.grantor = self.voters[at];
+            self.coordinator = self.voters[at];
         }
         self.unanswered += 1;
-        let holds = self.holder.in_use();
-        let question = self.holder.ask(now, &self.wants);
-        let body = Body::Want { question, holds, wants: self.wants.clone() };
-        self.post(self.grantor, &body, out);
+        let held_request = self.holder.request_in_use();
+        let request_id = self.holder.record_request(now, &self.demands);
+        let body = Body::LeaseRequest { request_id, held_request, demands: self.demands.clone() };
+        self.post(self.coordinator, &body, out);
     }
 
     /// A message came in from a proxy of the file; who that is has been checked. One that cannot be read is counted and
     /// changes nothing.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Out) {
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], out: &mut Outbox) {
         self.now = self.now.max(now);
-        match wire::read(bytes).filter(|(a, _)| a.place < self.terms.proxies && a.place != self.me.place) {
+        match wire::read(bytes)
+            .filter(|(a, _)| a.index < self.terms.proxies && a.index != self.identity.index)
+        {
             Some((author, body)) => self.take(author, body, out),
-            None => self.tally.malformed += 1,
+            None => self.counters.malformed += 1,
         }
     }
 
-    fn take(&mut self, by: Author, body: Body, out: &mut Out) {
+    fn take(&mut self, by: Author, body: Body, out: &mut Outbox) {
         let now = self.now;
         match body {
-            Body::Release { question } => {
-                self.voter.iter_mut().for_each(|v| v.released(by, question));
+            Body::ReleaseVote { request_id } => {
+                self.voter.iter_mut().for_each(|v| v.release(by, request_id));
             }
-            Body::Stand { question } => {
+            Body::VoteRequest { request_id } => {
                 let Some(voter) = &mut self.voter else { return };
-                let yes = self.voters.contains(&by.place) && voter.asked(now, by, question, &self.terms);
-                let to = voter.promised(now).map_or(by.place, |a| a.place);
-                self.post(by.place, &Body::Vote { asker: by.life, question, yes, to }, out);
+                let granted = self.voters.contains(&by.index)
+                    && voter.request_promise(now, by, request_id, &self.terms);
+                let to = voter.promised_to(now).map_or(by.index, |a| a.index);
+                self.post(by.index, &Body::Vote { requester: by.incarnation, request_id, granted, to }, out);
             }
-            Body::Vote { asker, question, yes, to } if asker == self.me.life => {
-                let at = self.voters.iter().position(|v| *v == by.place);
-                let (Some(at), before) = (at, self.grants(now)) else { return };
-                if !yes {
-                    self.grantor = to;
-                } else if self.candidate.voted(at, self.voters.len(), question, &self.terms) {
-                    if !before && self.grants(now) {
+            Body::Vote { requester, request_id, granted, to } if requester == self.identity.incarnation => {
+                let at = self.voters.iter().position(|v| *v == by.index);
+                let (Some(at), before) = (at, self.is_coordinator(now)) else { return };
+                if !granted {
+                    self.coordinator = to;
+                } else if self.candidate.record_vote(at, self.voters.len(), request_id, &self.terms) {
+                    if !before && self.is_coordinator(now) {
                         // All that others granted is over; what this one granted in an earlier authority too.
                         self.ledger = Ledger::new(now, &self.terms);
-                        self.tally.elected += 1;
+                        self.counters.times_elected += 1;
                         self.next_ask = now;
                     }
-                    self.grantor = self.me.place;
-                    self.candidate.next = self.candidate.next.min(now + self.terms.lease / 3);
+                    self.coordinator = self.identity.index;
+                    self.candidate.next_election_at =
+                        self.candidate.next_election_at.min(now + self.terms.lease / 3);
                 }
             }
-            Body::Want { question, holds, wants } => {
-                let Some(authority) =
-                    self.candidate.authority(now).filter(|_| wants.len() == self.wants.len())
+            Body::LeaseRequest { request_id, held_request, demands } => {
+                let Some(authority_until) =
+                    self.candidate.authority_until(now).filter(|_| demands.len() == self.demands.len())
                 else {
-                    let known = self.voter.as_ref().and_then(|v| v.promised(now)).map(|a| a.place);
-                    let to = known.unwrap_or(self.grantor);
-                    if to != self.me.place && to != by.place {
-                        self.post(by.place, &Body::Elsewhere { to }, out);
+                    let known = self.voter.as_ref().and_then(|v| v.promised_to(now)).map(|a| a.index);
+                    let to = known.unwrap_or(self.coordinator);
+                    if to != self.identity.index && to != by.index {
+                        self.post(by.index, &Body::Redirect { to }, out);
                     }
                     return;
                 };
-                let request = Request { by, question, holds, wants: &wants };
-                let until = authority.min(self.supplied.until);
+                let request = Request { by, request_id, held_request, demands: &demands };
+                let until = authority_until.min(self.supplied.until);
                 if now >= until {
                     return;
                 }
                 let supply = Supply { pools: &self.supplied.pools, until };
                 if let Some(grant) = self.ledger.answer(now, &request, &supply, &self.terms) {
-                    let lasts = grant.lasts as u32;
-                    let body = Body::Grant { asker: by.life, question, lasts, share: grant.share };
-                    self.post(by.place, &body, out);
+                    let duration = grant.duration as u32;
+                    let body =
+                        Body::Grant { requester: by.incarnation, request_id, duration, share: grant.share };
+                    self.post(by.index, &body, out);
                 }
             }
-            Body::Grant { asker, question, lasts, share } if asker == self.me.life && !self.gone => {
-                self.take_grant(by, Received { question, lasts: Micros::from(lasts), share });
+            Body::Grant { requester, request_id, duration, share }
+                if requester == self.identity.incarnation && !self.gone =>
+            {
+                self.take_grant(by, ReceivedGrant { request_id, duration: Micros::from(duration), share });
             }
             // To a former life of this place.
             Body::Vote { .. } | Body::Grant { .. } => {}
-            Body::Elsewhere { to } => {
-                if to < self.terms.proxies && self.grantor == by.place {
-                    (self.grantor, self.unanswered) = (to, self.unanswered.min(1));
+            Body::Redirect { to } => {
+                if to < self.terms.proxies && self.coordinator == by.index {
+                    (self.coordinator, self.unanswered) = (to, self.unanswered.min(1));
                 }
             }
-            Body::Leave => self.ledger.left(by),
+            Body::Leave => self.ledger.record_leave(by),
         }
     }
 
-    fn take_grant(&mut self, by: Author, grant: Received) {
+    fn take_grant(&mut self, by: Author, grant: ReceivedGrant) {
         let taken = self.holder.receive(self.now, grant, &self.terms);
-        if taken == Taken::Ignored {
+        if taken == GrantOutcome::Ignored {
             return;
         }
-        (self.grantor, self.unanswered) = (by.place, 0);
-        if taken == Taken::Shrunk {
+        (self.coordinator, self.unanswered) = (by.index, 0);
+        if taken == GrantOutcome::Shrunk {
             self.next_ask = self.next_ask.min(self.now + SOON);
         }
     }
--- a/budgets/src/order_tree.rs
+++ b/budgets/src/order_tree.rs
@@ -19,7 +19,7 @@
     /// What the order goes by first.
     pub value: u64,
     /// Who has the value.
-    pub place: u16,
+    pub index: u16,
 }
 
 /// How many keys a beginning of the order has, and the sum of their values.
@@ -37,7 +37,7 @@
     left: u32,
     right: u32,
     /// Of the tree below, this node included.
-    whole: Prefix,
+    total: Prefix,
 }
 
 /// An ordered set of keys.
@@ -46,13 +46,13 @@
 /// use threadward_budgets::order_tree::{Key, OrderTree, Prefix};
 ///
 /// let mut tree = OrderTree::default();
-/// [30, 10, 20].into_iter().for_each(|value| tree.insert(Key { value, place: 1 }));
-/// assert_eq!(tree.whole(), Prefix { count: 3, sum: 60 });
-/// assert_eq!(tree.position(Key { value: 30, place: 0 }), 2);
+/// [30, 10, 20].into_iter().for_each(|value| tree.insert(Key { value, index: 1 }));
+/// assert_eq!(tree.total(), Prefix { count: 3, sum: 60 });
+/// assert_eq!(tree.position(Key { value: 30, index: 0 }), 2);
 /// // The longest beginning whose sum with the next key is under 31.
 /// assert_eq!(tree.prefix(|before, key| before.sum + key.value < 31), Prefix { count: 2, sum: 30 });
-/// tree.remove(Key { value: 10, place: 1 });
-/// assert_eq!(tree.position(Key { value: 30, place: 0 }), 1);
+/// tree.remove(Key { value: 10, index: 1 });
+/// assert_eq!(tree.position(Key { value: 30, index: 0 }), 1);
 /// ```
 #[derive(Clone, Debug)]
 pub struct OrderTree {
@@ -79,8 +79,8 @@
     }
 
     /// The count and sum of all keys.
-    pub fn whole(&self) -> Prefix {
-        self.node(self.root).whole
+    pub fn total(&self) -> Prefix {
+        self.node(self.root).total
     }
 
     /// Keys before this one, whether it is in the set or not.
@@ -95,7 +95,7 @@
         let mut at = self.root;
         while at != EMPTY {
             let node = self.node(at);
-            let before = joined(prefix, self.node(node.left).whole);
+            let before = joined(prefix, self.node(node.left).total);
             if belongs(before, node.key) {
                 prefix = joined(before, alone(node.key));
                 at = node.right;
@@ -129,11 +129,11 @@
     }
 
     fn weight(&self, at: u32) -> usize {
-        self.node(at).whole.count + 1
+        self.node(at).total.count + 1
     }
 
     fn allocate(&mut self, key: Key) -> u32 {
-        let node = Node { key, left: EMPTY, right: EMPTY, whole: alone(key) };
+        let node = Node { key, left: EMPTY, right: EMPTY, total: alone(key) };
         if let Some(at) = self.free.pop() {
             *self.node_mut(at) = node;
             return at;
@@ -239,8 +239,8 @@
 
     fn recount(&mut self, at: u32) {
         let Node { key, left, right, .. } = *self.node(at);
-        let before = joined(self.node(left).whole, alone(key));
-        self.node_mut(at).whole = joined(before, self.node(right).whole);
+        let before = joined(self.node(left).total, alone(key));
+        self.node_mut(at).total = joined(before, self.node(right).total);
     }
 }
 
--- a/budgets/tests/grant.rs
+++ b/budgets/tests/grant.rs
@@ -16,11 +16,11 @@
     terms: &Terms,
     now: Micros,
     by: Author,
-    (question, holds): (u32, u32),
-    want: u32,
+    (request_id, held_request): (u32, u32),
+    demand: u32,
 ) -> Option<u32> {
     let supply = Supply { pools: &terms.pools, until: 9 * LEASE };
-    let request = Request { by, question, holds, wants: &[want] };
+    let request = Request { by, request_id, held_request, demands: &[demand] };
     ledger.answer(now, &request, &supply, terms).map(|grant| grant.share[0])
 }
 
@@ -28,7 +28,7 @@
 fn two_holders_come_to_an_even_part_without_ever_using_more_than_the_pool() {
     let terms = terms(2, 10);
     let mut ledger = Ledger::new(0, &terms);
-    let (first, second) = (Author { place: 0, life: 1 }, Author { place: 1, life: 1 });
+    let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
     let mut ask = |by, now, numbers| ask(&mut ledger, &terms, now, by, numbers, 10);
     assert_eq!(ask(first, 600_000, (1, 0)), Some(10), "nobody else has asked");
     assert_eq!(ask(second, 700_000, (1, 0)), Some(0), "all of it is out");
@@ -45,14 +45,14 @@
 fn many_questions_of_one_life_never_hide_the_grant_of_another() {
     let terms = terms(1, 100);
     let mut ledger = Ledger::new(0, &terms);
-    let (old, new) = (Author { place: 0, life: 1 }, Author { place: 0, life: 2 });
+    let (old, new) = (Author { index: 0, incarnation: 1 }, Author { index: 0, incarnation: 2 });
     assert_eq!(ask(&mut ledger, &terms, LEASE, old, (1, 0), 70), Some(70));
-    for question in 1..20 {
+    for request_id in 1..20 {
         // Answers are lost at first; then the newest is held.
-        let holds = if question < 12 { 0 } else { question - 1 };
-        let now = LEASE + Micros::from(question);
-        let got = ask(&mut ledger, &terms, now, new, (question, holds), 100);
-        assert!(got.is_none_or(|n| n <= 30), "{got:?} beside 70 of the former life, question {question}");
+        let held_request = if request_id < 12 { 0 } else { request_id - 1 };
+        let now = LEASE + Micros::from(request_id);
+        let got = ask(&mut ledger, &terms, now, new, (request_id, held_request), 100);
+        assert!(got.is_none_or(|n| n <= 30), "{got:?} beside 70 of the former life, question {request_id}");
     }
     assert!(ledger.granted(LEASE + 19, 0, &terms) >= 70);
     let got = ask(&mut ledger, &terms, 3 * LEASE, new, (20, 19), 100);
@@ -63,13 +63,13 @@
 fn a_pool_that_shrinks_below_what_is_out_grants_nothing_until_enough_has_ended() {
     let terms = terms(2, 100);
     let mut ledger = Ledger::new(0, &terms);
-    let (first, second) = (Author { place: 0, life: 1 }, Author { place: 1, life: 1 });
+    let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
     assert_eq!(ask(&mut ledger, &terms, LEASE, first, (1, 0), 80), Some(80));
-    let mut shrunk = |now, by, question, holds, pool: u32| {
+    let mut shrunk = |now, by, request_id, held_request, pool: u32| {
         let supply = Supply { pools: &[pool], until: 9 * LEASE };
-        let request = Request { by, question, holds, wants: &[u32::MAX] };
+        let request = Request { by, request_id, held_request, demands: &[u32::MAX] };
         let share = ledger.answer(now, &request, &supply, &terms).map(|grant| grant.share[0]);
-        (share, ledger.granted(now, 0, &terms), ledger.wanted(0))
+        (share, ledger.granted(now, 0, &terms), ledger.total_demand(0))
     };
     assert_eq!(shrunk(LEASE + 1, second, 1, 0, 60), (Some(0), 80, 80 + u64::from(u32::MAX)));
     assert_eq!(shrunk(LEASE + 2, second, 2, 1, 0), (Some(0), 80, 80 + u64::from(u32::MAX)));
@@ -82,12 +82,12 @@
 fn one_that_left_wants_and_uses_nothing() {
     let terms = terms(2, 10);
     let mut ledger = Ledger::new(0, &terms);
-    let (first, second) = (Author { place: 0, life: 1 }, Author { place: 1, life: 1 });
+    let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
     assert_eq!(ask(&mut ledger, &terms, LEASE, first, (1, 0), 10), Some(10));
-    ledger.left(Author { place: 0, life: 7 });
-    assert_eq!((ledger.granted(LEASE, 0, &terms), ledger.wanted(0)), (10, 10), "not that life");
-    ledger.left(first);
-    assert_eq!((ledger.granted(LEASE, 0, &terms), ledger.wanted(0)), (0, 0));
+    ledger.record_leave(Author { index: 0, incarnation: 7 });
+    assert_eq!((ledger.granted(LEASE, 0, &terms), ledger.total_demand(0)), (10, 10), "not that life");
+    ledger.record_leave(first);
+    assert_eq!((ledger.granted(LEASE, 0, &terms), ledger.total_demand(0)), (0, 0));
     assert_eq!(ask(&mut ledger, &terms, LEASE + 1, second, (1, 0), 10), Some(10));
 }
 
@@ -98,15 +98,15 @@
     let mut ledger = Ledger::new(0, &terms);
     let mut shares = vec![0; usize::from(proxies)];
     for round in 0..3u32 {
-        for place in 0..proxies {
-            let now = 1 + Micros::from(round) * LEASE / 2 + Micros::from(place);
-            let by = Author { place, life: 1 };
+        for index in 0..proxies {
+            let now = 1 + Micros::from(round) * LEASE / 2 + Micros::from(index);
+            let by = Author { index, incarnation: 1 };
             let share = ask(&mut ledger, &terms, now, by, (round + 1, round), u32::MAX);
-            shares[usize::from(place)] = share.unwrap_or(0);
+            shares[usize::from(index)] = share.unwrap_or(0);
         }
         assert!(ledger.granted(LEASE, 0, &terms) <= terms.pools[0], "round {round}");
     }
     assert!(shares.iter().all(|share| (10..=11).contains(share)));
     assert_eq!(shares.iter().sum::<u32>(), terms.pools[0]);
-    assert_eq!(ledger.wanted(0), u64::from(proxies) * u64::from(u32::MAX));
+    assert_eq!(ledger.total_demand(0), u64::from(proxies) * u64::from(u32::MAX));
 }
--- a/budgets/tests/order_tree.rs
+++ b/budgets/tests/order_tree.rs
@@ -10,7 +10,7 @@
 }
 
 fn assert_shallow(tree: &OrderTree) {
-    let (keys, depth) = (tree.whole().count, tree.depth());
+    let (keys, depth) = (tree.total().count, tree.depth());
     assert!(depth as f64 <= most_depth(keys), "{depth} levels of {keys} keys");
 }
 
@@ -19,7 +19,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut tree, mut set) = (OrderTree::default(), BTreeSet::new());
     for _ in 0..20_000 {
-        let key = Key { value: rng.next_u64() % 50, place: (rng.next_u64() % 20) as u16 };
+        let key = Key { value: rng.next_u64() % 50, index: (rng.next_u64() % 20) as u16 };
         if rng.next_u64() % 2 == 0 {
             tree.insert(key);
             set.insert(key);
@@ -29,7 +29,7 @@
         }
         let sum = |count: usize| set.iter().take(count).map(|key| key.value).sum();
         let before = set.range(..key).count();
-        assert_eq!(tree.whole(), Prefix { count: set.len(), sum: sum(set.len()) });
+        assert_eq!(tree.total(), Prefix { count: set.len(), sum: sum(set.len()) });
         assert_eq!(tree.position(key), before);
         assert_eq!(tree.prefix(|_, other| other < key), Prefix { count: before, sum: sum(before) });
         assert_shallow(&tree);
@@ -42,26 +42,26 @@
         let mut rng = ChaCha8Rng::seed_from_u64(2);
         let mut tree = OrderTree::default();
         let mut values = vec![0; usize::from(keys)];
-        for place in 0..keys {
+        for index in 0..keys {
             // Ascending, the worst order for a tree that does not balance.
-            values[usize::from(place)] = u64::from(place);
-            tree.insert(Key { value: u64::from(place), place });
+            values[usize::from(index)] = u64::from(index);
+            tree.insert(Key { value: u64::from(index), index });
         }
         assert_shallow(&tree);
         // Each is moved about four times; then all but an eighth are taken out.
         for _ in 0..4 * u32::from(keys) {
-            let place = (rng.next_u64() % u64::from(keys)) as u16;
-            let value = &mut values[usize::from(place)];
-            tree.remove(Key { value: *value, place });
+            let index = (rng.next_u64() % u64::from(keys)) as u16;
+            let value = &mut values[usize::from(index)];
+            tree.remove(Key { value: *value, index });
             *value = rng.next_u64() % 1_000_000;
-            tree.insert(Key { value: *value, place });
+            tree.insert(Key { value: *value, index });
         }
-        assert_eq!(tree.whole().count, usize::from(keys));
+        assert_eq!(tree.total().count, usize::from(keys));
         assert_shallow(&tree);
-        for place in 0..keys - keys / 8 {
-            tree.remove(Key { value: values[usize::from(place)], place });
+        for index in 0..keys - keys / 8 {
+            tree.remove(Key { value: values[usize::from(index)], index });
         }
-        assert_eq!(tree.whole().count, usize::from(keys / 8));
+        assert_eq!(tree.total().count, usize::from(keys / 8));
         assert_shallow(&tree);
     }
 }
--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -8,7 +8,7 @@
 /// Bytes before the group's message.
 pub const HEADER_BYTES: usize = 9;
 /// The longest frame, without its authentication code.
-pub const MAX_FRAME_BYTES: usize = HEADER_BYTES + wire::MOST;
+pub const MAX_FRAME_BYTES: usize = HEADER_BYTES + wire::MAX_MESSAGE_BYTES;
 /// Times that a frame may be passed on.
 pub const MAX_HOPS: u8 = 3;
 
@@ -59,7 +59,11 @@
         let (header, message) = bytes.split_first_chunk::<HEADER_BYTES>()?;
         let [kind, level, group_high, group_low, seat_high, seat_low, hops, origin_high, origin_low] =
             *header;
-        if kind != FRAME_KIND || hops > MAX_HOPS || message.is_empty() || message.len() > wire::MOST {
+        if kind != FRAME_KIND
+            || hops > MAX_HOPS
+            || message.is_empty()
+            || message.len() > wire::MAX_MESSAGE_BYTES
+        {
             return None;
         }
         Some(Frame {
--- a/control/src/member.rs
+++ b/control/src/member.rs
@@ -44,7 +44,7 @@
             voters: topology.voters(level, group),
             lease,
             pools,
-            own: member_own,
+            floors: member_own,
             relays: level != Level::Site,
         };
         let instance = Budgets::in_group(now, group_settings, entropy).map_err(SettingsError::Group)?;
@@ -53,7 +53,7 @@
 
     /// The present term of this member's leadership of its group, if it leads.
     pub fn leading_term(&self, now: Micros) -> Option<u64> {
-        self.instance.grants(now).then_some(self.instance.tally.elected)
+        self.instance.is_coordinator(now).then_some(self.instance.counters.times_elected)
     }
 
     /// Lets this leader divide what it has for good and what `upper` holds from the group above, and lets `upper` take a
@@ -61,7 +61,7 @@
     pub fn draw_supply(&mut self, now: Micros, upper: &mut Budgets) {
         let budgets = self.own_pools.len();
         let handed_on: Vec<u32> = (0..budgets).map(|budget| self.instance.granted(now, budget)).collect();
-        upper.confirm(now, &handed_on, &self.own_pools);
+        upper.adopt_pending(now, &handed_on, &self.own_pools);
         // Near its end a lease from above would only allow leases too short to be renewed: what is the group's own is then
         // divided without it.
         let useful = |until: Micros| until.saturating_sub(now) >= self.lease / 2;
@@ -69,7 +69,7 @@
             Some(leased) => {
                 let both = self.own_pools.iter().zip(&leased.share);
                 let pools: Vec<u32> = both.map(|(own, extra)| own.saturating_add(*extra)).collect();
-                self.instance.supply(&pools, leased.until);
+                self.instance.set_supply(&pools, leased.until);
             }
             None => self.draw_own(),
         }
@@ -77,7 +77,7 @@
 
     /// Lets this leader divide what it has for good alone.
     pub fn draw_own(&mut self) {
-        self.instance.supply(&self.own_pools, Micros::MAX);
+        self.instance.set_supply(&self.own_pools, Micros::MAX);
     }
 }
 
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 use std::sync::Arc;
-use threadward_budgets::MOST_BUDGETS;
+use threadward_budgets::MAX_BUDGETS;
 
 /// Units of one budget.
 const WHOLES: RangeInclusive<u32> = 1..=1_000_000;
@@ -74,7 +74,7 @@
                 write!(formatter, "the own place is {place}, but the file names {proxies} proxies")
             }
             SettingsError::BudgetCount(count) => {
-                write!(formatter, "{count} budgets; this version takes 1 to {MOST_BUDGETS}")
+                write!(formatter, "{count} budgets; this version takes 1 to {MAX_BUDGETS}")
             }
             SettingsError::Whole { budget, whole } => {
                 let (least, most) = (WHOLES.start(), WHOLES.end());
@@ -101,7 +101,7 @@
         if usize::from(self.place) >= proxies {
             return Err(SettingsError::UnknownPlace { place: self.place, proxies });
         }
-        if !(1..=MOST_BUDGETS).contains(&self.budgets.len()) {
+        if !(1..=MAX_BUDGETS).contains(&self.budgets.len()) {
             return Err(SettingsError::BudgetCount(self.budgets.len()));
         }
         for (budget, shared) in self.budgets.iter().enumerate() {
--- a/control/src/shared.rs
+++ b/control/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the plain division and the tree have in common, so that a caller treats both alike.
 use nickelgate::Micros;
-use threadward_budgets::{Budgets, Out};
+use threadward_budgets::{Budgets, Outbox};
 
 /// Times that an instance became leader of a group, by level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -43,11 +43,11 @@
     /// When [`SharedBudgets::tick`] has something to do next.
     fn next_due(&self) -> Micros;
     /// Carries out what is due by now.
-    fn tick(&mut self, now: Micros, out: &mut Out);
+    fn tick(&mut self, now: Micros, out: &mut Outbox);
     /// A message came in from a proxy of the file; who that is has been checked.
-    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out);
+    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox);
     /// Ends by will: nothing is used from here on.
-    fn leave(&mut self, out: &mut Out);
+    fn leave(&mut self, out: &mut Outbox);
     /// What was counted since the start.
     fn counters(&self) -> Counters;
 }
@@ -57,32 +57,32 @@
         Budgets::share(self, now, budget)
     }
     fn want(&mut self, budget: usize, units: u32) {
-        Budgets::want(self, budget, units);
+        Budgets::set_demand(self, budget, units);
     }
     fn leased(&self, now: Micros) -> bool {
-        Budgets::leased(self, now)
+        Budgets::has_lease(self, now)
     }
     fn divides(&self, now: Micros) -> bool {
-        self.grants(now)
+        self.is_coordinator(now)
     }
     fn next_due(&self) -> Micros {
         Budgets::next_due(self)
     }
-    fn tick(&mut self, now: Micros, out: &mut Out) {
+    fn tick(&mut self, now: Micros, out: &mut Outbox) {
         Budgets::tick(self, now, out);
     }
-    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox) {
         Budgets::receive(self, now, message, out);
     }
-    fn leave(&mut self, out: &mut Out) {
+    fn leave(&mut self, out: &mut Outbox) {
         Budgets::leave(self, out);
     }
     fn counters(&self) -> Counters {
         Counters {
-            sent_bytes: self.tally.sent_bytes,
-            malformed: self.tally.malformed,
-            lapsed: self.tally.lapsed,
-            elected: Elections { fleet: self.tally.elected, ..Elections::default() },
+            sent_bytes: self.counters.sent_bytes,
+            malformed: self.counters.malformed,
+            lapsed: self.counters.leases_expired,
+            elected: Elections { fleet: self.counters.times_elected, ..Elections::default() },
             ..Counters::default()
         }
     }
--- a/control/src/topology.rs
+++ b/control/src/topology.rs
@@ -6,7 +6,7 @@
 /// Proxies that a file may name.
 pub const MAX_PROXIES: usize = 20_000;
 /// Members of one group: proxies of a site, sites of a region or regions of the fleet.
-pub const MAX_GROUP_MEMBERS: usize = threadward_budgets::MOST_PROXIES;
+pub const MAX_GROUP_MEMBERS: usize = threadward_budgets::MAX_PROXIES;
 /// Voters of a group at most.
 const MAX_VOTERS: usize = 5;
 
--- a/control/src/tree.rs
+++ b/control/src/tree.rs
@@ -7,7 +7,7 @@
 use nickelgate::Micros;
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
-use threadward_budgets::{wire, Out};
+use threadward_budgets::{wire, Outbox};
 
 /// Where an answer goes: the process that asked, for its seat.
 #[derive(Clone, Copy, Debug)]
@@ -87,12 +87,12 @@
 
     /// What this proxy would use of a budget, in units.
     pub fn want(&mut self, budget: usize, units: u32) {
-        self.site.instance.want(budget, units);
+        self.site.instance.set_demand(budget, units);
     }
 
     /// Whether a lease lasts now.
     pub fn leased(&self, now: Micros) -> bool {
-        self.site.instance.leased(now)
+        self.site.instance.has_lease(now)
     }
 
     /// Whether this process leads its group of that level now.
@@ -119,10 +119,10 @@
     }
 
     /// Carries out what is due by now.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outbox) {
         self.settle(now);
         for level in [Level::Fleet, Level::Region, Level::Site] {
-            let (now, mut messages) = (self.now, Out::new());
+            let (now, mut messages) = (self.now, Outbox::new());
             if let Some(member) = self.member_mut(level) {
                 member.instance.tick(now, &mut messages);
             }
@@ -133,7 +133,7 @@
 
     /// A frame came in from a proxy of the file; who that is has been checked. One that cannot be read is counted and
     /// changes nothing.
-    pub fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out) {
+    pub fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox) {
         self.settle(now);
         let Some(frame) = Frame::decode(message).filter(|frame| self.is_sound(frame)) else {
             self.counters.malformed += 1;
@@ -154,9 +154,9 @@
 
     /// Ends by will: nothing is used or led from here on. What was handed on runs out by itself, so the groups above are
     /// told nothing: their leaders count this process's leases until they are over.
-    pub fn leave(&mut self, out: &mut Out) {
+    pub fn leave(&mut self, out: &mut Outbox) {
         self.left = true;
-        let mut messages = Out::new();
+        let mut messages = Outbox::new();
         self.site.instance.leave(&mut messages);
         self.send(Level::Site, messages, None, out);
         self.settle(self.now);
@@ -242,9 +242,9 @@
         for (budget, shared) in self.settings.budgets.iter().enumerate() {
             let bounded = |wanted: u64| u32::try_from(wanted).unwrap_or(u32::MAX).min(shared.whole);
             let Some(region) = &mut self.region else { return };
-            region.instance.want(budget, bounded(self.site.instance.wanted(budget)));
+            region.instance.set_demand(budget, bounded(self.site.instance.total_demand(budget)));
             if let Some(fleet) = self.fleet.as_mut().filter(|_| shared.scope == Scope::Fleet) {
-                fleet.instance.want(budget, bounded(region.instance.wanted(budget)));
+                fleet.instance.set_demand(budget, bounded(region.instance.total_demand(budget)));
             }
         }
     }
@@ -255,11 +255,11 @@
         usize::from(frame.origin) < topology.proxies()
             && frame.seat < topology.members(frame.level, frame.group)
             && topology.group_of(frame.origin, frame.level) == frame.group
-            && wire::author_place(frame.message) == Some(topology.seat_of(frame.origin, frame.level))
+            && wire::author_index(frame.message) == Some(topology.seat_of(frame.origin, frame.level))
     }
 
-    fn deliver(&mut self, frame: &Frame, out: &mut Out) {
-        let (now, mut messages) = (self.now, Out::new());
+    fn deliver(&mut self, frame: &Frame, out: &mut Outbox) {
+        let (now, mut messages) = (self.now, Outbox::new());
         let seat = self.settings.topology.seat_of(frame.origin, frame.level);
         if let Some(member) = self.member_mut(frame.level) {
             member.speakers.heard(now, seat, frame.origin, member.lease);
@@ -269,7 +269,7 @@
     }
 
     /// Passes a frame on to the leader that this process knows of.
-    fn forward(&mut self, frame: Frame, out: &mut Out) {
+    fn forward(&mut self, frame: Frame, out: &mut Outbox) {
         let next = self.next_hop(frame.level).filter(|place| *place != self.settings.place);
         match next.filter(|place| *place != frame.origin && frame.hops < MAX_HOPS) {
             Some(place) => {
@@ -282,10 +282,10 @@
 
     /// The process that knows more of who speaks for the own seat at a level.
     fn next_hop(&mut self, level: Level) -> Option<u16> {
-        let region_leader = self.region.as_ref().map(|region| region.instance.grantor());
+        let region_leader = self.region.as_ref().map(|region| region.instance.coordinator());
         match region_leader.filter(|_| level == Level::Fleet) {
             Some(seat) => self.speaker(Level::Region, seat),
-            None => self.speaker(Level::Site, self.site.instance.grantor()),
+            None => self.speaker(Level::Site, self.site.instance.coordinator()),
         }
     }
 
@@ -306,7 +306,7 @@
         }
     }
 
-    fn send(&mut self, level: Level, messages: Out, reply: Option<ReplyTo>, out: &mut Out) {
+    fn send(&mut self, level: Level, messages: Outbox, reply: Option<ReplyTo>, out: &mut Outbox) {
         let group = self.settings.topology.group_of(self.settings.place, level);
         for (seat, message) in messages {
             let asker = reply.filter(|asker| asker.seat == seat).map(|asker| asker.place);
@@ -316,7 +316,7 @@
         }
     }
 
-    fn emit(&mut self, place: u16, frame: &Frame, out: &mut Out) {
+    fn emit(&mut self, place: u16, frame: &Frame, out: &mut Outbox) {
         let bytes = frame.encode();
         self.counters.sent_bytes += bytes.len() as u64;
         out.push((place, bytes));
@@ -339,13 +339,13 @@
     fn next_due(&self) -> Micros {
         ControlTree::next_due(self)
     }
-    fn tick(&mut self, now: Micros, out: &mut Out) {
+    fn tick(&mut self, now: Micros, out: &mut Outbox) {
         ControlTree::tick(self, now, out);
     }
-    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox) {
         ControlTree::receive(self, now, message, out);
     }
-    fn leave(&mut self, out: &mut Out) {
+    fn leave(&mut self, out: &mut Outbox) {
         ControlTree::leave(self, out);
     }
     fn counters(&self) -> Counters {
@@ -360,14 +360,14 @@
 }
 
 fn count(counters: &mut Counters, member: &Member) {
-    let tally = member.instance.tally;
+    let tally = member.instance.counters;
     counters.malformed += tally.malformed;
     match member.level {
         Level::Site => {
-            counters.lapsed += tally.lapsed;
-            counters.elected.site += tally.elected;
+            counters.lapsed += tally.leases_expired;
+            counters.elected.site += tally.times_elected;
         }
-        Level::Region => counters.elected.region += tally.elected,
-        Level::Fleet => counters.elected.fleet += tally.elected,
+        Level::Region => counters.elected.region += tally.times_elected,
+        Level::Fleet => counters.elected.fleet += tally.times_elected,
     }
 }
--- a/control/tests/frame.rs
+++ b/control/tests/frame.rs
@@ -11,7 +11,7 @@
 fn a_frame_is_read_as_it_was_written() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..5_000 {
-        let mut message = vec![0; 1 + rng.next_u32() as usize % wire::MOST];
+        let mut message = vec![0; 1 + rng.next_u32() as usize % wire::MAX_MESSAGE_BYTES];
         rng.fill_bytes(&mut message);
         let frame = Frame {
             level: LEVELS[rng.next_u32() as usize % 3],
@@ -29,8 +29,8 @@
 
 #[test]
 fn a_frame_that_is_cut_gives_no_message_that_can_be_read() {
-    let wants = Body::Want { question: 1, holds: 0, wants: vec![5; 8] };
-    let message = wire::write(Author { place: 1, life: 7 }, &wants);
+    let wants = Body::LeaseRequest { request_id: 1, held_request: 0, demands: vec![5; 8] };
+    let message = wire::write(Author { index: 1, incarnation: 7 }, &wants);
     let frame = Frame { level: Level::Fleet, group: 0, seat: 3, hops: 1, origin: 9, message: &message };
     let bytes = frame.encode();
     for cut in 0..bytes.len() {
@@ -55,7 +55,7 @@
     assert_eq!(Frame::decode(&with(0, FRAME_KIND + 1)), None, "another kind");
     assert_eq!(Frame::decode(&with(1, 3)), None, "no such level");
     assert_eq!(Frame::decode(&with(6, MAX_HOPS + 1)), None, "passed on too often");
-    assert_eq!(Frame::decode(&[&good[..], &[0; wire::MOST]].concat()), None, "too long");
+    assert_eq!(Frame::decode(&[&good[..], &[0; wire::MAX_MESSAGE_BYTES]].concat()), None, "too long");
     let mut rng = ChaCha8Rng::seed_from_u64(8);
     for _ in 0..20_000 {
         let mut bytes = vec![0; rng.next_u32() as usize % 100];
--- a/lab/src/bin/measure-budgets.rs
+++ b/lab/src/bin/measure-budgets.rs
@@ -13,7 +13,7 @@
 const FLEET: u16 = 300;
 
 fn settings(proxies: u16) -> Settings {
-    Settings { place: 0, proxies, voters: vec![0, 1, 2, 3, 4], wholes: vec![WHOLE, 1], lease: LEASE }
+    Settings { index: 0, proxies, voters: vec![0, 1, 2, 3, 4], totals: vec![WHOLE, 1], lease: LEASE }
 }
 
 /// All want everything; started within a second, and settled.
--- a/lab/src/bin/measure-routes.rs
+++ b/lab/src/bin/measure-routes.rs
@@ -6,8 +6,8 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 use threadward_lab::stream;
-use threadward_routes::table::scan;
-use threadward_routes::{At, Matches, Prefix, Request, Route, Table, Terms};
+use threadward_routes::table::find_by_scan;
+use threadward_routes::{Location, Matches, Prefix, Request, Route, Table, Terms};
 
 const SEED: u64 = 1;
 const REQUESTS: usize = 4_000;
@@ -15,7 +15,7 @@
 /// Routes as an installation could have them: by network, by object, by path, by class and groups.
 fn routes(n: usize) -> Vec<Route> {
     let mut rng = stream(SEED, 1);
-    let at = At { file: "measure".into(), line: 1, column: 1 };
+    let at = Location { file: "measure".into(), line: 1, column: 1 };
     let one = |i: usize| {
         let (a, b, c) = (rng.next_u64(), rng.next_u64(), rng.next_u32());
         let net = Ipv4Net::new(Ipv4Addr::from(10 << 24 | c >> 8), 16 + (b % 13) as u8)
@@ -91,10 +91,10 @@
             .map(|(r, link)| Request { link: link.as_ref().map(|(h, p)| (h.as_str(), p.as_str())), ..*r })
             .collect();
         let some = &asked[..if n > 10_000 { 200 } else { REQUESTS }];
-        wrong += some.iter().filter(|r| table.find(r) != scan(&all, r)).count();
+        wrong += some.iter().filter(|r| table.find(r) != find_by_scan(&all, r)).count();
         let hits = asked.iter().filter(|r| table.find(r).is_some()).count();
         let index = time(&asked, 20, |r| table.find(r));
-        let plain = time(some, 3, |r| scan(&all, r));
+        let plain = time(some, 3, |r| find_by_scan(&all, r));
         println!("{n:>7} routes ({}): index {index:.0} ns, scan {plain:.0} ns, built in {built:.1} ms, {hits} of {REQUESTS} hit", all.len());
         figures.push((index, plain));
     }
--- a/lab/src/budget_simulation.rs
+++ b/lab/src/budget_simulation.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_core::RngCore;
 use std::sync::Arc;
-use threadward_budgets::{Budgets, Out, Settings};
+use threadward_budgets::{Budgets, Outbox, Settings};
 use threadward_control::{ControlTree, Counters, Level, SharedBudget, SharedBudgets, Topology};
 
 /// A millisecond.
@@ -64,9 +64,9 @@
 impl BudgetSimulation<Budgets> {
     /// None is started yet. Clocks are up to a minute apart and run up to 1% fast or slow.
     pub fn new(seed: u64, settings: Settings, weather: NetworkConditions) -> Self {
-        let (proxies, wholes) = (settings.proxies, settings.wholes.clone());
+        let (proxies, wholes) = (settings.proxies, settings.totals.clone());
         let factory = Box::new(move |place, now, entropy| {
-            let settings = Settings { place, ..settings.clone() };
+            let settings = Settings { index: place, ..settings.clone() };
             Budgets::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"))
         });
         Self::with_factory(seed, proxies, wholes, weather, factory)
@@ -228,8 +228,8 @@
     }
 
     /// Calls an instance at its own time, and carries out what it wants.
-    fn call(&mut self, i: usize, f: impl FnOnce(&mut B, Micros, &mut Out)) {
-        let (now, mut out) = (self.clock(i), Out::new());
+    fn call(&mut self, i: usize, f: impl FnOnce(&mut B, Micros, &mut Outbox)) {
+        let (now, mut out) = (self.clock(i), Outbox::new());
         let Some(b) = &mut self.proxies[i].instance else { return };
         f(b, now, &mut out);
         let due = b.next_due();
--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -8,7 +8,7 @@
 use super::table::Table;
 use super::units::{bytes, core, number, or_missing, NOT_MEASURED};
 use crate::scale::report::{Design, Part, Quantity, Role};
-use threadward_budgets::MOST_PROXIES;
+use threadward_budgets::MAX_PROXIES;
 use threadward_gossip::evidence::LASTS;
 use threadward_gossip::keys::MOST_PEERS;
 use threadward_gossip::{Quorum, Settings as GossipSettings};
@@ -126,7 +126,7 @@
         counted(
             "proxies of `[budgets]` without regions and sites",
             fleet.proxies,
-            MOST_PROXIES,
+            MAX_PROXIES,
             "`budgets/src/lib.rs` `MOST_PROXIES`",
         ),
         counted("peers of `[gossip]`", fleet.proxies, MOST_PEERS, "`gossip/src/keys.rs` `MOST_PEERS`"),
--- a/lab/src/plain_division.rs
+++ b/lab/src/plain_division.rs
@@ -78,38 +78,41 @@
         terms: &Terms,
     ) -> Option<Grant> {
         self.expire(now, terms);
-        let Request { by, question, holds, .. } = *request;
-        let holder = self.holders.entry(by.place).or_default();
-        if holder.life == by.life && question.wrapping_sub(holder.question) as i32 <= 0 && holder.heard > 0 {
+        let Request { by, request_id: question, held_request: holds, .. } = *request;
+        let holder = self.holders.entry(by.index).or_default();
+        if holder.life == by.incarnation
+            && question.wrapping_sub(holder.question) as i32 <= 0
+            && holder.heard > 0
+        {
             return None;
         }
-        (holder.life, holder.question, holder.heard) = (by.life, question, now);
-        holder.wants = request.wants.to_vec();
+        (holder.life, holder.question, holder.heard) = (by.incarnation, question, now);
+        holder.wants = request.demands.to_vec();
         // It uses that grant or a later one: the earlier ones are over.
-        holder.out.retain(|o| o.life != by.life || holds.wrapping_sub(o.question) as i32 <= 0);
+        holder.out.retain(|o| o.life != by.incarnation || holds.wrapping_sub(o.question) as i32 <= 0);
         if holder.out.len() >= COUNTED {
             return None;
         }
-        let until = supply.until.min(now + terms.longer(terms.lease));
-        let lasts = terms.within(until.saturating_sub(now));
+        let until = supply.until.min(now + terms.lengthened(terms.lease));
+        let lasts = terms.fit_lengthened(until.saturating_sub(now));
         let mut share = Amounts::new();
         let mut turns = Vec::new();
         for (budget, pool) in supply.pools.iter().enumerate() {
-            let own = |place: &u16| (*place == by.place).then_some(by.life);
+            let own = |place: &u16| (*place == by.index).then_some(by.incarnation);
             let counts = |(place, holder): (&u16, &Holder)| u64::from(holder.counted(budget, own(place)));
             let others: u64 = self.holders.iter().map(counts).sum();
             let free = u64::from(*pool).saturating_sub(others) as u32;
-            let (target, over) = self.target(budget, by.place, *pool);
+            let (target, over) = self.target(budget, by.index, *pool);
             let most = if now < self.hears_until { pool / u32::from(terms.proxies.max(1)) } else { target };
             let given = target.min(most).min(free);
             share.push(given);
             turns.push(u64::from(over && given == target));
         }
-        let holder = self.holders.get_mut(&by.place)?;
+        let holder = self.holders.get_mut(&by.index)?;
         holder.turns.resize(turns.len(), 0);
         holder.turns.iter_mut().zip(turns).for_each(|(all, one)| *all += one);
-        holder.out.push(Out { life: by.life, question, until, share: share.clone() });
-        Some(Grant { lasts, share })
+        holder.out.push(Out { life: by.incarnation, question, until, share: share.clone() });
+        Some(Grant { duration: lasts, share })
     }
 
     /// Units of a budget that holders may still be using now: the sum of what counts of each holder.
@@ -127,9 +130,9 @@
 
     /// One has left by will and uses nothing any more.
     pub fn left(&mut self, by: Author) {
-        if let Some(h) = self.holders.get_mut(&by.place) {
-            h.out.retain(|o| o.life != by.life);
-            if h.life == by.life {
+        if let Some(h) = self.holders.get_mut(&by.index) {
+            h.out.retain(|o| o.life != by.incarnation);
+            if h.life == by.incarnation {
                 h.wants.clear();
             }
         }
@@ -229,8 +232,8 @@
     let mut ask = |number: u32| {
         let now = 1 + Micros::from(number) * apart;
         let round = number / u32::from(holders);
-        let by = Author { place: (number % u32::from(holders)) as u16, life: 1 };
-        let request = Request { by, question: round + 1, holds: round, wants: &terms.pools };
+        let by = Author { index: (number % u32::from(holders)) as u16, incarnation: 1 };
+        let request = Request { by, request_id: round + 1, held_request: round, demands: &terms.pools };
         let supply = Supply { pools: &terms.pools, until: now + 2 * LEASE };
         let grant = answer(now, &request, &supply);
         assert!(grant.is_some(), "question {number} of {holders} holders was not answered");
--- a/lab/src/regions/control.rs
+++ b/lab/src/regions/control.rs
@@ -29,15 +29,15 @@
         let voters: Vec<u16> = (0..VOTERS as u16).collect();
         let proxies = day.proxies as u16;
         let settings = threadward_budgets::Settings {
-            place: i as u16,
+            index: i as u16,
             proxies,
             voters: voters.clone(),
-            wholes: vec![u32::from(proxies) * 10],
+            totals: vec![u32::from(proxies) * 10],
             lease: LEASE,
         };
         let budgets = Budgets::new(T0, settings, entropy).unwrap_or_else(|error| panic!("n{i}: {error}"));
         let settings = threadward_zones::Settings {
-            me: budgets.me(),
+            me: budgets.identity(),
             proxies,
             voters,
             stands: day.stands(i) as u16,
@@ -50,9 +50,9 @@
 
     /// What the election of budgets says now.
     fn seat(&self, now: Micros, i: usize) -> Seat {
-        let decides = self.budgets.grants(now);
-        let decider = if decides { i as u16 } else { self.budgets.grantor() };
-        Seat { decides, promised: self.budgets.promised(now), decider }
+        let decides = self.budgets.is_coordinator(now);
+        let decider = if decides { i as u16 } else { self.budgets.coordinator() };
+        Seat { decides, promised: self.budgets.promised_to(now), decider }
     }
 }
 
--- a/lab/src/regions/outages.rs
+++ b/lab/src/regions/outages.rs
@@ -19,7 +19,8 @@
     /// Whoever decides is cut off from the other proxies.
     pub(super) fn lose_decider(&mut self) {
         let now = self.queue.now;
-        let grants = |proxy: &Proxy| proxy.control.as_ref().is_some_and(|part| part.budgets.grants(now));
+        let grants =
+            |proxy: &Proxy| proxy.control.as_ref().is_some_and(|part| part.budgets.is_coordinator(now));
         if let Some(i) = self.proxies.iter().position(grants) {
             self.isolate(i);
         }
--- a/lab/src/scale/builds.rs
+++ b/lab/src/scale/builds.rs
@@ -48,14 +48,14 @@
 fn star_proxy(layout: &Layout, place: u16, now: Micros, entropy: [u8; 32]) -> StarProxy {
     let voters = layout.voters();
     let settings = threadward_budgets::Settings {
-        place,
+        index: place,
         proxies: layout.proxies as u16,
         voters: voters.clone(),
-        wholes: wholes(layout).to_vec(),
+        totals: wholes(layout).to_vec(),
         lease: LEASE,
     };
     let mut budgets = Budgets::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"));
-    wholes(layout).iter().enumerate().for_each(|(budget, units)| budgets.want(budget, *units));
+    wholes(layout).iter().enumerate().for_each(|(budget, units)| budgets.set_demand(budget, *units));
     StarProxy::new(budgets, voters.contains(&place))
 }
 
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -121,9 +121,9 @@
     /// What the budgets' election says.
     fn seat(&self, now: Micros) -> Seat {
         let budgets = &self.star.budgets;
-        let decides = budgets.grants(now);
-        let decider = if decides { self.place } else { budgets.grantor() };
-        Seat { decides, promised: budgets.promised(now), decider }
+        let decides = budgets.is_coordinator(now);
+        let decider = if decides { self.place } else { budgets.coordinator() };
+        Seat { decides, promised: budgets.promised_to(now), decider }
     }
 }
 
@@ -180,7 +180,7 @@
 
     /// Its place and life, by which the election knows it.
     pub fn author(&self) -> Author {
-        self.budgets.me()
+        self.budgets.identity()
     }
 }
 
@@ -203,7 +203,7 @@
         self.budgets.share(now, budget)
     }
     fn role(&self, now: Micros) -> Role {
-        match (self.budgets.grants(now), self.votes) {
+        match (self.budgets.is_coordinator(now), self.votes) {
             (true, _) => Role::Leader,
             (_, true) => Role::Voter,
             _ => Role::Proxy,
--- a/lab/src/scale/real/plan.rs
+++ b/lab/src/scale/real/plan.rs
@@ -41,10 +41,10 @@
     /// The settings of one place.
     pub fn settings(&self, place: u16) -> Settings {
         Settings {
-            place,
+            index: place,
             proxies: self.proxies,
             voters: self.voters.clone(),
-            wholes: self.wholes.clone(),
+            totals: self.wholes.clone(),
             lease: self.lease,
         }
     }
--- a/lab/src/scale/real/proxy.rs
+++ b/lab/src/scale/real/proxy.rs
@@ -5,7 +5,7 @@
 use nickelgate::Micros;
 use serde::{Deserialize, Serialize};
 use threadward_budgets::seal::{open, seal};
-use threadward_budgets::{Budgets, Out};
+use threadward_budgets::{Budgets, Outbox};
 
 /// Ordinary proxies of one host whose calls are timed, about.
 const TIMED: u16 = 32;
@@ -160,7 +160,7 @@
         stopwatch: Stopwatch,
     ) -> Result<HollowProxy, String> {
         let mut budgets = Budgets::new(start, fleet.settings(place), entropy)?;
-        fleet.wholes.iter().enumerate().for_each(|(budget, whole)| budgets.want(budget, *whole));
+        fleet.wholes.iter().enumerate().for_each(|(budget, whole)| budgets.set_demand(budget, *whole));
         let votes = fleet.voters.contains(&place);
         let sampled = place.is_multiple_of((fleet.proxies / TIMED).max(1));
         Ok(HollowProxy {
@@ -175,7 +175,7 @@
 
     /// What it does for others now.
     pub fn role(&self, now: Micros) -> Role {
-        match (self.budgets.grants(now), self.votes) {
+        match (self.budgets.is_coordinator(now), self.votes) {
             (true, _) => Role::Grantor,
             (false, true) => Role::Voter,
             (false, false) => Role::Ordinary,
@@ -189,27 +189,27 @@
 
     /// Times that it began to divide.
     pub fn elections(&self) -> u64 {
-        self.budgets.tally.elected
+        self.budgets.counters.times_elected
     }
 
     /// Carries out what is due: the datagrams to send, sealed.
-    pub fn tick(&mut self, now: Micros) -> Out {
+    pub fn tick(&mut self, now: Micros) -> Outbox {
         self.call(|budgets, out| budgets.tick(now, out))
     }
 
     /// Takes a datagram: those to send, sealed. One whose code is not right is passed over.
-    pub fn receive(&mut self, now: Micros, datagram: &[u8]) -> Out {
+    pub fn receive(&mut self, now: Micros, datagram: &[u8]) -> Outbox {
         self.traffic.messages_in += 1;
         self.traffic.bytes_in += datagram.len() as u64;
         let (key, place) = (self.key, self.place);
         let opened =
             timed(self.stopwatch, &mut self.traffic.code_nanoseconds, || open(&key, place, datagram));
-        let Some(message) = opened else { return Out::new() };
+        let Some(message) = opened else { return Outbox::new() };
         self.call(|budgets, out| budgets.receive(now, message, out))
     }
 
-    fn call(&mut self, step: impl FnOnce(&mut Budgets, &mut Out)) -> Out {
-        let mut out = Out::new();
+    fn call(&mut self, step: impl FnOnce(&mut Budgets, &mut Outbox)) -> Outbox {
+        let mut out = Outbox::new();
         let budgets = &mut self.budgets;
         timed(self.stopwatch, &mut self.traffic.control_nanoseconds, || step(budgets, &mut out));
         if out.is_empty() {
@@ -217,7 +217,7 @@
         }
         let key = self.key;
         let sealed = |(to, message): (u16, Vec<u8>)| Some((to, seal(&key, to, &message)?));
-        let sealed: Out = timed(self.stopwatch, &mut self.traffic.code_nanoseconds, || {
+        let sealed: Outbox = timed(self.stopwatch, &mut self.traffic.code_nanoseconds, || {
             out.into_iter().filter_map(sealed).collect()
         });
         self.traffic.messages_out += sealed.len() as u64;
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -145,7 +145,7 @@
 
     /// Sizes at which a star starts.
     fn star_sizes(&mut self) -> Vec<usize> {
-        let most = threadward_budgets::MOST_PROXIES;
+        let most = threadward_budgets::MAX_PROXIES;
         let (sizes, larger): (Vec<usize>, Vec<usize>) =
             self.sizes().into_iter().partition(|size| *size <= most);
         for size in larger {
--- a/lab/tests/budgets.rs
+++ b/lab/tests/budgets.rs
@@ -9,7 +9,7 @@
 
 fn settings(proxies: u16, wholes: &[u32]) -> Settings {
     let voters = (0..proxies.min(5)).filter(|i| proxies > 3 || *i < 1 || proxies == 3).collect();
-    Settings { place: 0, proxies, voters, wholes: wholes.to_vec(), lease: LEASE }
+    Settings { index: 0, proxies, voters, totals: wholes.to_vec(), lease: LEASE }
 }
 
 fn started(seed: u64, proxies: u16, wholes: &[u32], weather: NetworkConditions) -> BudgetSimulation {
@@ -212,9 +212,10 @@
 
 #[test]
 fn messages_that_are_none_are_passed_over() {
-    let from = wire::Author { place: 1, life: 7 };
-    let good = wire::write(from, &wire::Body::Want { question: 1, holds: 0, wants: vec![5; 8] });
-    assert!(wire::read(&good).is_some() && good.len() <= wire::MOST);
+    let from = wire::Author { index: 1, incarnation: 7 };
+    let good =
+        wire::write(from, &wire::Body::LeaseRequest { request_id: 1, held_request: 0, demands: vec![5; 8] });
+    assert!(wire::read(&good).is_some() && good.len() <= wire::MAX_MESSAGE_BYTES);
     for cut in 0..good.len() {
         let whole_amounts = cut > 19 && (cut - 19) % 4 == 0;
         assert_eq!(wire::read(&good[..cut]).is_some(), whole_amounts, "{cut} bytes");
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use tempfile::TempDir;
-use threadward_budgets::MOST_PROXIES;
+use threadward_budgets::MAX_PROXIES;
 use threadward_gossip::keys::MOST_PEERS;
 use threadward_lab::capacity::{breakages, units, Files, Inputs, Measured, Ratio};
 use threadward_lab::scale::report::Report;
@@ -198,7 +198,7 @@
     assert_eq!(own(&copy.page()), own(&before), "the text stays");
     let breaks = copy.section("breaks");
     for (start, need, most) in [
-        ("| proxies of `[budgets]`", 600.0, MOST_PROXIES),
+        ("| proxies of `[budgets]`", 600.0, MAX_PROXIES),
         ("| peers of `[gossip]`", 600.0, MOST_PEERS),
         ("| zones of `[zones]`", 8.0, MOST_ZONES),
     ] {
@@ -281,7 +281,7 @@
     assert_eq!(ratio("21,000 changes"), Ratio::NotCarried);
     // 150 bytes each, at 16,384 bytes a second.
     assert_eq!(ratio("183,600 purges missed"), Ratio::Times(150.0 * 183_600.0 / 16_384.0 / 2.1));
-    assert_eq!(ratio("proxies of `[budgets]`"), Ratio::Times(6800.0 / MOST_PROXIES as f64));
+    assert_eq!(ratio("proxies of `[budgets]`"), Ratio::Times(6800.0 / MAX_PROXIES as f64));
     assert_eq!(ratio("zones of `[zones]`"), Ratio::Times(82.0 / MOST_ZONES as f64));
     assert_eq!(
         ratio("a region that is cut off: part of its share of the budgets, star"),
--- a/lab/tests/division.rs
+++ b/lab/tests/division.rs
@@ -178,7 +178,7 @@
             }
             Step::Former { place } => {
                 let Asker { life, question, wants, .. } = self.askers[usize::from(place)].clone();
-                self.question(Author { place, life: life - 1 }, question + 1, 0, &wants)?;
+                self.question(Author { index: place, incarnation: life - 1 }, question + 1, 0, &wants)?;
             }
             Step::Leave { place } => self.leaves(place),
             Step::Wait { span } => self.now += span,
@@ -189,8 +189,8 @@
 
     fn leaves(&mut self, place: u16) {
         let life = self.askers[usize::from(place)].life;
-        self.plain.left(Author { place, life });
-        self.incremental.left(Author { place, life });
+        self.plain.left(Author { index: place, incarnation: life });
+        self.incremental.record_leave(Author { index: place, incarnation: life });
         if let Some(known) = self.known.get_mut(&place) {
             known.grants.retain(|given| given.life != life);
             if known.life == life {
@@ -205,7 +205,7 @@
         let asker = &mut self.askers[usize::from(place)];
         asker.question += 1;
         let Asker { life, question, holds, wants } = asker.clone();
-        let answered = self.question(Author { place, life }, question, holds, &wants)?;
+        let answered = self.question(Author { index: place, incarnation: life }, question, holds, &wants)?;
         if answered && !lost {
             self.askers[usize::from(place)].holds = question;
         }
@@ -224,19 +224,19 @@
         let before = [self.granted(0), self.granted(1)];
         let pools = self.pools.clone();
         let supply = Supply { pools: &pools, until: self.now + 2 * LEASE };
-        let request = Request { by, question, holds, wants };
+        let request = Request { by, request_id: question, held_request: holds, demands: wants };
         let plain = self.plain.answer(self.now, &request, &supply, &self.terms);
         let incremental = self.incremental.answer(self.now, &request, &supply, &self.terms);
         let was_heard = self.hear(by, question, holds, wants);
         prop_assert_eq!(plain.is_some(), incremental.is_some());
         let (Some(plain), Some(incremental)) = (plain, incremental) else { return Ok(false) };
         prop_assert!(was_heard, "an old question was answered");
-        prop_assert_eq!(plain.lasts, incremental.lasts);
+        prop_assert_eq!(plain.duration, incremental.duration);
         self.compare(by, &plain, &incremental)?;
-        let until = self.now + self.terms.longer(LEASE);
+        let until = self.now + self.terms.lengthened(LEASE);
         let shares = [plain.share, incremental.share];
-        let given = Given { life: by.life, question, until, shares };
-        self.known.get_mut(&by.place).unwrap().grants.push(given);
+        let given = Given { life: by.incarnation, question, until, shares };
+        self.known.get_mut(&by.index).unwrap().grants.push(given);
         for (which, before) in before.iter().enumerate() {
             for (budget, before) in before.iter().enumerate() {
                 let most = u64::from(pools[budget]).max(*before);
@@ -270,7 +270,7 @@
 
     /// What a ledger may still hand to this life.
     fn free(&self, which: usize, budget: usize, by: Author) -> u32 {
-        let but = |place: u16| (place == by.place).then_some(by.life);
+        let but = |place: u16| (place == by.index).then_some(by.incarnation);
         let others: u64 =
             self.known.iter().map(|(place, known)| known.counted(which, budget, but(*place))).sum();
         u64::from(self.pools[budget]).saturating_sub(others) as u32
@@ -289,20 +289,20 @@
 
     /// Notes a question; whether it is newer than those before.
     fn hear(&mut self, by: Author, question: u32, holds: u32, wants: &[u32]) -> bool {
-        let known = self.known.entry(by.place).or_default();
-        if known.heard > 0 && known.life == by.life && question <= known.question {
+        let known = self.known.entry(by.index).or_default();
+        if known.heard > 0 && known.life == by.incarnation && question <= known.question {
             return false;
         }
-        (known.life, known.question, known.heard) = (by.life, question, self.now);
+        (known.life, known.question, known.heard) = (by.incarnation, question, self.now);
         known.wants = wants.to_vec();
-        known.grants.retain(|given| given.life != by.life || given.question >= holds);
+        known.grants.retain(|given| given.life != by.incarnation || given.question >= holds);
         for budget in 0..BUDGETS {
             let (pool, level) = (self.pools[budget], self.level(budget));
             let is_above = |want: u32| level.is_some_and(|level| want > level);
             for (place, known) in &mut self.known {
                 let want = known.wants[budget];
                 known.in_line.resize(BUDGETS, false);
-                if *place == by.place {
+                if *place == by.index {
                     known.in_line[budget] = is_above(want) || want > 0 && want >= pool;
                 }
                 // Without an even part nobody is asked for its place in line.
@@ -339,7 +339,7 @@
             prop_assert_eq!(said, incremental[budget], "the incremental ledger's sum");
             let wanted: u64 = self.known.values().map(|known| u64::from(known.wants[budget])).sum();
             prop_assert_eq!(self.plain.wanted(budget), wanted);
-            prop_assert_eq!(self.incremental.wanted(budget), wanted);
+            prop_assert_eq!(self.incremental.total_demand(budget), wanted);
         }
         Ok(())
     }
--- a/lab/tests/plain_bytes.rs
+++ b/lab/tests/plain_bytes.rs
@@ -18,7 +18,7 @@
 /// stopped: the simulation wakes a stopped process by other ticks than it did when this was recorded.
 fn checksum(seed: u64, proxies: u16) -> u64 {
     let settings =
-        Settings { place: 0, proxies, voters: vec![0, 1, 2, 3, 4], wholes: vec![3000, 1], lease: LEASE };
+        Settings { index: 0, proxies, voters: vec![0, 1, 2, 3, 4], totals: vec![3000, 1], lease: LEASE };
     let mut fleet = BudgetSimulation::new(seed, settings, NetworkConditions::default());
     let sum = Rc::new(Cell::new(OFFSET));
     let recorder = sum.clone();
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use threadward_budgets::seal::{open, seal};
 use threadward_budgets::wire::{self, Author};
-use threadward_budgets::{Budgets, Out, Settings};
+use threadward_budgets::{Budgets, Outbox, Settings};
 use threadward_control::frame::MAX_FRAME_BYTES;
 use threadward_control::{ControlTree, Level, SharedBudgets};
 use threadward_core::{Counter, Micros};
@@ -165,8 +165,8 @@
     }
 
     /// One call of the instance, and what it wants sent.
-    fn call(&self, action: impl FnOnce(&mut dyn SharedBudgets, Micros, &mut Out)) {
-        let mut out = Out::new();
+    fn call(&self, action: impl FnOnce(&mut dyn SharedBudgets, Micros, &mut Outbox)) {
+        let mut out = Outbox::new();
         action(self.instance.borrow_mut().shared_mut(), uptime(), &mut out);
         for (to, message) in out {
             if let Some(datagram) = seal(&self.key, to, &message) {
@@ -179,7 +179,7 @@
     /// no part.
     pub fn seat_settings(&self) -> Option<(Author, Settings)> {
         match &*self.instance.borrow() {
-            Instance::Plain { budgets, settings } => Some((budgets.me(), settings.clone())),
+            Instance::Plain { budgets, settings } => Some((budgets.identity(), settings.clone())),
             Instance::Tree(_) => None,
         }
     }
@@ -189,9 +189,9 @@
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
-                let decides = budgets.grants(now);
-                let decider = if decides { self.place } else { budgets.grantor() };
-                Seat { decides, promised: budgets.promised(now), decider }
+                let decides = budgets.is_coordinator(now);
+                let decider = if decides { self.place } else { budgets.coordinator() };
+                Seat { decides, promised: budgets.promised_to(now), decider }
             }
             Instance::Tree(_) => Seat { decides: false, promised: None, decider: self.place },
         }
@@ -199,7 +199,7 @@
 
     fn received(&self, datagram: &[u8]) {
         let longest = match &*self.instance.borrow() {
-            Instance::Plain { .. } => wire::MOST,
+            Instance::Plain { .. } => wire::MAX_MESSAGE_BYTES,
             Instance::Tree(_) => MAX_FRAME_BYTES,
         };
         let message = open(&self.key, self.place, datagram).filter(|message| message.len() <= longest);
@@ -221,7 +221,7 @@
         let instance = self.instance.borrow();
         for leadership in &self.leaderships {
             let held = match &*instance {
-                Instance::Plain { budgets, .. } => budgets.grants(uptime()),
+                Instance::Plain { budgets, .. } => budgets.is_coordinator(uptime()),
                 Instance::Tree(tree) => tree.leads(uptime(), leadership.level),
             };
             if leadership.held.replace(held) != held {
--- a/node/src/operators/budgets.rs
+++ b/node/src/operators/budgets.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use threadward_budgets::MOST_PROXIES;
+use threadward_budgets::MAX_PROXIES;
 use threadward_control::{Location, Scope, SettingsError, SharedBudget, Topology, TopologyError};
 use threadward_core::Micros;
 
@@ -79,7 +79,7 @@
     /// The own place among the proxies of the file.
     pub fn place(&self) -> u16 {
         match self {
-            Division::Plain(settings) => settings.place,
+            Division::Plain(settings) => settings.index,
             Division::Tree(tree) => tree.settings.place,
         }
     }
@@ -87,7 +87,7 @@
     /// The whole of each budget, in units.
     pub fn wholes(&self) -> Vec<u32> {
         match self {
-            Division::Plain(settings) => settings.wholes.clone(),
+            Division::Plain(settings) => settings.totals.clone(),
             Division::Tree(tree) => tree.settings.budgets.iter().map(|budget| budget.whole).collect(),
         }
     }
@@ -152,10 +152,10 @@
 
 fn division(part: &Part, own: &Own, entries: &[Entry]) -> Result<Division, Wrong> {
     let locations = locations(entries)?;
-    if locations.is_none() && entries.len() > MOST_PROXIES {
+    if locations.is_none() && entries.len() > MAX_PROXIES {
         let count = entries.len();
         return Err(part.wrong(format!(
-            "the file names {count} proxies, more than the {MOST_PROXIES} that this version takes without regions and \
+            "the file names {count} proxies, more than the {MAX_PROXIES} that this version takes without regions and \
              sites: name 'region' and 'site' for each proxy"
         )));
     }
@@ -171,13 +171,13 @@
     if let Some(key) = SCOPES.iter().find(|key| part.has(key)) {
         return Err(part.wrong_at(key, format!("'{key}' needs 'region' and 'site' of each proxy")));
     }
-    // At most MOST_PROXIES, which fits.
+    // At most MAX_PROXIES, which fits.
     let voters = (0u16..).zip(entries).filter(|(_, entry)| entry.voter).map(|(place, _)| place).collect();
     let settings = threadward_budgets::Settings {
-        place: place as u16,
+        index: place as u16,
         proxies: entries.len() as u16,
         voters,
-        wholes: wholes(part)?,
+        totals: wholes(part)?,
         lease: lease(part)?,
     };
     threadward_budgets::check(&settings).map_err(|e| {
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -58,7 +58,7 @@
             zones: zones(&node),
         };
         let instance = Zones::new(uptime(), settings).map_err(|e| format!("zones: {e}"))?;
-        let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.place).into();
+        let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.index).into();
         let (socket, names) = (budgets.socket(), node.config.names.zones.clone());
         let fleet = Rc::new(Fleet { node, budgets, socket, names, pairs, instance: instance.into() });
         let receiver = Rc::downgrade(&fleet);
--- a/node/tests/budgets.rs
+++ b/node/tests/budgets.rs
@@ -117,8 +117,9 @@
             fleet.proxies[held].cont().unwrap();
             wait(1_500).await;
             // Somebody without the key asks for everything in the name of a proxy.
-            let wants = wire::Body::Want { question: 1_000_000, holds: 0, wants: vec![u32::MAX] };
-            let mut forged = wire::write(wire::Author { place: 1, life: 9 }, &wants);
+            let wants =
+                wire::Body::LeaseRequest { request_id: 1_000_000, held_request: 0, demands: vec![u32::MAX] };
+            let mut forged = wire::write(wire::Author { index: 1, incarnation: 9 }, &wants);
             forged.extend([0; 16]);
             UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&forged, fleet.own[0]).unwrap();
             wait(100).await;
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -419,7 +419,7 @@
 
     /// Sends a message in the name of a place, and more behind it.
     fn send(&self, to: usize, name: usize, body: &Body, more: &[u8]) {
-        let mut bytes = wire::write(Author { place: name as u16, life: 9 }, body, now());
+        let mut bytes = wire::write(Author { index: name as u16, incarnation: 9 }, body, now());
         bytes.extend(more);
         bytes.extend(mac(LIAR, to, &bytes));
         self.socket.send_to(&bytes, self.at[to]).unwrap();
@@ -434,7 +434,7 @@
             };
             let right = mac(p, LIAR, &buf[..n]) == buf[n..n + 16];
             if let Some((by, _)) = wire::read(&buf[..n], now()).filter(|_| right && p < PROXIES) {
-                self.lives[p] = by.life;
+                self.lives[p] = by.incarnation;
             }
         }
         let mut map = Map::new(ZONES.len(), now());
--- a/routes/src/check.rs
+++ b/routes/src/check.rs
@@ -4,16 +4,16 @@
 //!
 //! All faults of a sheet are found in one pass, each once, in the order of the file.
 use crate::cover::{shadowed, ties};
-use crate::terms::{Set, Terms, Wait};
-use crate::{At, Route, Sheet, MOST_LISTED, MOST_ROUTES};
+use crate::terms::{Setting, Terms, Wait};
+use crate::{Location, Route, RouteConfig, MAX_LIST_ENTRIES, MAX_ROUTES};
 use nickelgate::{DedupGroup, Effect, Micros, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// Under this no answer can come over a network at all.
-pub const FLOOR: Micros = 10_000;
+pub const MIN_SPAN: Micros = 10_000;
 /// The least span for a connection: three times the way of a packet and back that networks here have.
-pub const CONNECT_FLOOR: Micros = 5_000;
+pub const MIN_CONNECT_SPAN: Micros = 5_000;
 
 /// What the rules rest on: the platform's settings and the names of its classes.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 }
 
 macro_rules! rules {
-    ($($name:ident $text:literal $mend:literal,)*) => {
+    ($($name:ident $text:literal $remedy:literal,)*) => {
         /// What a fault breaks.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Rule { $(#[doc = $text] $name,)* }
@@ -39,8 +39,8 @@
                 match self { $(Rule::$name => $text,)* }
             }
             /// How to mend it.
-            pub fn mend(self) -> &'static str {
-                match self { $(Rule::$name => $mend,)* }
+            pub fn remedy(self) -> &'static str {
+                match self { $(Rule::$name => $remedy,)* }
             }
         }
     };
@@ -69,16 +69,16 @@
 
 /// One fault: where, what, and which rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct Violation {
     /// Where the figure or route stands that breaks the rule.
-    pub at: At,
+    pub at: Location,
     /// Which rule.
     pub rule: Rule,
     /// Whose figure it is, and what is wrong with it.
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -86,7 +86,7 @@
             self.at,
             self.what,
             self.rule.text(),
-            self.rule.mend()
+            self.rule.remedy()
         )
     }
 }
@@ -95,46 +95,46 @@
 struct Checker<'a> {
     platform: &'a Platform,
     without: Option<Rule>,
-    faults: BTreeSet<Fault>,
+    faults: BTreeSet<Violation>,
 }
 
 /// All faults of a sheet; none: it may be taken over. Each shows itself in one line, with its place and how to mend it.
 ///
 /// ```
-/// use threadward_routes::{check, terms::Set, At, Platform, Rule, Sheet, Terms, Wait};
+/// use threadward_routes::{check, terms::Setting, Location, Platform, Rule, RouteConfig, Terms, Wait};
 ///
 /// let class = nickelgate::Class { effect: nickelgate::Effect::Fragile, deadline: 3_000_000, ..Default::default() };
 /// let settings = nickelgate::Settings { classes: vec![class], parallel: true, max_attempts: 8, ..Default::default() };
 /// let platform = Platform { settings, classes: vec!["orders".into()], connect: 400_000 };
-/// let at = At { file: "routes".into(), line: 7, column: 3 };
-/// let second = Some(Set { value: Wait::After(200_000), at });
-/// let sheet = Sheet { classes: vec![Terms { second, ..Terms::default() }], ..Sheet::default() };
+/// let at = Location { file: "routes".into(), line: 7, column: 3 };
+/// let second = Some(Setting { value: Wait::After(200_000), at });
+/// let sheet = RouteConfig { classes: vec![Terms { second, ..Terms::default() }], ..RouteConfig::default() };
 /// let faults = check(&sheet, &platform);
 /// assert_eq!((faults.len(), faults[0].rule), (1, Rule::Second));
 /// assert!(faults[0].to_string().starts_with("routes:7:3: class orders: a second copy; the rule: "));
 /// ```
-pub fn check(sheet: &Sheet, platform: &Platform) -> Vec<Fault> {
+pub fn check(sheet: &RouteConfig, platform: &Platform) -> Vec<Violation> {
     check_without(sheet, platform, None)
 }
 
 /// The same with one rule left out: a mutant, which the tests have to find out.
 #[doc(hidden)]
-pub fn check_without(sheet: &Sheet, platform: &Platform, without: Option<Rule>) -> Vec<Fault> {
+pub fn check_without(sheet: &RouteConfig, platform: &Platform, without: Option<Rule>) -> Vec<Violation> {
     let mut c = Checker { platform, without, faults: BTreeSet::new() };
     c.sheet(sheet);
     c.faults.into_iter().collect()
 }
 
 impl Checker<'_> {
-    fn fault(&mut self, rule: Rule, at: &At, what: String) {
+    fn fault(&mut self, rule: Rule, at: &Location, what: String) {
         if self.without != Some(rule) {
-            self.faults.insert(Fault { at: at.clone(), rule, what });
+            self.faults.insert(Violation { at: at.clone(), rule, what });
         }
     }
 
-    fn sheet(&mut self, sheet: &Sheet) {
-        if sheet.routes.len() > MOST_ROUTES {
-            let last = &sheet.routes[MOST_ROUTES];
+    fn sheet(&mut self, sheet: &RouteConfig) {
+        if sheet.routes.len() > MAX_ROUTES {
+            let last = &sheet.routes[MAX_ROUTES];
             return self.fault(Rule::Many, &last.at, format!("route {} is one too many", last.name));
         }
         self.ranges(&sheet.default, "the default");
@@ -142,7 +142,7 @@
             let name = self.class(i as u8);
             self.ranges(t, &name);
         }
-        let mut names: BTreeMap<&str, &At> = BTreeMap::new();
+        let mut names: BTreeMap<&str, &Location> = BTreeMap::new();
         for r in &sheet.routes {
             let plain = |c: u8| c.is_ascii_alphanumeric() || c == b'-' || c == b'_';
             if r.name.is_empty() || r.name.len() > 64 || !r.name.bytes().all(plain) {
@@ -191,14 +191,14 @@
         if m.part.as_ref().is_some_and(|p| p.start() > p.end()) {
             self.fault(Rule::Part, &r.at, format!("route {} names no part", r.name));
         }
-        if m.clients.len() > MOST_LISTED || m.groups.len() > MOST_LISTED {
+        if m.clients.len() > MAX_LIST_ENTRIES || m.groups.len() > MAX_LIST_ENTRIES {
             self.fault(Rule::Many, &r.at, format!("route {} lists too much", r.name));
         }
     }
 
     /// What is wrong whatever the class.
     fn ranges(&mut self, t: &Terms, who: &str) {
-        let spans = [("deadline", &t.deadline, FLOOR), ("connect", &t.connect, CONNECT_FLOOR)];
+        let spans = [("deadline", &t.deadline, MIN_SPAN), ("connect", &t.connect, MIN_CONNECT_SPAN)];
         for (what, set, least) in spans {
             if let Some(s) = set.as_ref().filter(|s| s.value < least) {
                 self.fault(Rule::Floor, &s.at, format!("{who}: {what} of {} us", s.value));
@@ -207,7 +207,7 @@
         for (what, set) in [("first_byte", &t.first_byte), ("whole", &t.whole), ("second", &t.second)] {
             let Some(s) = set else { continue };
             match s.value {
-                Wait::After(x) if x < FLOOR => {
+                Wait::After(x) if x < MIN_SPAN => {
                     self.fault(Rule::Floor, &s.at, format!("{who}: {what} of {x} us"));
                 }
                 Wait::Quantile(q) if !(0.5..=0.999).contains(&q) => {
@@ -298,7 +298,7 @@
     }
 }
 
-fn after(s: &Set<Wait>) -> Option<Micros> {
+fn after(s: &Setting<Wait>) -> Option<Micros> {
     match s.value {
         Wait::After(t) => Some(t),
         Wait::Quantile(_) => None,
--- a/routes/src/cover.rs
+++ b/routes/src/cover.rs
@@ -1,6 +1,6 @@
 //! Ties and routes that can never win. It owns the comparison of what routes match, as boxes over six dimensions. It must
 //! never call a route shadowed that some request would still reach: where the search grows too long it says nothing.
-use crate::table::{group_bits, rank, Rank};
+use crate::table::{group_bitset, rank, Rank};
 use crate::{mask, Matches, Route};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -23,11 +23,11 @@
 /// object, network and class are the same, so only those with the same key are compared.
 ///
 /// ```
-/// use threadward_routes::{cover::{ties, Tie}, At, Matches, Route, Terms};
+/// use threadward_routes::{cover::{ties, Tie}, Location, Matches, Route, Terms};
 ///
 /// let route = |groups| Route {
 ///     name: "r".into(),
-///     at: At { file: "f".into(), line: 1, column: 1 },
+///     at: Location { file: "f".into(), line: 1, column: 1 },
 ///     matches: Matches { groups: vec![groups], ..Matches::default() },
 ///     terms: Terms::default(),
 /// };
@@ -69,7 +69,7 @@
         (Some(x), Some(y)) => x.start() <= y.end() && y.start() <= x.end(),
         _ => true,
     };
-    let (x, y) = (group_bits(&a.groups), group_bits(&b.groups));
+    let (x, y) = (group_bitset(&a.groups), group_bitset(&b.groups));
     parts && (0..4).any(|i| x[i] & y[i] != 0)
 }
 
@@ -125,7 +125,7 @@
     all.dedup();
     let mut paths = BTreeMap::new();
     for (i, p) in all.iter().enumerate() {
-        let below = all[i..].iter().take_while(|q| crate::under(q, p)).count();
+        let below = all[i..].iter().take_while(|q| crate::path_is_under(q, p)).count();
         // Each prefix also has requests of its own, that lie under no deeper one: its own number.
         paths.insert(*p, (i as u128, (i + below - 1) as u128));
     }
@@ -144,7 +144,7 @@
     let class = m.class.map_or((0, 255), |c| (c.into(), c.into()));
     let cell = |client: (u128, u128), net| {
         let sides = [host, path, object, part, client, class];
-        (Cell { sides, groups: group_bits(&m.groups) }, rank(m, net))
+        (Cell { sides, groups: group_bitset(&m.groups) }, rank(m, net))
     };
     if m.clients.is_empty() {
         return vec![cell((0, u128::MAX), None)];
@@ -171,11 +171,11 @@
 /// Routes that can never win: more specific ones take every request that they match. Their places in the sheet.
 ///
 /// ```
-/// use threadward_routes::{cover::shadowed, At, Matches, Prefix, Route, Terms};
+/// use threadward_routes::{cover::shadowed, Location, Matches, Prefix, Route, Terms};
 ///
 /// let route = |hex: &str| Route {
 ///     name: "r".into(),
-///     at: At { file: "f".into(), line: 1, column: 1 },
+///     at: Location { file: "f".into(), line: 1, column: 1 },
 ///     matches: Matches { object: Prefix::parse(hex).unwrap_or_default(), ..Matches::default() },
 ///     terms: Terms::default(),
 /// };
--- a/routes/src/lib.rs
+++ b/routes/src/lib.rs
@@ -10,15 +10,15 @@
 //! then the module's own figures stand alone. All spans are microseconds.
 //!
 //! ```
-//! use threadward_routes::terms::Set;
-//! use threadward_routes::{check, At, Matches, Platform, Prefix, Request, Route, Sheet, Table, Terms};
+//! use threadward_routes::terms::Setting;
+//! use threadward_routes::{check, Location, Matches, Platform, Prefix, Request, Route, RouteConfig, Table, Terms};
 //!
-//! let at = |line| At { file: "routes.toml".into(), line, column: 1 };
-//! let attempts = |value, line| Terms { attempts: Some(Set { value, at: at(line) }), ..Terms::default() };
+//! let at = |line| Location { file: "routes.toml".into(), line, column: 1 };
+//! let attempts = |value, line| Terms { attempts: Some(Setting { value, at: at(line) }), ..Terms::default() };
 //! let route = |name: &str, line, matches, terms| Route { name: name.into(), at: at(line), matches, terms };
 //! let video = Matches { class: Some(0), ..Matches::default() };
 //! let hot = Matches { object: Prefix::parse("7f3").unwrap(), ..Matches::default() };
-//! let mut sheet = Sheet {
+//! let mut sheet = RouteConfig {
 //!     default: attempts(2, 1),
 //!     classes: vec![Terms::default()],
 //!     routes: vec![route("video", 5, video, Terms::default()), route("hot", 9, hot, attempts(3, 10))],
@@ -53,7 +53,7 @@
 pub mod table;
 pub mod terms;
 
-pub use check::{check, Fault, Platform, Rule};
+pub use check::{check, Platform, Rule, Violation};
 pub use table::{Request, Table};
 pub use terms::{Terms, Wait};
 
@@ -63,13 +63,13 @@
 use std::rc::Rc;
 
 /// Routes that a file may hold.
-pub const MOST_ROUTES: usize = 200_000;
+pub const MAX_ROUTES: usize = 200_000;
 /// Networks and ranges of groups that one route may list.
-pub const MOST_LISTED: usize = 64;
+pub const MAX_LIST_ENTRIES: usize = 64;
 
 /// Where something stands in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct At {
+pub struct Location {
     /// Its name, as operators gave it.
     pub file: Rc<str>,
     /// From 1.
@@ -78,7 +78,7 @@
     pub column: u32,
 }
 
-impl fmt::Display for At {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -90,10 +90,10 @@
 /// use threadward_routes::Prefix;
 ///
 /// let p = Prefix::parse("7f3").unwrap();
-/// assert!(p.holds(0x7f3a_0000_0000_0000) && !p.holds(0x7f4a_0000_0000_0000));
+/// assert!(p.is_prefix_of(0x7f3a_0000_0000_0000) && !p.is_prefix_of(0x7f4a_0000_0000_0000));
 /// assert_eq!(p, Prefix::new(0x7f3f << 48, 12), "what lies beyond the length does not count");
 /// assert_eq!(Prefix::parse("7g"), None);
-/// assert!(Prefix::default().holds(7), "of no length: all");
+/// assert!(Prefix::default().is_prefix_of(7), "of no length: all");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Prefix {
@@ -117,7 +117,7 @@
         Some(Prefix::new(bits << (64 - 4 * digits), 4 * digits as u8))
     }
     /// Whether an object begins with it.
-    pub fn holds(self, object: u64) -> bool {
+    pub fn is_prefix_of(self, object: u64) -> bool {
         object & mask(self.len) == self.bits
     }
 }
@@ -155,7 +155,7 @@
     /// Letters, digits, - and _, 64 at most; no other route has it.
     pub name: Rc<str>,
     /// Where it stands.
-    pub at: At,
+    pub at: Location,
     /// What it asks of a request.
     pub matches: Matches,
     /// What it sets.
@@ -164,7 +164,7 @@
 
 /// All that a file sets, checked for form and not yet for the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sheet {
+pub struct RouteConfig {
     /// What holds where neither route nor class sets it.
     pub default: Terms,
     /// By place of the class in the settings.
@@ -176,11 +176,11 @@
 /// Whether a path lies under a prefix, step by step.
 ///
 /// ```
-/// use threadward_routes::under;
+/// use threadward_routes::path_is_under;
 ///
-/// assert!(under("/a", "/a") && under("/a/b", "/a/") && !under("/ab", "/a"));
+/// assert!(path_is_under("/a", "/a") && path_is_under("/a/b", "/a/") && !path_is_under("/ab", "/a"));
 /// ```
-pub fn under(path: &str, prefix: &str) -> bool {
+pub fn path_is_under(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
@@ -192,15 +192,20 @@
     #[test]
     fn prefixes_and_paths_match_whole_steps() {
         let p = Prefix::parse("7f3").unwrap();
-        assert!(p.holds(0x7f3a_9c21_e0b4_d655) && !p.holds(0x7f4a_9c21_e0b4_d655));
+        assert!(p.is_prefix_of(0x7f3a_9c21_e0b4_d655) && !p.is_prefix_of(0x7f4a_9c21_e0b4_d655));
         assert_eq!(p.len, 12);
         assert!(
-            Prefix::default().holds(5)
-                && Prefix::parse("7f3a9c21e0b4d655").unwrap().holds(0x7f3a_9c21_e0b4_d655)
+            Prefix::default().is_prefix_of(5)
+                && Prefix::parse("7f3a9c21e0b4d655").unwrap().is_prefix_of(0x7f3a_9c21_e0b4_d655)
         );
         for bad in ["", "xyz", "+1", "7f3a9c21e0b4d6550"] {
             assert_eq!(Prefix::parse(bad), None, "{bad}");
         }
-        assert!(under("/a/b", "/a") && under("/a", "/a/") && under("/x", "") && !under("/ab", "/a"));
+        assert!(
+            path_is_under("/a/b", "/a")
+                && path_is_under("/a", "/a/")
+                && path_is_under("/x", "")
+                && !path_is_under("/ab", "/a")
+        );
     }
 }
--- a/routes/src/table.rs
+++ b/routes/src/table.rs
@@ -5,7 +5,7 @@
 //! (the request's path cut step by step, hash), object (hash for each prefix length that occurs), parts and groups
 //! (a short list, narrowest first), client network (hash for each length), class. The first hit in this order is the
 //! winner, so nothing is compared. The cost is the product of the lengths that occur on the way, not of the routes.
-use crate::{mask, under, Matches, Prefix, Route};
+use crate::{mask, path_is_under, Matches, Prefix, Route};
 use foldhash::fast::FixedState;
 use ipnet::IpNet;
 use std::hash::BuildHasher;
@@ -45,7 +45,7 @@
 pub const GROUPS: u16 = 256;
 
 /// Groups as a set of bits; no range at all: all of them.
-pub fn group_bits(ranges: &[RangeInclusive<u16>]) -> [u64; 4] {
+pub fn group_bitset(ranges: &[RangeInclusive<u16>]) -> [u64; 4] {
     if ranges.is_empty() {
         return [u64::MAX; 4];
     }
@@ -58,7 +58,7 @@
 
 /// The rank of a route, and of one of its networks where it lists any.
 pub fn rank(m: &Matches, net: Option<&IpNet>) -> Rank {
-    let bits: u32 = group_bits(&m.groups).iter().map(|b| b.count_ones()).sum();
+    let bits: u32 = group_bitset(&m.groups).iter().map(|b| b.count_ones()).sum();
     Rank {
         host: m.host.is_some(),
         path: m.path.trim_end_matches('/').len(),
@@ -77,12 +77,12 @@
         (None, "", _) => true,
         (_, _, None) => false,
         (host, path, Some((h, p))) => {
-            host.as_deref().is_none_or(|x| x.eq_ignore_ascii_case(h)) && under(p, path)
+            host.as_deref().is_none_or(|x| x.eq_ignore_ascii_case(h)) && path_is_under(p, path)
         }
     };
     link && m.class.is_none_or(|c| c == r.class)
         && (m.groups.is_empty() || m.groups.iter().any(|g| g.contains(&r.group)))
-        && m.object.holds(r.object)
+        && m.object.is_prefix_of(r.object)
         && m.part.as_ref().is_none_or(|p| p.contains(&r.part))
         && (m.clients.is_empty() || m.clients.iter().any(|n| n.contains(&r.client)))
 }
@@ -191,11 +191,11 @@
 /// All routes of a sheet, ready to be asked. They may not tie: [`crate::check()`] says so before.
 ///
 /// ```
-/// use threadward_routes::{table::scan, At, Matches, Request, Route, Table, Terms};
+/// use threadward_routes::{table::find_by_scan, Location, Matches, Request, Route, Table, Terms};
 ///
 /// let route = |clients: &str, host: Option<&str>| Route {
 ///     name: "r".into(),
-///     at: At { file: "f".into(), line: 1, column: 1 },
+///     at: Location { file: "f".into(), line: 1, column: 1 },
 ///     matches: Matches {
 ///         clients: clients.split_whitespace().map(|n| n.parse().unwrap()).collect(),
 ///         host: host.map(Into::into),
@@ -214,7 +214,7 @@
 ///     (at("192.0.2.1", None), None),
 /// ] {
 ///     assert_eq!(table.find(&request), winner);
-///     assert_eq!(scan(&routes, &request), winner, "the plain scan says the same");
+///     assert_eq!(find_by_scan(&routes, &request), winner, "the plain scan says the same");
 /// }
 /// ```
 #[derive(Default)]
@@ -265,7 +265,7 @@
             return spot.plain.put(i, m.class);
         }
         let narrow = &mut spot.narrow;
-        let (groups, own) = (group_bits(&m.groups), rank(m, None));
+        let (groups, own) = (group_bitset(&m.groups), rank(m, None));
         let at = match narrow.iter().position(|n| n.part == m.part && n.groups == groups) {
             Some(at) => at,
             None => {
@@ -398,7 +398,7 @@
 }
 
 /// The same by looking at every route: what the index is measured against and checked by.
-pub fn scan(routes: &[Route], r: &Request<'_>) -> Option<usize> {
+pub fn find_by_scan(routes: &[Route], r: &Request<'_>) -> Option<usize> {
     let best = |m: &Matches| {
         let nets = m.clients.iter().filter(|n| n.contains(&r.client)).map(|n| rank(m, Some(n)));
         nets.max().unwrap_or_else(|| rank(m, None))
--- a/routes/src/terms.rs
+++ b/routes/src/terms.rs
@@ -1,6 +1,6 @@
 //! Terms: what a route, a class or the default may set, each with the place it came from. It owns how they override one
 //! another. It must never fill in a figure that nobody set: the module has its own.
-use crate::At;
+use crate::Location;
 use nickelgate::Micros;
 
 /// A span, or a quantile of the spans that were seen of the class.
@@ -14,11 +14,11 @@
 
 /// A value and where it was set.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Set<T> {
+pub struct Setting<T> {
     /// The value.
     pub value: T,
     /// Where it stands.
-    pub at: At,
+    pub at: Location,
 }
 
 macro_rules! terms {
@@ -26,12 +26,12 @@
         /// What may be set. Nothing: not set here.
         ///
         /// ```
-        /// use threadward_routes::{terms::Set, At, Terms};
+        /// use threadward_routes::{terms::Setting, Location, Terms};
         ///
-        /// let at = At { file: "f".into(), line: 3, column: 1 };
-        /// let attempts = |value| Some(Set { value, at: at.clone() });
+        /// let at = Location { file: "f".into(), line: 3, column: 1 };
+        /// let attempts = |value| Some(Setting { value, at: at.clone() });
         /// let class = Terms { attempts: attempts(3), ..Terms::default() };
-        /// let pause = Some(Set { value: 50_000, at: at.clone() });
+        /// let pause = Some(Setting { value: 50_000, at: at.clone() });
         /// let route = Terms { attempts: attempts(1), pause, ..Terms::default() };
         /// let both = |first, second| Terms::of(&[first, second]).lines();
         /// let lines = |n: &str| [("attempts", n.to_owned(), at.clone()), ("pause", "50000".to_owned(), at.clone())];
@@ -39,7 +39,7 @@
         /// assert_eq!(both(&class, &route), lines("3"), "field by field, the first one that sets it");
         /// ```
         #[derive(Clone, Debug, Default, PartialEq)]
-        pub struct Terms { $($(#[$doc])* pub $name: Option<Set<$kind>>,)* }
+        pub struct Terms { $($(#[$doc])* pub $name: Option<Setting<$kind>>,)* }
 
         impl Terms {
             /// What holds where several levels apply: field by field, the first of these that sets it.
@@ -47,7 +47,7 @@
                 Terms { $($name: levels.iter().find_map(|t| t.$name.clone()),)* }
             }
             /// Each field that is set: its name, its value as text, and where it was set.
-            pub fn lines(&self) -> Vec<(&'static str, String, At)> {
+            pub fn lines(&self) -> Vec<(&'static str, String, Location)> {
                 let mut all = Vec::new();
                 $(if let Some(s) = &self.$name {
                     all.push(($text, format!("{:?}", s.value), s.at.clone()));
@@ -87,9 +87,9 @@
 
     #[test]
     fn each_field_is_overridden_by_itself() {
-        let at = |line| At { file: "f".into(), line, column: 1 };
-        fn set<T>(value: T, line: u32) -> Option<Set<T>> {
-            Some(Set { value, at: At { file: "f".into(), line, column: 1 } })
+        let at = |line| Location { file: "f".into(), line, column: 1 };
+        fn set<T>(value: T, line: u32) -> Option<Setting<T>> {
+            Some(Setting { value, at: Location { file: "f".into(), line, column: 1 } })
         }
         let default = Terms { attempts: set(2, 1), deadline: set(9, 2), ..Terms::default() };
         let class = Terms { attempts: set(3, 3), ..Terms::default() };
--- a/routes/tests/check.rs
+++ b/routes/tests/check.rs
@@ -2,16 +2,16 @@
 use nickelgate::{Class, DedupGroup, Effect, Settings};
 use std::ops::RangeInclusive;
 use threadward_routes::check::{check_without, Rule};
-use threadward_routes::{check, At, Matches, Platform, Prefix, Route, Sheet, Terms, Wait};
+use threadward_routes::{check, Location, Matches, Platform, Prefix, Route, RouteConfig, Terms, Wait};
 
 const MS: u64 = 1_000;
 
-fn at(line: u32) -> At {
-    At { file: "routes".into(), line, column: 3 }
+fn at(line: u32) -> Location {
+    Location { file: "routes".into(), line, column: 3 }
 }
 
-fn set<T>(value: T) -> Option<threadward_routes::terms::Set<T>> {
-    Some(threadward_routes::terms::Set { value, at: at(7) })
+fn set<T>(value: T) -> Option<threadward_routes::terms::Setting<T>> {
+    Some(threadward_routes::terms::Setting { value, at: at(7) })
 }
 
 /// Media and pages may be repeated, pages age, bookings are keyed for 3 s, orders may not be repeated.
@@ -40,8 +40,8 @@
 }
 
 /// A sheet with these terms for one class.
-fn class(i: usize, t: Terms) -> Sheet {
-    let mut s = Sheet { classes: vec![Terms::default(); 4], ..Sheet::default() };
+fn class(i: usize, t: Terms) -> RouteConfig {
+    let mut s = RouteConfig { classes: vec![Terms::default(); 4], ..RouteConfig::default() };
     s.classes[i] = t;
     s
 }
@@ -50,8 +50,8 @@
     Route { name: name.into(), at: at(line), matches, terms }
 }
 
-fn routed(matches: Matches, terms: Terms) -> Sheet {
-    Sheet { routes: vec![route("r", 9, matches, terms)], ..Sheet::default() }
+fn routed(matches: Matches, terms: Terms) -> RouteConfig {
+    RouteConfig { routes: vec![route("r", 9, matches, terms)], ..RouteConfig::default() }
 }
 
 fn of_class(class: u8) -> Matches {
@@ -59,7 +59,7 @@
 }
 
 /// Sheets with one fault each.
-fn broken() -> Vec<(Sheet, Rule)> {
+fn broken() -> Vec<(RouteConfig, Rule)> {
     let d = Terms::default;
     let two = || Terms { attempts: set(2), ..d() };
     let mut all = Vec::new();
@@ -68,9 +68,9 @@
     put(Rule::Repeat, routed(of_class(3), two()));
     put(
         Rule::Repeat,
-        Sheet {
+        RouteConfig {
             routes: vec![route("r", 9, of_class(3), Terms { attempts: set(8), ..d() })],
-            ..Sheet::default()
+            ..RouteConfig::default()
         },
     );
     for s in [Wait::After(200 * MS), Wait::Quantile(0.9)] {
@@ -136,11 +136,14 @@
     let nets = (0..65u8).map(|i| format!("10.{i}.0.0/16").parse().unwrap()).collect();
     put(Rule::Many, routed(Matches { clients: nets, ..Matches::default() }, d()));
     for name in ["", "a b", "straße", &"x".repeat(65)] {
-        put(Rule::Name, Sheet { routes: vec![route(name, 9, of_class(0), d())], ..Sheet::default() });
+        put(
+            Rule::Name,
+            RouteConfig { routes: vec![route(name, 9, of_class(0), d())], ..RouteConfig::default() },
+        );
     }
-    let pair = |a: (&str, Matches), b: (&str, Matches)| Sheet {
+    let pair = |a: (&str, Matches), b: (&str, Matches)| RouteConfig {
         routes: vec![route(a.0, 9, a.1, d()), route(b.0, 10, b.1, d())],
-        ..Sheet::default()
+        ..RouteConfig::default()
     };
     put(Rule::Name, pair(("r", of_class(0)), ("r", of_class(1))));
     put(Rule::Tie, pair(("a", of_class(0)), ("b", of_class(0))));
@@ -154,7 +157,7 @@
     let object = |bits: u64, len| Matches { object: Prefix::new(bits, len), ..Matches::default() };
     let three = [object(0, 1), object(0, 2), object(1 << 62, 2)];
     let three = three.into_iter().zip(["a", "b", "c"]).map(|(m, n)| route(n, 9, m, d())).collect();
-    put(Rule::Shadowed, Sheet { routes: three, ..Sheet::default() });
+    put(Rule::Shadowed, RouteConfig { routes: three, ..RouteConfig::default() });
     all
 }
 
@@ -168,7 +171,7 @@
         assert_eq!(rules, [*rule], "sheet {i}: {faults:?}");
         let line = faults[0].to_string();
         assert!(
-            line.starts_with("routes:") && line.contains(rule.text()) && line.contains(rule.mend()),
+            line.starts_with("routes:") && line.contains(rule.text()) && line.contains(rule.remedy()),
             "{line}"
         );
     }
@@ -186,7 +189,7 @@
 
 #[test]
 fn what_the_rules_allow_is_taken() {
-    let sheet = Sheet {
+    let sheet = RouteConfig {
         default: Terms { attempts: set(1), ..Terms::default() },
         classes: vec![
             Terms {
@@ -230,7 +233,7 @@
 
 #[test]
 fn all_faults_come_in_one_pass_in_the_order_of_the_file() {
-    let bad = |line| threadward_routes::terms::Set { value: 99, at: at(line) };
+    let bad = |line| threadward_routes::terms::Setting { value: 99, at: at(line) };
     let mut sheet = class(0, Terms { attempts: Some(bad(5)), ..Terms::default() });
     sheet.classes[3].attempts = Some(bad(4));
     sheet.routes =
--- a/routes/tests/table.rs
+++ b/routes/tests/table.rs
@@ -4,11 +4,11 @@
 use proptest::test_runner::RngSeed;
 use std::net::{IpAddr, Ipv4Addr};
 use threadward_routes::cover::{shadowed, ties};
-use threadward_routes::table::{rank, scan};
-use threadward_routes::{table, At, Matches, Prefix, Request, Route, Table, Terms};
+use threadward_routes::table::{find_by_scan, rank};
+use threadward_routes::{table, Location, Matches, Prefix, Request, Route, Table, Terms};
 
-fn at(line: usize) -> At {
-    At { file: "t".into(), line: line as u32, column: 1 }
+fn at(line: usize) -> Location {
+    Location { file: "t".into(), line: line as u32, column: 1 }
 }
 
 /// A world small enough to be walked through: two bits of objects, two of addresses, three hosts, a few paths.
@@ -97,7 +97,7 @@
         let all = untied(all);
         let t = Table::new(&all);
         for r in all_requests() {
-            prop_assert_eq!(t.find(&r), scan(&all, &r), "{:?}", r);
+            prop_assert_eq!(t.find(&r), find_by_scan(&all, &r), "{:?}", r);
         }
     }
 
--- a/zones/src/adoption.rs
+++ b/zones/src/adoption.rs
@@ -48,7 +48,7 @@
         for (epoch, vouched) in due {
             for i in 0..self.settings.voters.len() {
                 let to = self.settings.voters[i];
-                if vouched >> i & 1 == 0 && to != self.settings.me.place {
+                if vouched >> i & 1 == 0 && to != self.settings.me.index {
                     self.post(to, &Body::Ask { epoch }, out);
                 }
             }
@@ -62,7 +62,7 @@
         t.vouched |= bit;
         let (bits, map) = (t.vouched, t.map.clone());
         let took = self.voter.as_ref().filter(|v| v.took.epoch == epoch && v.took.hash() == hash);
-        let own = took.and(self.voter_bit(self.settings.me.place)).unwrap_or(0);
+        let own = took.and(self.voter_bit(self.settings.me.index)).unwrap_or(0);
         if self.majority(bits | own) {
             self.adopt(map);
             self.pass_on(out);
@@ -74,10 +74,10 @@
     /// A voter tells its part of the proxies of the map that it just learned is in use: the decider may die before all know.
     fn pass_on(&mut self, out: &mut Out) {
         let voters = self.settings.voters.len();
-        let Some(own) = self.settings.voters.iter().position(|v| *v == self.settings.me.place) else {
+        let Some(own) = self.settings.voters.iter().position(|v| *v == self.settings.me.index) else {
             return;
         };
-        let me = self.settings.me.place;
+        let me = self.settings.me.index;
         for to in (own as u16..self.settings.proxies).step_by(voters).filter(|p| *p != me) {
             self.post(to, &Body::Tell { map: self.map.clone() }, out);
         }
--- a/zones/src/decider.rs
+++ b/zones/src/decider.rs
@@ -143,18 +143,18 @@
         place: u16,
         seen: Vec<Seen>,
     ) -> bool {
-        if to != me.life {
-            self.hello.insert(by.place, (now, map.0));
+        if to != me.incarnation {
+            self.hello.insert(by.index, (now, map.0));
             return false;
         }
-        self.hello.remove(&by.place);
+        self.hello.remove(&by.index);
         self.reports.take(now, by, seq, map, place, seen)
     }
 
     /// A voter's answer: it counts if the voter bars all others now, else a larger number is asked for.
     pub fn held(&mut self, now: Micros, me: Author, barred: Epoch, bit: u8, is_fresh: bool, map: Map) {
         let stuck = self.proposal.as_ref().is_none_or(|p| now >= p.began + STUCK);
-        let asked = Epoch { number: self.number, life: me.life };
+        let asked = Epoch { number: self.number, life: me.incarnation };
         let wrong = barred.number.max(map.epoch.number) > self.number.saturating_add(LEAP);
         match &mut self.phase {
             _ if wrong => {}
@@ -204,7 +204,7 @@
             // Nobody is left who could remember more; or the others are gone as well.
             let forgotten = bits(both) == all || bits(both) * 2 > all && now >= *began + 2 * s.lease;
             if bits(sure) * 2 > all || forgotten {
-                let epoch = Epoch { number: self.number, life: s.me.life };
+                let epoch = Epoch { number: self.number, life: s.me.incarnation };
                 let map = Map { epoch, zones: best.zones.clone() };
                 self.proposal = Some(Proposal { map, took: 0, began: now, next: now });
                 self.phase = Phase::Leads;
@@ -219,7 +219,7 @@
             }
         }
         // Not before the own map is agreed upon: until then the decider has not said where it goes on from.
-        if self.proposal.is_none() && map.epoch.life == s.me.life && now >= self.next {
+        if self.proposal.is_none() && map.epoch.life == s.me.incarnation && now >= self.next {
             self.next = now + AGAIN;
             self.weigh(now, s, map, tally);
         }
@@ -315,7 +315,7 @@
         }
         if changed {
             self.number = self.number.max(map.epoch.number) + 1;
-            let epoch = Epoch { number: self.number, life: s.me.life };
+            let epoch = Epoch { number: self.number, life: s.me.incarnation };
             self.proposal = Some(Proposal { map: Map { epoch, zones }, took: 0, began: now, next: now });
         }
     }
--- a/zones/src/instance.rs
+++ b/zones/src/instance.rs
@@ -64,7 +64,7 @@
     /// use threadward_zones::{Author, Kind, Settings, Use, Zone, Zones};
     /// let hub = |other| Zone { kind: Kind::Hub, region: other, cold: 20_000_000, takers: vec![other] };
     /// let s = Settings {
-    ///     me: Author { place: 0, life: 7 },
+    ///     me: Author { index: 0, incarnation: 7 },
     ///     proxies: 3,
     ///     voters: vec![0, 1, 2],
     ///     stands: 0,
@@ -78,7 +78,7 @@
     pub fn new(now: Micros, settings: Settings) -> Result<Zones, String> {
         check(&settings)?;
         let map = Map::new(settings.zones.len(), now);
-        let votes = settings.voters.contains(&settings.me.place);
+        let votes = settings.voters.contains(&settings.me.index);
         let voter = votes.then(|| Voter { took: map.clone(), barred: Epoch::default(), fresh: true });
         Ok(Zones {
             decider: Decider::new(settings.zones.len()),
@@ -114,7 +114,7 @@
             State::In => Use::All,
             State::Suspect => Use::Doubted,
             State::Leaving | State::Out => Use::None,
-            State::Probing if s.tried_by(self.settings.me.place) => {
+            State::Probing if s.tried_by(self.settings.me.index) => {
                 if s.tries <= state::FEW {
                     Use::Tried
                 } else {
@@ -131,7 +131,7 @@
         let own = self.map.zones.get(usize::from(self.settings.stands));
         own.map_or(0, |s| match s.state {
             State::Leaving | State::Out => s.refused,
-            State::Probing if !s.tried_by(self.settings.me.place) => s.refused,
+            State::Probing if !s.tried_by(self.settings.me.index) => s.refused,
             // What a zone that comes back cannot take yet the planner's own cold budgets refuse.
             _ => 0,
         })
@@ -172,7 +172,7 @@
     /// use threadward_zones::{Author, Kind, Seat, Seen, Settings, Use, Zone, Zones, AGAIN};
     /// let zone = |region, taker| Zone { kind: Kind::Hub, region, cold: 0, takers: vec![taker] };
     /// let zones = vec![zone(0, 1), zone(1, 0)];
-    /// let me = |place| Author { place, life: 7 + u64::from(place) };
+    /// let me = |index| Author { index, incarnation: 7 + u64::from(index) };
     /// let new = |place| {
     ///     let (voters, zones) = (vec![0], zones.clone());
     ///     let s = Settings { me: me(place), proxies: 3, voters, stands: place % 2, lease: 1_000_000, zones };
@@ -214,7 +214,7 @@
         self.now = self.now.max(now);
         self.sit(seat);
         let known = |a: &Author| {
-            a.place == from && a.place < self.settings.proxies && a.place != self.settings.me.place
+            a.index == from && a.index < self.settings.proxies && a.index != self.settings.me.index
         };
         match wire::read(bytes, self.now).filter(|(a, _)| known(a)) {
             Some((by, body)) if self.fits(&body) => self.take(by, body, out),
@@ -225,7 +225,7 @@
     /// What the election says now; one that decides no more forgets what it had proposed.
     fn sit(&mut self, seat: Seat) {
         let news = seat.decides != self.seat.decides || seat.decider != self.seat.decider;
-        if news && (seat.decides || seat.decider != self.settings.me.place) {
+        if news && (seat.decides || seat.decider != self.settings.me.index) {
             self.next_report = self.next_report.min(self.now);
         }
         self.seat = seat;
@@ -269,15 +269,15 @@
                     seen,
                 );
                 self.tally.old += u64::from(!fresh);
-                self.tell_behind(Some(by.place), out);
+                self.tell_behind(Some(by.index), out);
             }
             Body::Read { number } => {
                 if let Some((barred, fresh, map)) = self.read(by, number) {
-                    self.post(by.place, &Body::Holds { barred, fresh, map }, out);
+                    self.post(by.index, &Body::Holds { barred, fresh, map }, out);
                 }
             }
             Body::Holds { barred, fresh, map } => {
-                if let Some(bit) = self.voter_bit(by.place).filter(|_| self.seat.decides) {
+                if let Some(bit) = self.voter_bit(by.index).filter(|_| self.seat.decides) {
                     self.decider.held(self.now, self.settings.me, barred, bit, fresh, map);
                     self.decide(out);
                 }
@@ -285,29 +285,29 @@
             Body::Propose { map } => {
                 let asked = map.epoch.number;
                 if let Some(epoch) = self.proposed(by, map) {
-                    self.post(by.place, &Body::Took { epoch }, out);
+                    self.post(by.index, &Body::Took { epoch }, out);
                 } else if let Some((barred, fresh, map)) = self.read(by, 0) {
                     // One that is promised here and may not be followed has to read anew.
                     if barred.number >= asked {
-                        self.post(by.place, &Body::Holds { barred, fresh, map }, out);
+                        self.post(by.index, &Body::Holds { barred, fresh, map }, out);
                     }
                 }
             }
             Body::Took { epoch } => {
-                if let Some(bit) = self.voter_bit(by.place) {
+                if let Some(bit) = self.voter_bit(by.index) {
                     self.decider.took(epoch, bit);
                     self.decide(out);
                 }
             }
-            Body::Tell { map } => self.hear(by.place, map, out),
+            Body::Tell { map } => self.hear(by.index, map, out),
             Body::Ask { epoch } => {
                 let took = self.voter.as_ref().map(|v| (v.took.epoch, v.took.hash()));
                 if let Some((e, hash)) = took.filter(|(e, _)| e.number >= epoch.number) {
-                    self.post(by.place, &Body::Vouch { epoch: e, hash }, out);
+                    self.post(by.index, &Body::Vouch { epoch: e, hash }, out);
                 }
             }
             Body::Vouch { epoch, hash } => {
-                if let Some(bit) = self.voter_bit(by.place) {
+                if let Some(bit) = self.voter_bit(by.index) {
                     self.vouched(epoch, hash, bit, out);
                 }
             }
--- a/zones/src/judge.rs
+++ b/zones/src/judge.rs
@@ -73,19 +73,20 @@
         seen: Vec<Seen>,
     ) -> bool {
         let (epoch, hash) = map;
-        let heard = Heard { life: by.life, former: [0; FORMER], seq, at: now, epoch, hash, place, seen };
-        match self.0.get_mut(&by.place) {
+        let heard =
+            Heard { life: by.incarnation, former: [0; FORMER], seq, at: now, epoch, hash, place, seen };
+        match self.0.get_mut(&by.index) {
             None => {
-                self.0.insert(by.place, heard);
+                self.0.insert(by.index, heard);
             }
-            Some(h) if h.life == by.life => {
+            Some(h) if h.life == by.incarnation => {
                 if seq.wrapping_sub(h.seq) as i32 <= 0 {
                     return false;
                 }
                 *h = Heard { former: h.former, ..heard };
             }
             Some(h) => {
-                if h.former.contains(&by.life) {
+                if h.former.contains(&by.incarnation) {
                     return false;
                 }
                 let mut former = h.former;
@@ -109,7 +110,7 @@
     /// use threadward_zones::{Author, Seen};
     /// let mut r = Reports::default();
     /// let seen = |zone, bad| Seen { zone, tried: 8, failed: bad * 2, members: 4, bad, load: 8, busy: 0 };
-    /// let mut says = |place: u16, seen| r.take(0, Author { place, life: 1 }, 1, (0, 0), place % 2, seen);
+    /// let mut says = |place: u16, seen| r.take(0, Author { index: place, incarnation: 1 }, 1, (0, 0), place % 2, seen);
     /// says(0, vec![seen(0, 4), seen(1, 0)]);
     /// says(1, vec![seen(0, 3), seen(1, 0)]);
     /// says(2, vec![seen(0, 1), seen(1, 0)]);
--- a/zones/src/reporting.rs
+++ b/zones/src/reporting.rs
@@ -14,8 +14,8 @@
         let (me, seq, place, seen) = (self.settings.me, self.seq, self.settings.stands, self.seen.clone());
         let (epoch, hash) = (self.map.epoch.number, self.map.hash());
         if self.seat.decides {
-            self.decider.reported(self.now, me, me, seq, me.life, (epoch, hash), place, seen);
-        } else if self.seat.decider != me.place {
+            self.decider.reported(self.now, me, me, seq, me.incarnation, (epoch, hash), place, seen);
+        } else if self.seat.decider != me.index {
             let to = self.map.epoch.life;
             self.post(self.seat.decider, &Body::Report { seq, to, epoch, hash, place, seen }, out);
         }
@@ -26,17 +26,17 @@
         if !self.seat.decides {
             return;
         }
-        let me = self.voter_bit(self.settings.me.place);
+        let me = self.voter_bit(self.settings.me.index);
         for asked in self.decider.look(self.now, &self.settings, &self.map, &mut self.tally) {
             match asked {
-                Wish::Read(to, number) if to == self.settings.me.place => {
+                Wish::Read(to, number) if to == self.settings.me.index => {
                     if let (Some((barred, fresh, map)), Some(bit)) = (self.read(self.settings.me, number), me)
                     {
                         self.decider.held(self.now, self.settings.me, barred, bit, fresh, map);
                     }
                 }
                 Wish::Read(to, number) => self.post(to, &Body::Read { number }, out),
-                Wish::Propose(to, map) if to == self.settings.me.place => {
+                Wish::Propose(to, map) if to == self.settings.me.index => {
                     if let (Some(epoch), Some(bit)) = (self.proposed(self.settings.me, map), me) {
                         self.decider.took(epoch, bit);
                     }
@@ -54,10 +54,10 @@
 
     /// The map to those that act on another, each once in [`AGAIN`]; `only`: one that just reported.
     pub(crate) fn tell_behind(&mut self, only: Option<u16>, out: &mut Out) {
-        if !self.decider.leads() || self.map.epoch.life != self.settings.me.life {
+        if !self.decider.leads() || self.map.epoch.life != self.settings.me.incarnation {
             return;
         }
-        for to in self.decider.behind(self.now, &self.map, self.settings.me.place, only) {
+        for to in self.decider.behind(self.now, &self.map, self.settings.me.index, only) {
             self.post(to, &Body::Tell { map: self.map.clone() }, out);
             // A voter that missed or forgot it takes it, so that it can vouch for it and tell it to the next decider.
             if self.voter_bit(to).is_some() {
--- a/zones/src/settings.rs
+++ b/zones/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance: the zones, the voters and the own place; and their check.
 use crate::{Author, MOST_ZONES};
 use nickelgate::Micros;
-use threadward_budgets::{MOST_PROXIES, MOST_VOTERS};
+use threadward_budgets::{MAX_PROXIES, MAX_VOTERS};
 
 /// What a zone's members are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -58,13 +58,13 @@
     }
     let voters = &settings.voters;
     if voters.len().is_multiple_of(2)
-        || voters.len() > MOST_VOTERS
+        || voters.len() > MAX_VOTERS
         || voters.iter().any(|voter| *voter >= settings.proxies)
     {
-        return Err(format!("{} voters: an odd number of proxies, {MOST_VOTERS} at most", voters.len()));
+        return Err(format!("{} voters: an odd number of proxies, {MAX_VOTERS} at most", voters.len()));
     }
-    if usize::from(settings.proxies) > MOST_PROXIES || settings.me.place >= settings.proxies {
-        return Err(format!("place {} of {}: {MOST_PROXIES} at most", settings.me.place, settings.proxies));
+    if usize::from(settings.proxies) > MAX_PROXIES || settings.me.index >= settings.proxies {
+        return Err(format!("place {} of {}: {MAX_PROXIES} at most", settings.me.index, settings.proxies));
     }
     Ok(())
 }
--- a/zones/src/voter.rs
+++ b/zones/src/voter.rs
@@ -29,14 +29,14 @@
     pub(crate) fn read(&mut self, by: Author, number: u64) -> Option<(Epoch, bool, Map)> {
         let v = self.voter.as_mut().filter(|_| self.seat.promised == Some(by))?;
         if number >= v.barred.number.max(v.took.epoch.number).saturating_add(2) {
-            v.barred = Epoch { number, life: by.life };
+            v.barred = Epoch { number, life: by.incarnation };
         }
         Some((v.barred.max(v.took.epoch), v.fresh, v.took.clone()))
     }
 
     /// A voter takes a map from the life that it is promised to, if it is later than what it took, and one of a number.
     pub(crate) fn proposed(&mut self, by: Author, map: Map) -> Option<Epoch> {
-        let promised = self.seat.promised == Some(by) && map.epoch.life == by.life;
+        let promised = self.seat.promised == Some(by) && map.epoch.life == by.incarnation;
         let v = self.voter.as_mut()?;
         let (asked, took, barred) = (map.epoch, v.took.epoch, v.barred);
         let open = asked.number > barred.number || asked == barred;
--- a/zones/src/wire.rs
+++ b/zones/src/wire.rs
@@ -49,7 +49,7 @@
 /// use threadward_zones::map::Map;
 /// use threadward_zones::wire::{ours, read, write, Body};
 /// use threadward_zones::Author;
-/// let by = Author { place: 1, life: 7 };
+/// let by = Author { index: 1, incarnation: 7 };
 /// let bytes = write(by, &Body::Tell { map: Map::new(2, 3_000_000) }, 5_000_000);
 /// assert!(ours(&bytes));
 /// let Some((from, Body::Tell { map })) = read(&bytes, 90_000_000) else { panic!("it is no map") };
@@ -59,8 +59,8 @@
 /// ```
 pub fn write(from: Author, body: &Body, now: Micros) -> Vec<u8> {
     let mut out = vec![FIRST];
-    out.extend(from.place.to_be_bytes());
-    out.extend(from.life.to_be_bytes());
+    out.extend(from.index.to_be_bytes());
+    out.extend(from.incarnation.to_be_bytes());
     out[0] += match body {
         Body::Report { seq, to, epoch, hash, place, seen } => {
             out.extend(seq.to_be_bytes());
@@ -114,7 +114,7 @@
 pub fn read(bytes: &[u8], now: Micros) -> Option<(Author, Body)> {
     let mut r = Reader(bytes);
     let kind = r.byte()?.checked_sub(FIRST)?;
-    let from = Author { place: r.short()?, life: r.long()? };
+    let from = Author { index: r.short()?, incarnation: r.long()? };
     let body = match kind {
         0 => {
             let (seq, to, epoch, hash, place) = (r.word()?, r.long()?, r.long()?, r.long()?, r.short()?);
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -61,9 +61,9 @@
     fn born(&mut self, place: u16, proxies: u16) -> Proxy {
         let entropy: Vec<u8> = (0..32).map(|_| self.roll(256) as u8).collect();
         let (voters, lease) = (vec![0, 1, 2], S);
-        let terms = Terms { place, proxies, voters: voters.clone(), wholes: vec![100], lease };
+        let terms = Terms { index: place, proxies, voters: voters.clone(), totals: vec![100], lease };
         let budgets = Budgets::new(self.now, terms, entropy.try_into().unwrap()).unwrap();
-        let (me, stands) = (budgets.me(), place % self.zones.len() as u16);
+        let (me, stands) = (budgets.identity(), place % self.zones.len() as u16);
         let s = Settings { me, proxies, voters, stands, lease, zones: self.zones.clone() };
         let past = vec![VecDeque::new(); self.zones.len()];
         Proxy { zones: Zones::new(self.now, s).unwrap(), budgets, up: true, past }
@@ -81,7 +81,7 @@
 
     /// Who decides now, by its own word.
     pub fn decider(&self) -> Option<u16> {
-        let decides = |p: &Proxy| p.up && p.budgets.grants(self.now);
+        let decides = |p: &Proxy| p.up && p.budgets.is_coordinator(self.now);
         self.all.iter().position(decides).map(|p| p as u16)
     }
 
@@ -99,9 +99,9 @@
 
     fn seat(&self, p: u16) -> Seat {
         let b = &self.all[usize::from(p)].budgets;
-        let decides = b.grants(self.now);
-        let decider = if decides { p } else { b.grantor() };
-        Seat { decides, promised: b.promised(self.now), decider }
+        let decides = b.is_coordinator(self.now);
+        let decider = if decides { p } else { b.coordinator() };
+        Seat { decides, promised: b.promised_to(self.now), decider }
     }
 
     /// One step: what has arrived, what own attempts show, what is due.
@@ -183,7 +183,12 @@
         let one = |p: &Proxy| {
             let m = p.zones.map();
             let all: Vec<_> = m.zones.iter().map(|z| (z.state, z.step, z.bad, z.of, z.failed)).collect();
-            format!("{} {:?} {all:?} {:?}\n", m.epoch.number, p.zones.tally, p.budgets.grants(self.now))
+            format!(
+                "{} {:?} {all:?} {:?}\n",
+                m.epoch.number,
+                p.zones.tally,
+                p.budgets.is_coordinator(self.now)
+            )
         };
         self.all.iter().filter(|p| p.up).map(one).collect()
     }
--- a/zones/tests/life.rs
+++ b/zones/tests/life.rs
@@ -99,7 +99,7 @@
     f.run(8 * S);
     // A voter that does not decide.
     let by = (0..3).find(|p| f.decider() != Some(*p)).unwrap();
-    let (mut map, liar) = (f.all[0].zones.map().clone(), f.all[usize::from(by)].budgets.me());
+    let (mut map, liar) = (f.all[0].zones.map().clone(), f.all[usize::from(by)].budgets.identity());
     map.epoch.number += 1 << 40;
     map.zones.iter_mut().for_each(|z| z.state = State::Out);
     let (epoch, hash) = (map.epoch, map.hash());
--- a/zones/tests/model.rs
+++ b/zones/tests/model.rs
@@ -69,12 +69,12 @@
     let zone = |kind, region: u16, takers| Zone { kind, region, cold: 0, takers };
     let zones =
         vec![zone(Kind::Hub, 0, vec![1]), zone(Kind::Hub, 1, vec![0]), zone(Kind::Location, 2, vec![])];
-    Settings { me, proxies: N as u16, voters: vec![0, 1, 2], stands: me.place % 2, lease: 1_000_000, zones }
+    Settings { me, proxies: N as u16, voters: vec![0, 1, 2], stands: me.index % 2, lease: 1_000_000, zones }
 }
 
 impl Fleet {
     fn author(&self, i: usize) -> Author {
-        Author { place: i as u16, life: self.lives[i] }
+        Author { index: i as u16, incarnation: self.lives[i] }
     }
 
     fn seat(&self, i: usize) -> Seat {
@@ -188,14 +188,15 @@
     fn init_states(&self) -> Vec<Fleet> {
         let lives = [10, 20, 30];
         let new = |i: usize| {
-            Zones::new(1_000_000, settings(Author { place: i as u16, life: lives[i] })).expect("settings")
+            Zones::new(1_000_000, settings(Author { index: i as u16, incarnation: lives[i] }))
+                .expect("settings")
         };
         let mut f = Fleet {
             all: (0..N).map(new).collect(),
             lives,
             clocks: [1_000_000; N],
             net: BTreeSet::new(),
-            promised: [Some(Author { place: 0, life: 10 }); N],
+            promised: [Some(Author { index: 0, incarnation: 10 }); N],
             decider: Some(0),
             ticks: self.ticks,
             elections: self.elections,
--- a/zones/tests/wire.rs
+++ b/zones/tests/wire.rs
@@ -50,7 +50,7 @@
             Body::Ask { epoch },
             Body::Vouch { epoch, hash: number },
         ];
-        let from = Author { place: 3, life: number };
+        let from = Author { index: 3, incarnation: number };
         for body in all {
             let bytes = wire::write(from, &body, NOW);
             prop_assert!(wire::ours(&bytes) && bytes.len() <= wire::MOST);
@@ -71,7 +71,7 @@
 
 fn one(zones: usize) -> Zones {
     let zone = Zone { kind: Kind::Hub, region: 0, cold: 0, takers: vec![] };
-    let (me, zones) = (Author { place: 0, life: 7 }, vec![zone; zones]);
+    let (me, zones) = (Author { index: 0, incarnation: 7 }, vec![zone; zones]);
     let s = Settings { me, proxies: 3, voters: vec![0, 1, 2], stands: 0, lease: 1_000_000, zones };
     Zones::new(0, s).unwrap()
 }
@@ -79,7 +79,7 @@
 /// Messages of other settings, for another, of figures that cannot be, or with a zone twice are malformed.
 #[test]
 fn what_cannot_be_is_counted_and_dropped() {
-    let by = Author { place: 1, life: 9 };
+    let by = Author { index: 1, incarnation: 9 };
     let seen = |zone, failed, bad| Seen { zone, tried: 5, failed, members: 4, bad, load: 5, busy: 0 };
     let report = |seen| Body::Report { seq: 1, to: 7, epoch: 0, hash: 0, place: 0, seen };
     let (map, seat) = (Map::new(3, 0), Seat { decides: true, promised: Some(by), decider: 0 });
