--- a/control/src/division.rs
+++ b/control/src/division.rs
@@ -24,7 +24,7 @@
 /// Amounts of the group of a proxy at a level, and of its own seat there.
 pub fn group_amounts(settings: &Settings, level: Level) -> GroupAmounts {
     let division = Division { topology: &settings.topology };
-    let (place, topology) = (settings.place, &settings.topology);
+    let (place, topology) = (settings.proxy_index, &settings.topology);
     let group = topology.group_of(place, level);
     let pools = settings.budgets.iter().map(|budget| division.pool(budget, level, group)).collect();
     let member = |budget: &SharedBudget| match level {
@@ -42,10 +42,10 @@
 impl Division<'_> {
     fn of_region(&self, budget: &SharedBudget, region: u16) -> u32 {
         match budget.scope {
-            Scope::Region => budget.whole,
+            Scope::Region => budget.total_units,
             Scope::Fleet => {
                 let weight = self.topology.weight_of_seat(Level::Fleet, 0, region);
-                part(budget.whole, weight, self.topology.proxies() as u64 * REGIONS_SET_ASIDE)
+                part(budget.total_units, weight, self.topology.proxies() as u64 * REGIONS_SET_ASIDE)
             }
         }
     }
@@ -83,7 +83,7 @@
                 Scope::Region => 0,
                 Scope::Fleet => {
                     let regions: u32 = seats.map(|region| self.of_region(budget, region)).sum();
-                    budget.whole - regions
+                    budget.total_units - regions
                 }
             },
         }
--- a/control/src/member.rs
+++ b/control/src/member.rs
@@ -34,12 +34,12 @@
         entropy: [u8; 32],
     ) -> Result<Member, SettingsError> {
         let topology = &settings.topology;
-        let group = topology.group_of(settings.place, level);
+        let group = topology.group_of(settings.proxy_index, level);
         let GroupAmounts { pools, member_own } = group_amounts(settings, level);
         let lease = settings.lease * lease_factor(level);
         let own_pools = pools.clone();
         let group_settings = Group {
-            seat: topology.seat_of(settings.place, level),
+            seat: topology.seat_of(settings.proxy_index, level),
             members: topology.members(level, group),
             voters: topology.voters(level, group),
             lease,
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedBudget {
     /// The whole, in units.
-    pub whole: u32,
+    pub total_units: u32,
     /// Who shares it.
     pub scope: Scope,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The own place among the proxies of the file, from 0.
-    pub place: u16,
+    pub proxy_index: u16,
     /// Sites and regions of all proxies.
     pub topology: Arc<Topology>,
     /// The budgets, in the order of the file.
@@ -46,20 +46,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The own place is none of the file.
-    UnknownPlace {
+    UnknownProxy {
         /// The own place.
-        place: u16,
+        proxy_index: u16,
         /// Proxies in the file.
         proxies: usize,
     },
     /// No budget or too many.
     BudgetCount(usize),
     /// A whole out of range.
-    Whole {
+    TotalOutOfRange {
         /// Index of the budget.
         budget: usize,
         /// Its whole.
-        whole: u32,
+        total_units: u32,
     },
     /// A lease time out of range.
     Lease(Micros),
@@ -70,15 +70,15 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::UnknownPlace { place, proxies } => {
-                write!(formatter, "the own place is {place}, but the file names {proxies} proxies")
+            SettingsError::UnknownProxy { proxy_index, proxies } => {
+                write!(formatter, "the own place is {proxy_index}, but the file names {proxies} proxies")
             }
             SettingsError::BudgetCount(count) => {
                 write!(formatter, "{count} budgets; this version takes 1 to {MOST_BUDGETS}")
             }
-            SettingsError::Whole { budget, whole } => {
+            SettingsError::TotalOutOfRange { budget, total_units } => {
                 let (least, most) = (WHOLES.start(), WHOLES.end());
-                write!(formatter, "budget {budget} has {whole} units; it takes {least} to {most}")
+                write!(formatter, "budget {budget} has {total_units} units; it takes {least} to {most}")
             }
             SettingsError::Lease(lease) => {
                 let (least, most) = (LEASES.start() / 1000, LEASES.end() / 1000);
@@ -98,15 +98,15 @@
     /// The first thing that is wrong with them.
     pub fn check(&self) -> Result<(), SettingsError> {
         let proxies = self.topology.proxies();
-        if usize::from(self.place) >= proxies {
-            return Err(SettingsError::UnknownPlace { place: self.place, proxies });
+        if usize::from(self.proxy_index) >= proxies {
+            return Err(SettingsError::UnknownProxy { proxy_index: self.proxy_index, proxies });
         }
         if !(1..=MOST_BUDGETS).contains(&self.budgets.len()) {
             return Err(SettingsError::BudgetCount(self.budgets.len()));
         }
         for (budget, shared) in self.budgets.iter().enumerate() {
-            if !WHOLES.contains(&shared.whole) {
-                return Err(SettingsError::Whole { budget, whole: shared.whole });
+            if !WHOLES.contains(&shared.total_units) {
+                return Err(SettingsError::TotalOutOfRange { budget, total_units: shared.total_units });
             }
         }
         if !LEASES.contains(&self.lease) {
--- a/control/src/shared.rs
+++ b/control/src/shared.rs
@@ -39,7 +39,7 @@
     /// Whether a lease lasts now.
     fn leased(&self, now: Micros) -> bool;
     /// Whether this process divides the whole of the fleet now.
-    fn divides(&self, now: Micros) -> bool;
+    fn leads_fleet(&self, now: Micros) -> bool;
     /// When [`SharedBudgets::tick`] has something to do next.
     fn next_due(&self) -> Micros;
     /// Carries out what is due by now.
@@ -62,7 +62,7 @@
     fn leased(&self, now: Micros) -> bool {
         Budgets::leased(self, now)
     }
-    fn divides(&self, now: Micros) -> bool {
+    fn leads_fleet(&self, now: Micros) -> bool {
         self.grants(now)
     }
     fn next_due(&self) -> Micros {
--- a/control/src/topology.rs
+++ b/control/src/topology.rs
@@ -26,8 +26,8 @@
     ProxyCount(usize),
     /// A proxy without a region or site.
     Unnamed {
-        /// Place of the proxy in the file.
-        place: usize,
+        /// Index of the proxy in the file.
+        proxy_index: usize,
     },
     /// A site stands in two regions.
     SiteInTwoRegions {
@@ -53,8 +53,8 @@
             TopologyError::ProxyCount(count) => {
                 write!(formatter, "the file names {count} proxies; this version takes 1 to {MAX_PROXIES}")
             }
-            TopologyError::Unnamed { place } => {
-                write!(formatter, "proxy {place}: its region or site is not named")
+            TopologyError::Unnamed { proxy_index } => {
+                write!(formatter, "proxy {proxy_index}: its region or site is not named")
             }
             TopologyError::SiteInTwoRegions { site, first, second } => {
                 write!(formatter, "site '{site}' is named in region '{first}' and in region '{second}'")
@@ -240,7 +240,7 @@
 impl<'a> Builder<'a> {
     fn add(&mut self, place: usize, location: Location<'a>) -> Result<(), TopologyError> {
         if location.region.is_empty() || location.site.is_empty() {
-            return Err(TopologyError::Unnamed { place });
+            return Err(TopologyError::Unnamed { proxy_index: place });
         }
         let region = self.region(location.region);
         let site = self.site(location.site, region);
--- a/control/src/tree.rs
+++ b/control/src/tree.rs
@@ -27,9 +27,9 @@
 ///
 /// // A fleet of one elects itself at each level and sends nothing.
 /// let settings = Settings {
-///     place: 0,
+///     proxy_index: 0,
 ///     topology: Arc::new(Topology::new(&[Location { region: "north", site: "ams" }])?),
-///     budgets: vec![SharedBudget { whole: 100, scope: Scope::Fleet }],
+///     budgets: vec![SharedBudget { total_units: 100, scope: Scope::Fleet }],
 ///     lease: 1_000_000,
 /// };
 /// let mut tree = ControlTree::new(0, settings, [7; 32])?;
@@ -140,8 +140,8 @@
             return;
         };
         let topology = &self.settings.topology;
-        let own_group = topology.group_of(self.settings.place, frame.level);
-        let own_seat = topology.seat_of(self.settings.place, frame.level);
+        let own_group = topology.group_of(self.settings.proxy_index, frame.level);
+        let own_seat = topology.seat_of(self.settings.proxy_index, frame.level);
         if (own_group, own_seat) != (frame.group, frame.seat) {
             self.counters.dropped += 1;
         } else if self.member_mut(frame.level).is_some() {
@@ -240,7 +240,7 @@
     /// What is wanted below is asked for above, from the bottom up.
     fn flow_up(&mut self) {
         for (budget, shared) in self.settings.budgets.iter().enumerate() {
-            let bounded = |wanted: u64| u32::try_from(wanted).unwrap_or(u32::MAX).min(shared.whole);
+            let bounded = |wanted: u64| u32::try_from(wanted).unwrap_or(u32::MAX).min(shared.total_units);
             let Some(region) = &mut self.region else { return };
             region.instance.want(budget, bounded(self.site.instance.wanted(budget)));
             if let Some(fleet) = self.fleet.as_mut().filter(|_| shared.scope == Scope::Fleet) {
@@ -270,7 +270,7 @@
 
     /// Passes a frame on to the leader that this process knows of.
     fn forward(&mut self, frame: Frame, out: &mut Out) {
-        let next = self.next_hop(frame.level).filter(|place| *place != self.settings.place);
+        let next = self.next_hop(frame.level).filter(|place| *place != self.settings.proxy_index);
         match next.filter(|place| *place != frame.origin && frame.hops < MAX_HOPS) {
             Some(place) => {
                 self.counters.forwarded += 1;
@@ -307,11 +307,11 @@
     }
 
     fn send(&mut self, level: Level, messages: Out, reply: Option<ReplyTo>, out: &mut Out) {
-        let group = self.settings.topology.group_of(self.settings.place, level);
+        let group = self.settings.topology.group_of(self.settings.proxy_index, level);
         for (seat, message) in messages {
             let asker = reply.filter(|asker| asker.seat == seat).map(|asker| asker.place);
             let Some(place) = asker.or_else(|| self.speaker(level, seat)) else { continue };
-            let origin = self.settings.place;
+            let origin = self.settings.proxy_index;
             self.emit(place, &Frame { level, group, seat, hops: 0, origin, message: &message }, out);
         }
     }
@@ -333,7 +333,7 @@
     fn leased(&self, now: Micros) -> bool {
         ControlTree::leased(self, now)
     }
-    fn divides(&self, now: Micros) -> bool {
+    fn leads_fleet(&self, now: Micros) -> bool {
         self.leads(now, Level::Fleet)
     }
     fn next_due(&self) -> Micros {
--- a/lab/src/budget_simulation.rs
+++ b/lab/src/budget_simulation.rs
@@ -88,10 +88,10 @@
     /// A fleet with sites and regions; sums are taken of each region too. None is started yet.
     pub fn tree(seed: u64, settings: TreeSettings, weather: NetworkConditions) -> Self {
         let topology = settings.topology.clone();
-        let wholes = settings.budgets.iter().map(|budget| budget.whole).collect();
+        let wholes = settings.budgets.iter().map(|budget| budget.total_units).collect();
         let factory = Box::new(move |place, now, entropy| {
             let TreeSettings { topology, budgets, lease } = settings.clone();
-            let settings = threadward_control::Settings { place, topology, budgets, lease };
+            let settings = threadward_control::Settings { proxy_index: place, topology, budgets, lease };
             ControlTree::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"))
         });
         let mut simulation = Self::with_factory(seed, topology.proxies() as u16, wholes, weather, factory);
@@ -217,7 +217,7 @@
     /// The place that divides the budgets now.
     pub fn grantors(&self) -> Vec<usize> {
         let grants =
-            |i: &usize| self.proxies[*i].instance.as_ref().is_some_and(|b| b.divides(self.clock(*i)));
+            |i: &usize| self.proxies[*i].instance.as_ref().is_some_and(|b| b.leads_fleet(self.clock(*i)));
         (0..self.proxies.len()).filter(grants).collect()
     }
 
--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -12,7 +12,7 @@
 use threadward_gossip::evidence::LASTS;
 use threadward_gossip::keys::MOST_PEERS;
 use threadward_gossip::{Quorum, Settings as GossipSettings};
-use threadward_zones::MOST_ZONES;
+use threadward_zones::MAX_ZONES;
 
 const SECONDS_A_DAY: f64 = 86_400.0;
 const MICROS: f64 = 1e6;
@@ -130,7 +130,7 @@
             "`budgets/src/lib.rs` `MOST_PROXIES`",
         ),
         counted("peers of `[gossip]`", fleet.proxies, MOST_PEERS, "`gossip/src/keys.rs` `MOST_PEERS`"),
-        counted("zones of `[zones]`", fleet.zones, MOST_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
+        counted("zones of `[zones]`", fleet.zones, MAX_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
         Breakage::counted(
             "servers of a list",
             fleet.caches.into(),
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -149,14 +149,14 @@
                 true => Zone {
                     kind: Kind::Location,
                     region: z % self.hubs,
-                    cold: s.cold,
-                    takers: if self.direct { hubs(None) } else { Vec::new() },
+                    warm_up: s.cold,
+                    fallbacks: if self.direct { hubs(None) } else { Vec::new() },
                 },
                 false => Zone {
-                    kind: Kind::Hub,
+                    kind: Kind::Parent,
                     region: z - self.locations,
-                    cold: s.parent_cold,
-                    takers: hubs(Some(z)),
+                    warm_up: s.parent_cold,
+                    fallbacks: hubs(Some(z)),
                 },
             })
             .collect()
--- a/lab/src/regions/control.rs
+++ b/lab/src/regions/control.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 use threadward_budgets::Budgets;
 use threadward_zones::map::Epoch;
-use threadward_zones::{Out, Seat, Seen, Use, Zones};
+use threadward_zones::{ElectionView, Outgoing, Seen, Use, Zones};
 
 const LEASE: Micros = 1_200_000;
 /// The first stream of random numbers that belongs to the entropy of instances; each proxy has one.
@@ -40,7 +40,7 @@
             me: budgets.me(),
             proxies,
             voters,
-            stands: day.stands(i) as u16,
+            own_zone: day.stands(i) as u16,
             lease: LEASE,
             zones: day.charter(),
         };
@@ -49,10 +49,10 @@
     }
 
     /// What the election of budgets says now.
-    fn seat(&self, now: Micros, i: usize) -> Seat {
+    fn seat(&self, now: Micros, i: usize) -> ElectionView {
         let decides = self.budgets.grants(now);
         let decider = if decides { i as u16 } else { self.budgets.grantor() };
-        Seat { decides, promised: self.budgets.promised(now), decider }
+        ElectionView { is_decider: decides, promised_to: self.budgets.promised(now), decider }
     }
 }
 
@@ -75,13 +75,13 @@
         if self.day.liar == Some(i) {
             lie(&mut seen, self.day.locations..self.day.many(), self.day.hub(0));
         }
-        control.zones.seen(now, seen);
+        control.zones.observe(now, seen);
         if i < VOTERS {
             for zone in 0..self.day.many() {
-                control.zones.listed(zone, proxy.planner.newest_start(zone));
+                control.zones.set_newest_start(zone, proxy.planner.newest_start(zone));
             }
         }
-        let mut out = Out::new();
+        let mut out = Outgoing::new();
         let seat = control.seat(now, i);
         control.zones.tick(now, seat, &mut out);
         self.follow_map(i, out);
@@ -91,7 +91,7 @@
     pub(super) fn receive(&mut self, from: usize, i: usize, bytes: &[u8]) {
         let now = self.queue.now;
         let Some(control) = &mut self.proxies[i].control else { return };
-        let mut out = Out::new();
+        let mut out = Outgoing::new();
         let (seat, before) = (control.seat(now, i), control.zones.map().epoch);
         control.zones.receive(now, from as u16, bytes, seat, &mut out);
         if control.zones.map().epoch == before {
@@ -101,13 +101,13 @@
     }
 
     /// The planner follows the map in use.
-    fn follow_map(&mut self, i: usize, out: Out) {
+    fn follow_map(&mut self, i: usize, out: Outgoing) {
         let now = self.queue.now;
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
         if control.zones.ready(now) {
             let uses: Vec<Use> = (0..self.day.many()).map(|zone| control.zones.usage(zone)).collect();
-            proxy.planner.follow_zones(now, &uses, control.zones.refused());
+            proxy.planner.follow_zones(now, &uses, control.zones.refused_permille());
         }
         let epoch = control.zones.map().epoch;
         if epoch > control.epoch {
@@ -125,8 +125,8 @@
     }
 
     /// Calls the budgets of a proxy, sends what they want sent and sees to their timer.
-    pub(super) fn call_budgets(&mut self, i: usize, call: impl FnOnce(&mut Budgets, Micros, &mut Out)) {
-        let (now, mut out) = (self.queue.now, Out::new());
+    pub(super) fn call_budgets(&mut self, i: usize, call: impl FnOnce(&mut Budgets, Micros, &mut Outgoing)) {
+        let (now, mut out) = (self.queue.now, Outgoing::new());
         let Some(control) = &mut self.proxies[i].control else { return };
         call(&mut control.budgets, now, &mut out);
         let due = control.budgets.next_due().max(now + 1);
@@ -140,7 +140,7 @@
     }
 
     /// Sends messages to other proxies.
-    fn post(&mut self, i: usize, out: Out) {
+    fn post(&mut self, i: usize, out: Outgoing) {
         let now = self.queue.now;
         let cut = self.day.cut.filter(|(_, from, until)| (*from..*until).contains(&now)).map(|(cut, ..)| cut);
         for (to, bytes) in out {
@@ -156,7 +156,7 @@
 
     /// Bytes of the zones' messages for a proxy and second.
     pub(super) fn control_bytes(&self) -> f64 {
-        let sent = |control: &ControlPart| control.zones.tally.sent_bytes;
+        let sent = |control: &ControlPart| control.zones.counters.sent_bytes;
         let bytes: u64 = self.proxies.iter().map(|proxy| proxy.control.as_ref().map_or(0, sent)).sum();
         bytes as f64 / self.day.proxies as f64 / (self.day.span as f64 / S as f64)
     }
--- a/lab/src/regions/mod.rs
+++ b/lab/src/regions/mod.rs
@@ -205,7 +205,9 @@
             }
             Event::Observe(i) => self.observe(i),
             Event::Budget(i) => self.call_budgets(i, |budgets, now, out| budgets.tick(now, out)),
-            Event::Datagram { from, to, bytes } if wire::ours(&bytes) => self.receive(from, to, &bytes),
+            Event::Datagram { from, to, bytes } if wire::is_zones_message(&bytes) => {
+                self.receive(from, to, &bytes)
+            }
             Event::Datagram { to, bytes, .. } => {
                 self.call_budgets(to, |budgets, now, out| budgets.receive(now, &bytes, out))
             }
--- a/lab/src/regions/outages.rs
+++ b/lab/src/regions/outages.rs
@@ -4,7 +4,7 @@
 use super::{Event, Harm, Outage, Proxy, Regions, MS, S};
 use nickelgate::{Addr, Entry, Lifecycle, ListForm, Micros};
 use std::mem;
-use threadward_zones::state::{State, STEPS};
+use threadward_zones::state::{State, RETURN_STEPS};
 
 /// Between two machines that fall silent in an outage that spreads.
 const DRIP_INTERVAL: Micros = 100 * MS;
@@ -108,7 +108,7 @@
         for index in 0..self.day.outages.len() {
             let outage = self.day.outages[index];
             let twice = outage.harm == Harm::KillTwice && usize::from(outage.zone) == zone;
-            let returns = state == State::Returning && (2..STEPS).contains(&step);
+            let returns = state == State::Returning && (2..RETURN_STEPS).contains(&step);
             if twice && now > outage.to && returns && !mem::replace(&mut self.again[index], true) {
                 let to = now + SECOND_OUTAGE;
                 self.day.outages.push(Outage { harm: Harm::Kill, from: now, to, ..outage });
--- a/lab/src/regions/rules.rs
+++ b/lab/src/regions/rules.rs
@@ -119,7 +119,7 @@
         let locations = usize::from(self.day.locations);
         let now = (self.queue.now - T0) / MS;
         for kind in [0..locations, locations..zones.len()] {
-            if kind.clone().all(|zone| !zones[zone].serves()) {
+            if kind.clone().all(|zone| !zones[zone].accepts_new_requests()) {
                 self.report.guard.push(format!("all of {kind:?} out at {now}"));
             }
         }
@@ -131,7 +131,7 @@
             |zone: &usize| out(zone) && !self.is_harmed(*zone) && (*zone >= locations || self.day.direct);
         let moved: f64 = (0..zones.len())
             .filter(moves)
-            .map(|zone| self.calm[zone] / span * f64::from(zones[zone].moved) / 1000.0)
+            .map(|zone| self.calm[zone] / span * f64::from(zones[zone].moved_permille) / 1000.0)
             .sum();
         let carried: f64 = hubs.clone().filter(|zone| !out(zone)).map(|zone| self.calm[zone] / span).sum();
         let able: f64 =
@@ -157,9 +157,9 @@
         status.state,
         status.step,
         status.why,
-        status.bad,
-        status.of,
-        status.moved,
-        status.refused
+        status.failing_proxies,
+        status.trying_proxies,
+        status.moved_permille,
+        status.refused_permille
     )
 }
--- a/lab/src/scale/builds.rs
+++ b/lab/src/scale/builds.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use threadward_budgets::Budgets;
 use threadward_control::{ControlTree, Location, Scope, SharedBudget, Topology};
-use threadward_zones::{Kind, Zone, Zones, MOST_ZONES};
+use threadward_zones::{Kind, Zone, Zones, MAX_ZONES};
 
 /// Lease time, as the operators' page has it.
 pub const LEASE: Micros = 1_200 * MILLISECOND;
@@ -93,38 +93,42 @@
     entropy: [u8; 32],
 ) -> ZonedProxy {
     let star = star_proxy(layout, place, now, entropy);
-    let locations = MOST_ZONES as u16 - HUBS;
+    let locations = MAX_ZONES as u16 - HUBS;
     let stands = (usize::from(place) * usize::from(locations) / layout.proxies) as u16;
     let settings = threadward_zones::Settings {
         me: star.author(),
         proxies: layout.proxies as u16,
         voters: layout.voters(),
-        stands,
+        own_zone: stands,
         lease: LEASE,
         zones: zones(locations),
     };
     let zones = Zones::new(now, settings).unwrap_or_else(|error| panic!("{error}"));
-    let evidence = Evidence { stands, hubs: locations, zones: MOST_ZONES as u16, failing };
+    let evidence = Evidence { stands, hubs: locations, zones: MAX_ZONES as u16, failing };
     ZonedProxy::new(place, star, zones, evidence, now)
 }
 
 /// As many zones as can be named today: locations, each tied to a hub, and hubs, which take each other's load.
 fn zones(locations: u16) -> Vec<Zone> {
     let cold = 20_000 * MILLISECOND;
-    let hubs = locations..MOST_ZONES as u16;
-    let location =
-        |zone| Zone { kind: Kind::Location, region: zone % HUBS, cold, takers: hubs.clone().collect() };
+    let hubs = locations..MAX_ZONES as u16;
+    let location = |zone| Zone {
+        kind: Kind::Location,
+        region: zone % HUBS,
+        warm_up: cold,
+        fallbacks: hubs.clone().collect(),
+    };
     let hub = |zone| Zone {
-        kind: Kind::Hub,
+        kind: Kind::Parent,
         region: zone - locations,
-        cold,
-        takers: hubs.clone().filter(|other| *other != zone).collect(),
+        warm_up: cold,
+        fallbacks: hubs.clone().filter(|other| *other != zone).collect(),
     };
     (0..locations).map(location).chain(hubs.clone().map(hub)).collect()
 }
 
 /// The zone that fails in an outage.
-pub const FAILING: u16 = MOST_ZONES as u16 - HUBS;
+pub const FAILING: u16 = MAX_ZONES as u16 - HUBS;
 
 /// The tree: the first budget is shared by all, the second by each region for itself.
 pub fn tree() -> Recipe<TreeProxy> {
@@ -167,16 +171,16 @@
 ) -> TreeProxy {
     let [fleet, _] = wholes(layout);
     let budgets = vec![
-        SharedBudget { whole: fleet, scope: Scope::Fleet },
-        SharedBudget { whole: region_whole(layout), scope: Scope::Region },
+        SharedBudget { total_units: fleet, scope: Scope::Fleet },
+        SharedBudget { total_units: region_whole(layout), scope: Scope::Region },
     ];
     let settings = threadward_control::Settings {
-        place,
+        proxy_index: place,
         topology: Arc::clone(topology),
         budgets: budgets.clone(),
         lease: LEASE,
     };
     let mut tree = ControlTree::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"));
-    budgets.iter().enumerate().for_each(|(budget, shared)| tree.want(budget, shared.whole));
+    budgets.iter().enumerate().for_each(|(budget, shared)| tree.want(budget, shared.total_units));
     TreeProxy::new(tree)
 }
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use threadward_budgets::Budgets;
 use threadward_control::{ControlTree, Level};
-use threadward_zones::{wire, Author, Seat, Seen, Use, Zones};
+use threadward_zones::{wire, Author, ElectionView, Seen, Use, Zones};
 
 /// How often a proxy looks at what its traffic showed.
 const LOOK: Micros = 100_000;
@@ -119,11 +119,11 @@
     }
 
     /// What the budgets' election says.
-    fn seat(&self, now: Micros) -> Seat {
+    fn seat(&self, now: Micros) -> ElectionView {
         let budgets = &self.star.budgets;
         let decides = budgets.grants(now);
         let decider = if decides { self.place } else { budgets.grantor() };
-        Seat { decides, promised: budgets.promised(now), decider }
+        ElectionView { is_decider: decides, promised_to: budgets.promised(now), decider }
     }
 }
 
@@ -137,7 +137,7 @@
         if now >= self.next_look {
             self.next_look = now + LOOK;
             let seen = self.evidence.seen(&self.zones);
-            self.zones.seen(now, seen);
+            self.zones.observe(now, seen);
         }
         let seat = self.seat(now);
         self.zones.tick(now, seat, out);
@@ -149,7 +149,7 @@
         }
     }
     fn part_of(bytes: &[u8]) -> usize {
-        usize::from(wire::ours(bytes))
+        usize::from(wire::is_zones_message(bytes))
     }
     fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], out: &mut Out) {
         if part == 0 {
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -8,7 +8,7 @@
 use threadward_lab::capacity::{breakages, units, Files, Inputs, Measured, Ratio};
 use threadward_lab::scale::report::Report;
 use threadward_lab::scale::target::Target;
-use threadward_zones::MOST_ZONES;
+use threadward_zones::MAX_ZONES;
 
 /// A report of invented figures, which are nobody's measurement.
 const INVENTED: &str = include_str!("data/capacity-invented.json");
@@ -200,7 +200,7 @@
     for (start, need, most) in [
         ("| proxies of `[budgets]`", 600.0, MOST_PROXIES),
         ("| peers of `[gossip]`", 600.0, MOST_PEERS),
-        ("| zones of `[zones]`", 8.0, MOST_ZONES),
+        ("| zones of `[zones]`", 8.0, MAX_ZONES),
     ] {
         let ratio = format!("| {} | holds |", units::number(need / most as f64));
         assert!(row(&breaks, start).contains(&ratio), "{ratio} in {breaks}");
@@ -282,7 +282,7 @@
     // 150 bytes each, at 16,384 bytes a second.
     assert_eq!(ratio("183,600 purges missed"), Ratio::Times(150.0 * 183_600.0 / 16_384.0 / 2.1));
     assert_eq!(ratio("proxies of `[budgets]`"), Ratio::Times(6800.0 / MOST_PROXIES as f64));
-    assert_eq!(ratio("zones of `[zones]`"), Ratio::Times(82.0 / MOST_ZONES as f64));
+    assert_eq!(ratio("zones of `[zones]`"), Ratio::Times(82.0 / MAX_ZONES as f64));
     assert_eq!(
         ratio("a region that is cut off: part of its share of the budgets, star"),
         Ratio::Times(1.0 / 0.08)
--- a/lab/tests/control.rs
+++ b/lab/tests/control.rs
@@ -27,8 +27,8 @@
 }
 
 fn settings(shape: Shape) -> TreeSettings {
-    let fleet = |whole| SharedBudget { whole, scope: Scope::Fleet };
-    let region = SharedBudget { whole: WHOLES[2], scope: Scope::Region };
+    let fleet = |whole| SharedBudget { total_units: whole, scope: Scope::Fleet };
+    let region = SharedBudget { total_units: WHOLES[2], scope: Scope::Region };
     let budgets = vec![fleet(WHOLES[0]), fleet(WHOLES[1]), region];
     TreeSettings { topology: topology(shape), budgets, lease: LEASE }
 }
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -13,7 +13,7 @@
 use threadward_control::frame::MAX_FRAME_BYTES;
 use threadward_control::{ControlTree, Level, SharedBudgets};
 use threadward_core::{Counter, Micros};
-use threadward_zones::Seat;
+use threadward_zones::ElectionView;
 
 /// The longest wait for what is due: a message may have brought it forward.
 const MAX_WAIT: Micros = 20_000;
@@ -185,15 +185,15 @@
     }
 
     /// What the election of the one that divides for all says now.
-    pub fn seat(&self) -> Seat {
+    pub fn seat(&self) -> ElectionView {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
                 let decides = budgets.grants(now);
                 let decider = if decides { self.place } else { budgets.grantor() };
-                Seat { decides, promised: budgets.promised(now), decider }
+                ElectionView { is_decider: decides, promised_to: budgets.promised(now), decider }
             }
-            Instance::Tree(_) => Seat { decides: false, promised: None, decider: self.place },
+            Instance::Tree(_) => ElectionView { is_decider: false, promised_to: None, decider: self.place },
         }
     }
 
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -8,7 +8,7 @@
 use threadward_budgets::seal::TAG_BYTES;
 
 /// The longest datagram that is read whole. Messages on zones are the longest, and bear a code as long as those on budgets.
-const MAX_DATAGRAM_BYTES: usize = threadward_zones::wire::MOST + TAG_BYTES;
+const MAX_DATAGRAM_BYTES: usize = threadward_zones::wire::MAX_MESSAGE_BYTES + TAG_BYTES;
 
 /// Takes one datagram.
 type Receiver = Box<dyn Fn(&[u8])>;
@@ -24,7 +24,7 @@
 
 impl Subject {
     fn of(datagram: &[u8]) -> Subject {
-        if threadward_zones::wire::ours(datagram) {
+        if threadward_zones::wire::is_zones_message(datagram) {
             Subject::Zones
         } else {
             Subject::Budgets
--- a/node/src/operators/budgets.rs
+++ b/node/src/operators/budgets.rs
@@ -80,7 +80,7 @@
     pub fn place(&self) -> u16 {
         match self {
             Division::Plain(settings) => settings.place,
-            Division::Tree(tree) => tree.settings.place,
+            Division::Tree(tree) => tree.settings.proxy_index,
         }
     }
 
@@ -88,7 +88,7 @@
     pub fn wholes(&self) -> Vec<u32> {
         match self {
             Division::Plain(settings) => settings.wholes.clone(),
-            Division::Tree(tree) => tree.settings.budgets.iter().map(|budget| budget.whole).collect(),
+            Division::Tree(tree) => tree.settings.budgets.iter().map(|budget| budget.total_units).collect(),
         }
     }
 }
@@ -198,15 +198,15 @@
     let budgets = wholes(part)?.into_iter().zip(scopes);
     let settings = threadward_control::Settings {
         // The topology takes no more proxies than fit.
-        place: place as u16,
+        proxy_index: place as u16,
         topology: Arc::new(topology),
-        budgets: budgets.map(|(whole, scope)| SharedBudget { whole, scope }).collect(),
+        budgets: budgets.map(|(whole, scope)| SharedBudget { total_units: whole, scope }).collect(),
         lease: lease(part)?,
     };
     settings.check().map_err(|error| {
         let key = match &error {
             SettingsError::Lease(_) => "lease_ms",
-            SettingsError::Whole { budget, .. } => WHOLES.get(*budget).copied().unwrap_or_default(),
+            SettingsError::TotalOutOfRange { budget, .. } => WHOLES.get(*budget).copied().unwrap_or_default(),
             _ => "",
         };
         part.wrong_at(key, error.to_string())
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use threadward_core::{Counter, Micros};
 use threadward_zones::state::State;
-use threadward_zones::{Kind, Moved, Out, Settings, Use, Zone, Zones};
+use threadward_zones::{Kind, Outgoing, Settings, Use, Zone, ZoneMove, Zones};
 
 /// How often own traffic is looked at.
 const TRAFFIC_INTERVAL: Micros = 100_000;
@@ -35,10 +35,10 @@
     let hubs =
         |but: usize| (0..names.zones.len()).filter(|z| hub(*z) && *z != but).map(|z| z as u16).collect();
     let zone = |z: usize| Zone {
-        kind: if hub(z) { Kind::Hub } else { Kind::Location },
+        kind: if hub(z) { Kind::Parent } else { Kind::Location },
         region: if hub(z) { z as u16 } else { tied(z) },
-        cold: if hub(z) { s.parent_cold } else { s.cold },
-        takers: if hub(z) || s.direct { hubs(z) } else { Vec::new() },
+        warm_up: if hub(z) { s.parent_cold } else { s.cold },
+        fallbacks: if hub(z) || s.direct { hubs(z) } else { Vec::new() },
     };
     (0..names.zones.len()).map(zone).collect()
 }
@@ -53,7 +53,7 @@
             me,
             proxies: shared.proxies,
             voters: shared.voters,
-            stands: node.config.settings.zone,
+            own_zone: node.config.settings.zone,
             lease: shared.lease,
             zones: zones(&node),
         };
@@ -77,15 +77,15 @@
     }
 
     /// One call of the instance, what it wants sent, and what follows from the map.
-    fn call(&self, f: impl FnOnce(&mut Zones, Micros, &mut Out)) {
-        let mut out = Out::new();
+    fn call(&self, f: impl FnOnce(&mut Zones, Micros, &mut Outgoing)) {
+        let mut out = Outgoing::new();
         let at = uptime();
         f(&mut self.instance.borrow_mut(), at, &mut out);
         for (to, bytes) in out {
             let signed = self.pairs.borrow_mut().sign(to, &bytes);
             signed.iter().for_each(|datagram| self.socket.send(to, datagram));
         }
-        let moves = self.instance.borrow_mut().moves();
+        let moves = self.instance.borrow_mut().take_moves();
         if !moves.is_empty() {
             self.follow();
             moves.iter().for_each(|m| self.told(m));
@@ -110,29 +110,37 @@
             return;
         }
         let uses: Vec<Use> = (0..self.names.len() as u16).map(|n| z.usage(n)).collect();
-        let refused = z.refused();
+        let refused = z.refused_permille();
         drop(z);
         self.node.plan(|p, now| p.follow_zones(now, &uses, refused));
     }
 
-    fn told(&self, m: &Moved) {
+    fn told(&self, m: &ZoneMove) {
         self.node.count(Counter::ZoneMoves);
         let name = self.names.get(usize::from(m.zone)).map_or("", String::as_str);
         let s = &m.to;
-        let said = format!("{} of {} proxies that tried it see it fail", s.bad, s.of);
+        let said = format!("{} of {} proxies that tried it see it fail", s.failing_proxies, s.trying_proxies);
         let line = match s.state {
             State::In if m.from == State::Suspect => "in service, no longer suspect".to_owned(),
             State::In => "in service again".to_owned(),
             State::Suspect => format!("suspect, {said}"),
             State::Leaving => {
-                format!("left, {said}; {} of 1000 go elsewhere, {} are refused", s.moved, s.refused)
+                format!(
+                    "left, {said}; {} of 1000 go elsewhere, {} are refused",
+                    s.moved_permille, s.refused_permille
+                )
             }
             State::Out => {
-                format!("out ({:?}), tried again in {} s at the latest", s.why, s.hold() / 1_000_000)
+                format!("out ({:?}), tried again in {} s at the latest", s.why, s.hold_time() / 1_000_000)
             }
             State::Probing => format!("tried by a few ({:?})", s.why),
             State::Returning => {
-                format!("returning ({:?}), step {} of {}", s.why, s.step, threadward_zones::state::STEPS)
+                format!(
+                    "returning ({:?}), step {} of {}",
+                    s.why,
+                    s.step,
+                    threadward_zones::state::RETURN_STEPS
+                )
             }
         };
         net::log(&format!("zones: epoch {}: {name} is {line}", m.epoch.number));
@@ -149,21 +157,21 @@
         let seat = self.budgets.seat();
         self.call(|z, now, out| {
             newest.iter().enumerate().for_each(|(n, age)| {
-                z.listed(n as u16, age.map(|a| now.saturating_sub(a).max(1)));
+                z.set_newest_start(n as u16, age.map(|a| now.saturating_sub(a).max(1)));
             });
-            z.seen(now, seen);
+            z.observe(now, seen);
             z.tick(now, seat, out);
         });
         self.follow();
-        let t = self.instance.borrow().tally;
+        let t = self.instance.borrow().counters;
         self.node.plan(|p, _| {
             let figures = [
                 (Counter::ZoneDecided, t.decided),
-                (Counter::ZoneLeaves, t.leaves),
-                (Counter::ZoneKept, t.kept),
+                (Counter::ZoneLeaves, t.zones_left),
+                (Counter::ZoneKept, t.kept_by_guard),
                 (Counter::ZoneMalformed, t.malformed),
-                (Counter::ZoneOld, t.old),
-                (Counter::ZoneUnvouched, t.unvouched),
+                (Counter::ZoneOld, t.outdated),
+                (Counter::ZoneUnvouched, t.unconfirmed),
                 (Counter::ZoneBytes, t.sent_bytes),
             ];
             figures.into_iter().for_each(|(c, n)| p.counters.set(c, n));
--- a/node/tests/operators.rs
+++ b/node/tests/operators.rs
@@ -219,8 +219,8 @@
     assert!(matches!(&plain, Division::Plain(settings) if settings.proxies == 2 && settings.voters == [0]));
     let tree = read(&divided("probes_scope = \"region\"\n", &[("n1", south), ("n0", NORTH)])).unwrap();
     let Division::Tree(tree) = tree else { panic!("not divided by a tree") };
-    assert_eq!((tree.region.as_str(), tree.site.as_str(), tree.settings.place), ("north", "ams", 1));
-    assert_eq!(tree.settings.budgets, [SharedBudget { whole: 2_000, scope: Scope::Region }]);
+    assert_eq!((tree.region.as_str(), tree.site.as_str(), tree.settings.proxy_index), ("north", "ams", 1));
+    assert_eq!(tree.settings.budgets, [SharedBudget { total_units: 2_000, scope: Scope::Region }]);
     assert_eq!((tree.settings.topology.sites(), tree.settings.topology.regions()), (2, 2));
 
     let both = [("n0", NORTH), ("n1", south)];
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -438,7 +438,7 @@
             }
         }
         let mut map = Map::new(ZONES.len(), now());
-        map.epoch = Epoch { number: 1_000_000, life: 9 };
+        map.epoch = Epoch { number: 1_000_000, incarnation: 9 };
         map.zones.iter_mut().for_each(|z| z.state = State::Out);
         self.seq += 1;
         // Who sees every zone fail is cut off itself: one is left out now and then.
@@ -448,9 +448,16 @@
             .collect();
         for p in 0..PROXIES {
             let (seq, to, epoch, hash) = (self.seq, self.lives[p], map.epoch, map.hash());
-            let report = Body::Report { seq, to, epoch: 1, hash, place: WEST as u16, seen: seen.clone() };
-            let told = [Body::Tell { map: map.clone() }, Body::Propose { map: map.clone() }];
-            let vouched = [Body::Vouch { epoch, hash }, Body::Took { epoch }];
+            let report = Body::Report {
+                seq,
+                to_incarnation: to,
+                map_number: 1,
+                map_hash: hash,
+                own_zone: WEST as u16,
+                observed: seen.clone(),
+            };
+            let told = [Body::Announce { map: map.clone() }, Body::Propose { map: map.clone() }];
+            let vouched = [Body::Confirm { epoch, hash }, Body::Accepted { epoch }];
             let all = [[report.clone(), report], told, vouched].concat();
             all.iter().for_each(|body| self.send(p, LIAR, body, &[]));
         }
@@ -475,7 +482,7 @@
         }
         assert!(f.liar.lives.iter().any(|l| *l > 0), "it reported to the one that decides");
         // In another's name, and one that is too long.
-        let took = Body::Took { epoch: Epoch { number: 1, life: 9 } };
+        let took = Body::Accepted { epoch: Epoch { number: 1, incarnation: 9 } };
         for p in 0..PROXIES {
             f.liar.send(p, (p + 1) % PROXIES, &took, &[]);
             f.liar.send(p, LIAR, &took, &[0]);
--- a/zones/src/adoption.rs
+++ b/zones/src/adoption.rs
@@ -1,107 +1,122 @@
-//! How an instance learns a map: somebody tells it, a majority of the voters vouches for it, and it is adopted.
+//! How an instance learns a map: another proxy announces it, a majority of the voters confirms it, and it is adopted.
 use crate::instance::Zones;
 use crate::map::{Epoch, Map};
 use crate::wire::Body;
-use crate::{Moved, Out, AGAIN, MOST_ZONES};
+use crate::{Outgoing, ZoneMove, MAX_ZONES, RESEND_INTERVAL};
 use nickelgate::Micros;
 
-/// A map that a proxy was told and no majority vouches for is dropped after this.
-const UNVOUCHED: Micros = 2_000_000;
+/// Time after which an announced map that no majority confirmed is dropped.
+const UNCONFIRMED_LIFETIME: Micros = 2_000_000;
 
-/// A map that somebody told, until a majority vouches for it.
+/// A map that was announced and that no majority of the voters has confirmed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Told {
-    by: u16,
+pub(crate) struct UnconfirmedMap {
+    announced_by: u16,
     map: Map,
     hash: u64,
-    /// Voters that vouched, a bit each.
-    vouched: u8,
-    at: Micros,
-    pub next: Micros,
+    /// The voters that confirmed it, one bit each.
+    confirmed_by: u8,
+    received_at: Micros,
+    /// When the voters are asked next.
+    pub next_query: Micros,
 }
 
 impl Zones {
-    /// Somebody tells a map: it counts once a majority of the voters says that they took it.
-    pub(crate) fn hear(&mut self, by: u16, map: Map, out: &mut Out) {
-        let known = self.told.iter().any(|t| t.by == by && t.map.epoch >= map.epoch);
+    /// Stores a map that a voter announced, unless it is no later than the map in use or than that voter's last one, and asks
+    /// the voters to confirm it.
+    pub(crate) fn handle_announcement(&mut self, by: u16, map: Map, out: &mut Outgoing) {
+        let known = self.unconfirmed_maps.iter().any(|t| t.announced_by == by && t.map.epoch >= map.epoch);
         if self.voter_bit(by).is_none() || map.epoch <= self.map.epoch || known {
-            self.tally.old += u64::from(map.epoch < self.map.epoch);
+            self.counters.outdated += u64::from(map.epoch < self.map.epoch);
             return;
         }
-        self.told.retain(|t| t.by != by);
+        self.unconfirmed_maps.retain(|t| t.announced_by != by);
         let hash = map.hash();
-        self.told.push(Told { by, map, hash, vouched: 0, at: self.now, next: self.now });
-        self.ask(out);
+        self.unconfirmed_maps.push(UnconfirmedMap {
+            announced_by: by,
+            map,
+            hash,
+            confirmed_by: 0,
+            received_at: self.now,
+            next_query: self.now,
+        });
+        self.query_voters(out);
     }
 
-    /// Asks the voters whether they took the maps that were told.
-    pub(crate) fn ask(&mut self, out: &mut Out) {
-        let (now, old) = (self.now, self.told.len());
-        let held = self.map.epoch;
-        self.told.retain(|t| t.map.epoch > held && now < t.at + UNVOUCHED);
-        self.tally.unvouched += (old - self.told.len()) as u64;
+    /// Drops the unconfirmed maps that are outdated or too old, and asks the voters about the others if that is due.
+    pub(crate) fn query_voters(&mut self, out: &mut Outgoing) {
+        let (now, before) = (self.now, self.unconfirmed_maps.len());
+        let current = self.map.epoch;
+        self.unconfirmed_maps.retain(|t| t.map.epoch > current && now < t.received_at + UNCONFIRMED_LIFETIME);
+        self.counters.unconfirmed += (before - self.unconfirmed_maps.len()) as u64;
         let mut due = Vec::new();
-        for t in self.told.iter_mut().filter(|t| now >= t.next) {
-            t.next = now + AGAIN;
-            due.push((t.map.epoch, t.vouched));
+        for t in self.unconfirmed_maps.iter_mut().filter(|t| now >= t.next_query) {
+            t.next_query = now + RESEND_INTERVAL;
+            due.push((t.map.epoch, t.confirmed_by));
         }
-        for (epoch, vouched) in due {
+        for (epoch, confirmed_by) in due {
             for i in 0..self.settings.voters.len() {
                 let to = self.settings.voters[i];
-                if vouched >> i & 1 == 0 && to != self.settings.me.place {
-                    self.post(to, &Body::Ask { epoch }, out);
+                if confirmed_by >> i & 1 == 0 && to != self.settings.me.place {
+                    self.send(to, &Body::Query { epoch }, out);
                 }
             }
         }
     }
 
-    /// A voter vouches for a map.
-    pub(crate) fn vouched(&mut self, epoch: Epoch, hash: u64, bit: u8, out: &mut Out) {
-        let fits = |t: &&mut Told| t.map.epoch == epoch && t.hash == hash;
-        let Some(t) = self.told.iter_mut().find(fits) else { return };
-        t.vouched |= bit;
-        let (bits, map) = (t.vouched, t.map.clone());
-        let took = self.voter.as_ref().filter(|v| v.took.epoch == epoch && v.took.hash() == hash);
-        let own = took.and(self.voter_bit(self.settings.me.place)).unwrap_or(0);
+    /// Counts a voter's confirmation of a map. Once a majority has confirmed it, adopts it, passes it on and reports.
+    pub(crate) fn handle_confirmation(&mut self, epoch: Epoch, hash: u64, bit: u8, out: &mut Outgoing) {
+        let same = |t: &&mut UnconfirmedMap| t.map.epoch == epoch && t.hash == hash;
+        let Some(t) = self.unconfirmed_maps.iter_mut().find(same) else { return };
+        t.confirmed_by |= bit;
+        let (bits, map) = (t.confirmed_by, t.map.clone());
+        let accepted = self.voter.as_ref().filter(|v| v.accepted.epoch == epoch && v.accepted.hash() == hash);
+        let own = accepted.and(self.voter_bit(self.settings.me.place)).unwrap_or(0);
         if self.majority(bits | own) {
             self.adopt(map);
             self.pass_on(out);
-            // The answer to the decision: it knows then who acts on it.
+            // The report tells the decider that this proxy acts on the map.
             self.report(out);
         }
     }
 
-    /// A voter tells its part of the proxies of the map that it just learned is in use: the decider may die before all know.
-    fn pass_on(&mut self, out: &mut Out) {
+    /// If this proxy is a voter, announces the map in use to its part of the proxies, because the decider may die before all
+    /// of them know the map.
+    fn pass_on(&mut self, out: &mut Outgoing) {
         let voters = self.settings.voters.len();
         let Some(own) = self.settings.voters.iter().position(|v| *v == self.settings.me.place) else {
             return;
         };
         let me = self.settings.me.place;
         for to in (own as u16..self.settings.proxies).step_by(voters).filter(|p| *p != me) {
-            self.post(to, &Body::Tell { map: self.map.clone() }, out);
+            self.send(to, &Body::Announce { map: self.map.clone() }, out);
         }
     }
 
-    /// The map is in use from now on, unless a later one is.
+    /// Uses a map from now on, unless the map in use is as late or later, and records the transitions in it.
     pub(crate) fn adopt(&mut self, map: Map) {
         if map.epoch <= self.map.epoch {
             return;
         }
         let old = std::mem::replace(&mut self.map, map);
         let both = old.zones.iter().zip(&self.map.zones).enumerate();
-        let moved = both.filter(|(_, (a, b))| (a.state, a.step) != (b.state, b.step));
+        let changed = both.filter(|(_, (a, b))| (a.state, a.step) != (b.state, b.step));
         let epoch = self.map.epoch;
-        self.moved.extend(moved.map(|(z, (a, b))| Moved { zone: z as u16, epoch, from: a.state, to: *b }));
-        // Between two calls for them only the last moves are kept.
-        let over = self.moved.len().saturating_sub(MOST_ZONES);
-        self.moved.drain(..over);
-        let held = self.map.epoch;
-        self.told.retain(|t| t.map.epoch > held);
-        self.tally.adopted += 1;
-        // A voter that was not asked has it now: a majority took it.
-        if let Some(v) = self.voter.as_mut().filter(|v| v.took.epoch.number < self.map.epoch.number) {
-            (v.took, v.fresh) = (self.map.clone(), false);
+        self.moves.extend(changed.map(|(z, (a, b))| ZoneMove {
+            zone: z as u16,
+            epoch,
+            from: a.state,
+            to: *b,
+        }));
+        // Bounds the list: only the last transitions are kept until the caller takes them.
+        let excess = self.moves.len().saturating_sub(MAX_ZONES);
+        self.moves.drain(..excess);
+        let current = self.map.epoch;
+        self.unconfirmed_maps.retain(|t| t.map.epoch > current);
+        self.counters.adopted += 1;
+        // A voter that did not accept this map itself stores it now, since a majority accepted it.
+        if let Some(v) = self.voter.as_mut().filter(|v| v.accepted.epoch.number < self.map.epoch.number) {
+            (v.accepted, v.no_map_since_start) = (self.map.clone(), false);
         }
     }
 }
--- a/zones/src/guard.rs
+++ b/zones/src/guard.rs
@@ -1,55 +1,63 @@
-//! The capacity guard: whether a zone may be left, and how much of its load fits elsewhere. It owns what each zone carries
-//! and could carry. It must never let the last zone of a kind go, nor count the same room for two zones.
+//! The capacity guard: decides whether a zone may be left and how much of its load fits into other zones.
+//!
+//! It never lets the last zone of a kind go, and never counts the same free capacity for two zones.
 use crate::state::{State, Status};
 use crate::{Kind, Zone};
 
-/// Of what a zone could carry this is counted on, in thousandths: the rest is for bursts and for what is retried.
-const COUNTED: u64 = 900;
-/// A new figure of a zone in service counts so much: one part in so many.
-const GAIN: u64 = 4;
+/// The part of a zone's capacity that is counted on, in thousandths. The rest is for bursts and retries.
+const USABLE_CAPACITY_PERMILLE: u64 = 900;
+/// The weight of a new sample in the moving averages of load and capacity: one part in this many.
+const AVERAGE_DIVISOR: u64 = 4;
 
-/// Thousandths of those that tried a zone whose good word does not keep it: one of ten may lie, or have said it before.
-const DOUBTED: u32 = 100;
+/// The fraction of successes that does not keep a zone, in thousandths of the proxies that tried it: one proxy in ten may
+/// lie, or may have reported success before the zone failed.
+const IGNORED_SUCCESS_PERMILLE: u32 = 100;
 
-/// What a zone carried and could carry while it was in service, in attempts in two seconds.
+/// The load and capacity of a zone while it was in service, in attempts per two seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Carries {
+pub struct ZoneLoad {
+    /// Moving average of its load; 0 if unknown.
     pub load: u32,
-    pub most: u32,
+    /// Moving average of the load that it could carry; 0 if unknown.
+    pub capacity: u32,
 }
 
-impl Carries {
-    /// A look at a zone in service. What it could carry is what its use tells, never less than it carries; 0: not told.
-    pub fn look(&mut self, load: u32, most: Option<u32>) {
-        let mean = |old, new| ((u64::from(old) * (GAIN - 1) + u64::from(new)).div_ceil(GAIN)) as u32;
+impl ZoneLoad {
+    /// Adds a sample of a zone in service to the averages. `capacity` follows from the utilization that the members report,
+    /// `None` if they report none. The average of the capacity never falls below that of the load.
+    pub fn update(&mut self, load: u32, capacity: Option<u32>) {
+        let mean = |old, new| {
+            ((u64::from(old) * (AVERAGE_DIVISOR - 1) + u64::from(new)).div_ceil(AVERAGE_DIVISOR)) as u32
+        };
         let toward = |old: u32, new: u32| if old == 0 { new } else { mean(old, new) };
         self.load = toward(self.load, load);
-        self.most = most.map_or(self.most, |m| toward(self.most, m).max(self.load));
+        self.capacity = capacity.map_or(self.capacity, |c| toward(self.capacity, c).max(self.load));
     }
 }
 
-/// Whether `zone` may be left: thousandths of its load that fit elsewhere, and of what the proxies that stand in it are
-/// asked for that would be refused. `served`: thousandths that still succeed there.
+/// Returns `None` if `zone` must stay in service. Otherwise returns the thousandths of its load that fit into other zones,
+/// and the thousandths of the requests to the proxies in the zone that have to be refused. `served` is the thousandths of
+/// the proxies that tried the zone for which it still works.
 ///
 /// ```
-/// use threadward_zones::guard::{fits, Carries};
+/// use threadward_zones::guard::{leave_plan, ZoneLoad};
 /// use threadward_zones::state::{State, Status};
 /// use threadward_zones::{Kind, Zone};
-/// let hub = |takers| Zone { kind: Kind::Hub, region: 0, cold: 0, takers };
-/// let zones = [hub(vec![1, 2]), hub(vec![0, 2]), hub(vec![0, 1])];
-/// let carries = [Carries { load: 100, most: 200 }; 3];
+/// let parent = |fallbacks| Zone { kind: Kind::Parent, region: 0, warm_up: 0, fallbacks };
+/// let zones = [parent(vec![1, 2]), parent(vec![0, 2]), parent(vec![0, 1])];
+/// let loads = [ZoneLoad { load: 100, capacity: 200 }; 3];
 /// let mut status = [Status::default(); 3];
-/// assert_eq!(fits(&zones, &status, &carries, 0, 0), Some((1000, 0)), "80 of room at each of two");
-/// status[1] = Status { state: State::Out, moved: 1000, ..status[1] };
-/// assert_eq!(fits(&zones, &status, &carries, 0, 0), Some((0, 0)), "the room is used");
-/// assert_eq!(fits(&zones, &status, &carries, 0, 101), None, "and more than a word of one is served");
+/// assert_eq!(leave_plan(&zones, &status, &loads, 0, 0), Some((1000, 0)), "each of two has room for 80");
+/// status[1] = Status { state: State::Out, moved_permille: 1000, ..status[1] };
+/// assert_eq!(leave_plan(&zones, &status, &loads, 0, 0), Some((0, 0)), "the free capacity is used up");
+/// assert_eq!(leave_plan(&zones, &status, &loads, 0, 101), None, "the zone still works for more than 100");
 /// status[2].state = State::Out;
-/// assert_eq!(fits(&zones, &status, &carries, 0, 0), None, "the last of its kind");
+/// assert_eq!(leave_plan(&zones, &status, &loads, 0, 0), None, "it is the last of its kind");
 /// ```
-pub fn fits(
+pub fn leave_plan(
     zones: &[Zone],
     status: &[Status],
-    carries: &[Carries],
+    loads: &[ZoneLoad],
     zone: usize,
     served: u32,
 ) -> Option<(u16, u16)> {
@@ -59,33 +67,38 @@
     if others == 0 {
         return None;
     }
-    let takers =
-        || zones[zone].takers.iter().map(|t| usize::from(*t)).filter(|t| *t != zone && in_service(*t));
-    // What nobody takes over stays: its proxies' own skips refuse as soon, and serve what is left.
-    takers().next()?;
-    // Where a taker's use is not told, what nobody serves any more is moved whatever the room: the limits of the takers and
-    // of the proxies shed what is too much. What is still served stays.
-    if takers().any(|t| carries[t].most == 0) {
-        return (served <= DOUBTED).then_some((1000, 0));
+    let fallbacks =
+        || zones[zone].fallbacks.iter().map(|t| usize::from(*t)).filter(|t| *t != zone && in_service(*t));
+    // Without a fallback the zone stays: each proxy already skips the failing members on its own, which refuses as soon, and
+    // the rest of the zone still serves.
+    fallbacks().next()?;
+    // If the capacity of a fallback is unknown, a zone that serves hardly anything is moved whatever the free capacity: the
+    // limits of the fallbacks and of the proxies shed the excess. A zone that still serves stays.
+    if fallbacks().any(|t| loads[t].capacity == 0) {
+        return (served <= IGNORED_SUCCESS_PERMILLE).then_some((1000, 0));
     }
-    // Room at the takers, less what zones that are out already lean on.
-    let free =
-        |t: usize| (u64::from(carries[t].most) * COUNTED / 1000).saturating_sub(u64::from(carries[t].load));
-    let room: u64 = takers().map(free).sum();
-    let lean: u64 = (0..zones.len())
+    // The free capacity of the fallbacks, less the load that they already carry for zones that are out.
+    let free = |t: usize| {
+        (u64::from(loads[t].capacity) * USABLE_CAPACITY_PERMILLE / 1000)
+            .saturating_sub(u64::from(loads[t].load))
+    };
+    let total_free: u64 = fallbacks().map(free).sum();
+    let taken_over: u64 = (0..zones.len())
         .filter(|z| {
-            *z != zone && !in_service(*z) && zones[*z].takers.iter().any(|t| zones[zone].takers.contains(t))
+            *z != zone
+                && !in_service(*z)
+                && zones[*z].fallbacks.iter().any(|t| zones[zone].fallbacks.contains(t))
         })
-        .map(|z| u64::from(carries[z].load) * u64::from(status[z].moved) / 1000)
+        .map(|z| u64::from(loads[z].load) * u64::from(status[z].moved_permille) / 1000)
         .sum();
-    let load = carries[zone].load;
-    let left = room.saturating_sub(lean) * 1000;
+    let load = loads[zone].load;
+    let left = total_free.saturating_sub(taken_over) * 1000;
     let moved = left.checked_div(u64::from(load)).map_or(1000, |m| m.min(1000) as u32);
-    if moved + DOUBTED < served {
+    if moved + IGNORED_SUCCESS_PERMILLE < served {
         return None;
     }
-    // A location's requests are refused as they come. Of a hub's fills the proxies' own limits shed what fits nowhere:
-    // hits need none, and refusing requests would cost them too.
+    // For a location, the requests that fit nowhere are refused on arrival. For a parent zone, the proxies' own limits shed
+    // the fills that fit nowhere: hits need no fill, and refusing requests would lose the hits too.
     let refused = if kind == Kind::Location { 1000 - moved } else { 0 };
     Some((moved as u16, refused as u16))
 }
--- a/zones/src/instance.rs
+++ b/zones/src/instance.rs
@@ -1,314 +1,347 @@
-//! One proxy's instance: what the proxy calls, how a zone may be used, and which part of it takes which message.
-use crate::adoption::Told;
+//! One proxy's instance: the interface that the proxy calls, and the dispatch of messages to the parts of the instance.
+use crate::adoption::UnconfirmedMap;
 use crate::decider::Decider;
 use crate::map::{Epoch, Map};
-use crate::state::{self, State, Status, STEPS};
+use crate::state::{self, State, Status, RETURN_STEPS};
 use crate::voter::Voter;
 use crate::wire::{self, Body};
-use crate::{check, Author, Seen, Settings, Tally, Use, MOST_ZONES, WAITS};
+use crate::{check, Author, Counters, Seen, Settings, Use, MAX_ZONES, STARTUP_WAIT};
 use nickelgate::Micros;
 
-/// What the election of budgets says now, to this proxy.
+/// The current state of the election, as this proxy sees it. The election is that of the shared budgets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Seat {
-    /// It decides now.
-    pub decides: bool,
-    /// Of a voter: the life that it is promised to.
-    pub promised: Option<Author>,
-    /// Who decides, as far as it knows.
+pub struct ElectionView {
+    /// Whether this proxy is the decider.
+    pub is_decider: bool,
+    /// If this proxy is a voter: the incarnation that its vote is promised to.
+    pub promised_to: Option<Author>,
+    /// The index of the decider, as far as this proxy knows.
     pub decider: u16,
 }
 
-/// Messages to send: to which place, and the bytes.
-pub type Out = Vec<(u16, Vec<u8>)>;
+/// Messages to send: the index of the receiving proxy, and the bytes.
+pub type Outgoing = Vec<(u16, Vec<u8>)>;
 
-/// A move that this proxy acts on from now.
+/// A transition of a zone that this proxy acts on from now on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Moved {
-    /// The zone that was moved.
+pub struct ZoneMove {
+    /// The zone.
     pub zone: u16,
-    /// The epoch of the map that says so.
+    /// The epoch of the map that contains the transition.
     pub epoch: Epoch,
-    /// Its state before.
+    /// Its previous state.
     pub from: State,
-    /// Its status from now on.
+    /// Its new status.
     pub to: Status,
 }
 
-/// One proxy's part.
+/// One proxy's instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Zones {
     pub(crate) settings: Settings,
-    pub(crate) seat: Seat,
+    pub(crate) election: ElectionView,
     pub(crate) map: Map,
-    pub(crate) told: Vec<Told>,
+    pub(crate) unconfirmed_maps: Vec<UnconfirmedMap>,
     pub(crate) voter: Option<Voter>,
     pub(crate) decider: Decider,
-    pub(crate) seen: Vec<Seen>,
-    pub(crate) seq: u32,
+    pub(crate) observed: Vec<Seen>,
+    pub(crate) report_seq: u32,
     pub(crate) next_report: Micros,
     started: Micros,
     pub(crate) now: Micros,
-    pub(crate) moved: Vec<Moved>,
-    /// What was counted since the start.
-    pub tally: Tally,
+    pub(crate) moves: Vec<ZoneMove>,
+    /// Counts since the start.
+    pub counters: Counters,
 }
 
 impl Zones {
-    /// An instance that starts now: every zone is in service until it learns a map.
+    /// Creates an instance that starts now. Every zone is in service until it learns a map.
     ///
     /// # Errors
-    /// One line that says what is wrong with the settings.
+    /// Returns one line that says what is wrong with the settings.
     ///
     /// ```
     /// use threadward_zones::{Author, Kind, Settings, Use, Zone, Zones};
-    /// let hub = |other| Zone { kind: Kind::Hub, region: other, cold: 20_000_000, takers: vec![other] };
+    /// let parent =
+    ///     |other| Zone { kind: Kind::Parent, region: other, warm_up: 20_000_000, fallbacks: vec![other] };
     /// let s = Settings {
     ///     me: Author { place: 0, life: 7 },
     ///     proxies: 3,
     ///     voters: vec![0, 1, 2],
-    ///     stands: 0,
+    ///     own_zone: 0,
     ///     lease: 1_000_000,
-    ///     zones: vec![hub(1), hub(0)],
+    ///     zones: vec![parent(1), parent(0)],
     /// };
     /// let z = Zones::new(0, s.clone()).unwrap();
     /// assert_eq!(z.usage(1), Use::All, "every zone is in service until a majority says otherwise");
-    /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "two voters make no majority");
+    /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "the number of voters must be odd");
     /// ```
     pub fn new(now: Micros, settings: Settings) -> Result<Zones, String> {
         check(&settings)?;
         let map = Map::new(settings.zones.len(), now);
         let votes = settings.voters.contains(&settings.me.place);
-        let voter = votes.then(|| Voter { took: map.clone(), barred: Epoch::default(), fresh: true });
+        let voter = votes.then(|| Voter {
+            accepted: map.clone(),
+            promised_epoch: Epoch::default(),
+            no_map_since_start: true,
+        });
         Ok(Zones {
             decider: Decider::new(settings.zones.len()),
-            seat: Seat { decider: settings.voters.first().copied().unwrap_or(0), ..Seat::default() },
+            election: ElectionView {
+                decider: settings.voters.first().copied().unwrap_or(0),
+                ..ElectionView::default()
+            },
             map,
-            told: Vec::new(),
+            unconfirmed_maps: Vec::new(),
             voter,
-            seen: Vec::new(),
-            seq: 0,
+            observed: Vec::new(),
+            report_seq: 0,
             next_report: now,
             started: now,
             now,
-            moved: Vec::new(),
-            tally: Tally::default(),
+            moves: Vec::new(),
+            counters: Counters::default(),
             settings,
         })
     }
 
-    /// The map in use.
+    /// Returns the map in use.
     pub fn map(&self) -> &Map {
         &self.map
     }
 
-    /// Whether a map was learned, or waited for long enough: before that a proxy that started takes nothing in.
+    /// Returns whether a map was learned or waited for long enough. Until then, a proxy that starts takes no requests.
     pub fn ready(&self, now: Micros) -> bool {
-        self.map.epoch.number > 0 || now >= self.started + WAITS
+        self.map.epoch.number > 0 || now >= self.started + STARTUP_WAIT
     }
 
-    /// How a zone may be used now.
+    /// Returns how this proxy may use a zone now.
     pub fn usage(&self, zone: u16) -> Use {
         let Some(s) = self.map.zones.get(usize::from(zone)) else { return Use::All };
         match s.state {
             State::In => Use::All,
             State::Suspect => Use::Doubted,
             State::Leaving | State::Out => Use::None,
-            State::Probing if s.tried_by(self.settings.me.place) => {
-                if s.tries <= state::FEW {
+            State::Probing if s.is_prober(self.settings.me.place) => {
+                if s.probers_permille <= state::SMALL_PROBER_SHARE {
                     Use::Tried
                 } else {
                     Use::Part(0)
                 }
             }
             State::Probing => Use::None,
-            State::Returning => Use::Part(u16::from(s.step.saturating_sub(1)) * 1000 / u16::from(STEPS)),
+            State::Returning => {
+                Use::Part(u16::from(s.step.saturating_sub(1)) * 1000 / u16::from(RETURN_STEPS))
+            }
         }
     }
 
-    /// Thousandths of what this proxy is asked for that are refused at once: what fits nowhere while its zone is out.
-    pub fn refused(&self) -> u16 {
-        let own = self.map.zones.get(usize::from(self.settings.stands));
+    /// Returns the part of this proxy's requests, in thousandths, that it refuses at once because they fit nowhere while its
+    /// own zone is out.
+    pub fn refused_permille(&self) -> u16 {
+        let own = self.map.zones.get(usize::from(self.settings.own_zone));
         own.map_or(0, |s| match s.state {
-            State::Leaving | State::Out => s.refused,
-            State::Probing if !s.tried_by(self.settings.me.place) => s.refused,
-            // What a zone that comes back cannot take yet the planner's own cold budgets refuse.
+            State::Leaving | State::Out => s.refused_permille,
+            State::Probing if !s.is_prober(self.settings.me.place) => s.refused_permille,
+            // What a returning zone cannot take yet is refused by the planner's own budgets for cold members.
             _ => 0,
         })
     }
 
-    /// The moves since the last call, for the log.
-    pub fn moves(&mut self) -> Vec<Moved> {
-        std::mem::take(&mut self.moved)
+    /// Returns the transitions since the last call, for the log, and forgets them.
+    pub fn take_moves(&mut self) -> Vec<ZoneMove> {
+        std::mem::take(&mut self.moves)
     }
 
-    /// What own attempts showed of each zone in the last two seconds. What fails is reported at once.
-    pub fn seen(&mut self, now: Micros, seen: Vec<Seen>) {
+    /// Stores what this proxy's own attempts showed of each zone in the last two seconds. If a zone begins to fail, or stops
+    /// failing, the next report is due at once.
+    pub fn observe(&mut self, now: Micros, observed: Vec<Seen>) {
         self.now = self.now.max(now);
         let fails = |all: &[Seen], z: u16| all.iter().any(|s| s.zone == z && s.fails());
-        let news = seen.iter().any(|s| fails(&seen, s.zone) != fails(&self.seen, s.zone));
-        self.seen = seen;
-        self.seen.truncate(MOST_ZONES);
-        if news {
+        let changed = observed.iter().any(|s| fails(&observed, s.zone) != fails(&self.observed, s.zone));
+        self.observed = observed;
+        self.observed.truncate(MAX_ZONES);
+        if changed {
             self.next_report = self.next_report.min(self.now);
         }
     }
 
-    /// The newest start among a zone's members, as the list tells it.
-    pub fn listed(&mut self, zone: u16, newest: Option<Micros>) {
-        self.decider.listed(usize::from(zone), newest);
+    /// Stores when the member of a zone that started last did so, according to the member list.
+    pub fn set_newest_start(&mut self, zone: u16, newest: Option<Micros>) {
+        self.decider.set_newest_start(usize::from(zone), newest);
     }
 
-    /// When [`Zones::tick`] has something to do next.
+    /// Returns when [`Zones::tick`] has something to do next.
     pub fn next_due(&self) -> Micros {
-        let told = self.told.iter().map(|t| t.next).min().unwrap_or(Micros::MAX);
-        self.next_report.min(told).min(self.decider.next_due())
+        let query = self.unconfirmed_maps.iter().map(|t| t.next_query).min().unwrap_or(Micros::MAX);
+        self.next_report.min(query).min(self.decider.next_due())
     }
 
-    /// Carries out what is due by now; `seat`: what the election says. What is in `out` goes to the places named there,
-    /// whose [`Zones::receive`] takes it. With one voter that decides alone:
+    /// Does what is due by now, given the current state of the election, and appends the messages to send to `out`. The
+    /// receiving proxies pass them to [`Zones::receive`]. An example with a single voter, which decides alone:
     ///
     /// ```
-    /// use threadward_zones::{Author, Kind, Seat, Seen, Settings, Use, Zone, Zones, AGAIN};
-    /// let zone = |region, taker| Zone { kind: Kind::Hub, region, cold: 0, takers: vec![taker] };
+    /// use threadward_zones::{
+    ///     Author, ElectionView, Kind, Seen, Settings, Use, Zone, Zones, RESEND_INTERVAL,
+    /// };
+    /// let zone = |region, other| Zone { kind: Kind::Parent, region, warm_up: 0, fallbacks: vec![other] };
     /// let zones = vec![zone(0, 1), zone(1, 0)];
     /// let me = |place| Author { place, life: 7 + u64::from(place) };
     /// let new = |place| {
     ///     let (voters, zones) = (vec![0], zones.clone());
-    ///     let s = Settings { me: me(place), proxies: 3, voters, stands: place % 2, lease: 1_000_000, zones };
+    ///     let own_zone = place % 2;
+    ///     let s = Settings { me: me(place), proxies: 3, voters, own_zone, lease: 1_000_000, zones };
     ///     Zones::new(0, s).unwrap()
     /// };
     /// let mut all: Vec<Zones> = (0..3).map(new).collect();
     /// assert!(!all[1].ready(0), "it waits for the map");
     /// let seen = |zone, failed, bad| Seen { zone, tried: 9, failed, members: 2, bad, load: 9, busy: 60 };
     /// for n in 0..9 {
-    ///     let now = n * AGAIN;
+    ///     let now = n * RESEND_INTERVAL;
     ///     for from in 0..3 {
-    ///         let seat = |p| Seat { decides: p == 0, promised: Some(me(0)), decider: 0 };
+    ///         let election = |p| ElectionView { is_decider: p == 0, promised_to: Some(me(0)), decider: 0 };
     ///         let mut out = Vec::new();
-    ///         all[from].seen(now, vec![seen(0, 9, 2), seen(1, 0, 0)]);
-    ///         all[from].tick(now, seat(from), &mut out);
-    ///         let mut post: Vec<_> = out.into_iter().map(|(to, bytes)| (from, to, bytes)).collect();
-    ///         while let Some((from, to, bytes)) = post.pop() {
+    ///         all[from].observe(now, vec![seen(0, 9, 2), seen(1, 0, 0)]);
+    ///         all[from].tick(now, election(from), &mut out);
+    ///         let mut in_flight: Vec<_> = out.into_iter().map(|(to, bytes)| (from, to, bytes)).collect();
+    ///         while let Some((from, to, bytes)) = in_flight.pop() {
     ///             let (mut out, to) = (Vec::new(), usize::from(to));
-    ///             all[to].receive(now, from as u16, &bytes, seat(to), &mut out);
-    ///             post.extend(out.into_iter().map(|(next, bytes)| (to, next, bytes)));
+    ///             all[to].receive(now, from as u16, &bytes, election(to), &mut out);
+    ///             in_flight.extend(out.into_iter().map(|(next, bytes)| (to, next, bytes)));
     ///         }
     ///     }
     /// }
-    /// assert!(all.iter().all(|z| z.usage(0) == Use::None && z.usage(1) == Use::All), "left by all at once");
-    /// assert!(all[1].ready(0) && all[1].moves().iter().all(|m| m.zone == 0));
+    /// assert!(all.iter().all(|z| z.usage(0) == Use::None && z.usage(1) == Use::All), "all proxies left it");
+    /// assert!(all[1].ready(0) && all[1].take_moves().iter().all(|m| m.zone == 0));
     /// ```
-    pub fn tick(&mut self, now: Micros, seat: Seat, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, election: ElectionView, out: &mut Outgoing) {
         self.now = self.now.max(now);
-        self.sit(seat);
+        self.update_election(election);
         self.decide(out);
-        self.ask(out);
+        self.query_voters(out);
         if self.now >= self.next_report {
             self.report(out);
         }
     }
 
-    /// Takes a message that is known to come from `from`: who speaks for another is not heard.
-    pub fn receive(&mut self, now: Micros, from: u16, bytes: &[u8], seat: Seat, out: &mut Out) {
+    /// Handles a message that is known to come from the proxy `from`. A message that claims another sender is counted as
+    /// malformed.
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        from: u16,
+        bytes: &[u8],
+        election: ElectionView,
+        out: &mut Outgoing,
+    ) {
         self.now = self.now.max(now);
-        self.sit(seat);
+        self.update_election(election);
         let known = |a: &Author| {
             a.place == from && a.place < self.settings.proxies && a.place != self.settings.me.place
         };
         match wire::read(bytes, self.now).filter(|(a, _)| known(a)) {
-            Some((by, body)) if self.fits(&body) => self.take(by, body, out),
-            _ => self.tally.malformed += 1,
+            Some((by, body)) if self.matches_settings(&body) => self.handle(by, body, out),
+            _ => self.counters.malformed += 1,
         }
     }
 
-    /// What the election says now; one that decides no more forgets what it had proposed.
-    fn sit(&mut self, seat: Seat) {
-        let news = seat.decides != self.seat.decides || seat.decider != self.seat.decider;
-        if news && (seat.decides || seat.decider != self.settings.me.place) {
+    /// Stores the state of the election. If the decider changed, the next report is due at once. An instance that is no
+    /// longer the decider drops its open proposal.
+    fn update_election(&mut self, election: ElectionView) {
+        let changed =
+            election.is_decider != self.election.is_decider || election.decider != self.election.decider;
+        if changed && (election.is_decider || election.decider != self.settings.me.place) {
             self.next_report = self.next_report.min(self.now);
         }
-        self.seat = seat;
-        if !seat.decides {
+        self.election = election;
+        if !election.is_decider {
             self.decider.stop();
         }
     }
 
-    /// A map of other settings is none.
-    fn fits(&self, body: &Body) -> bool {
+    /// Returns false for a map with another number of zones than the settings.
+    fn matches_settings(&self, body: &Body) -> bool {
         match body {
-            Body::Holds { map, .. } | Body::Propose { map } | Body::Tell { map } => {
+            Body::Promise { map, .. } | Body::Propose { map } | Body::Announce { map } => {
                 map.zones.len() == self.settings.zones.len()
             }
             _ => true,
         }
     }
 
-    /// Writes a message and has it sent.
-    pub(crate) fn post(&mut self, to: u16, body: &Body, out: &mut Out) {
+    /// Encodes a message, counts its bytes and appends it to `out`.
+    pub(crate) fn send(&mut self, to: u16, body: &Body, out: &mut Outgoing) {
         let bytes = wire::write(self.settings.me, body, self.now);
-        self.tally.sent_bytes += bytes.len() as u64;
+        self.counters.sent_bytes += bytes.len() as u64;
         out.push((to, bytes));
     }
 
-    /// Takes a message of another instance.
-    fn take(&mut self, by: Author, body: Body, out: &mut Out) {
+    /// Handles a message of another instance.
+    fn handle(&mut self, by: Author, body: Body, out: &mut Outgoing) {
         match body {
-            Body::Report { seq, to, epoch, hash, place, seen } => {
-                if !self.seat.decides {
+            Body::Report { seq, to_incarnation, map_number, map_hash, own_zone, observed } => {
+                if !self.election.is_decider {
                     return;
                 }
-                let fresh = self.decider.reported(
+                let is_new = self.decider.record_report(
                     self.now,
                     self.settings.me,
                     by,
                     seq,
-                    to,
-                    (epoch, hash),
-                    place,
-                    seen,
+                    to_incarnation,
+                    (map_number, map_hash),
+                    own_zone,
+                    observed,
                 );
-                self.tally.old += u64::from(!fresh);
-                self.tell_behind(Some(by.place), out);
+                self.counters.outdated += u64::from(!is_new);
+                self.announce_to_outdated(Some(by.place), out);
             }
-            Body::Read { number } => {
-                if let Some((barred, fresh, map)) = self.read(by, number) {
-                    self.post(by.place, &Body::Holds { barred, fresh, map }, out);
+            Body::Prepare { number } => {
+                if let Some((promised_epoch, no_map_since_start, map)) = self.prepare(by, number) {
+                    self.send(by.place, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
                 }
             }
-            Body::Holds { barred, fresh, map } => {
-                if let Some(bit) = self.voter_bit(by.place).filter(|_| self.seat.decides) {
-                    self.decider.held(self.now, self.settings.me, barred, bit, fresh, map);
+            Body::Promise { promised_epoch, no_map_since_start, map } => {
+                if let Some(bit) = self.voter_bit(by.place).filter(|_| self.election.is_decider) {
+                    self.decider.handle_promise(
+                        self.now,
+                        self.settings.me,
+                        promised_epoch,
+                        bit,
+                        no_map_since_start,
+                        map,
+                    );
                     self.decide(out);
                 }
             }
             Body::Propose { map } => {
-                let asked = map.epoch.number;
-                if let Some(epoch) = self.proposed(by, map) {
-                    self.post(by.place, &Body::Took { epoch }, out);
-                } else if let Some((barred, fresh, map)) = self.read(by, 0) {
-                    // One that is promised here and may not be followed has to read anew.
-                    if barred.number >= asked {
-                        self.post(by.place, &Body::Holds { barred, fresh, map }, out);
+                let proposed = map.epoch.number;
+                if let Some(epoch) = self.accept(by, map) {
+                    self.send(by.place, &Body::Accepted { epoch }, out);
+                } else if let Some((promised_epoch, no_map_since_start, map)) = self.prepare(by, 0) {
+                    // The proposer is the elected decider, but an earlier promise rules its proposal out: it has to prepare
+                    // again with a larger number.
+                    if promised_epoch.number >= proposed {
+                        self.send(by.place, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
                     }
                 }
             }
-            Body::Took { epoch } => {
+            Body::Accepted { epoch } => {
                 if let Some(bit) = self.voter_bit(by.place) {
-                    self.decider.took(epoch, bit);
+                    self.decider.handle_accepted(epoch, bit);
                     self.decide(out);
                 }
             }
-            Body::Tell { map } => self.hear(by.place, map, out),
-            Body::Ask { epoch } => {
-                let took = self.voter.as_ref().map(|v| (v.took.epoch, v.took.hash()));
-                if let Some((e, hash)) = took.filter(|(e, _)| e.number >= epoch.number) {
-                    self.post(by.place, &Body::Vouch { epoch: e, hash }, out);
+            Body::Announce { map } => self.handle_announcement(by.place, map, out),
+            Body::Query { epoch } => {
+                let accepted = self.voter.as_ref().map(|v| (v.accepted.epoch, v.accepted.hash()));
+                if let Some((e, hash)) = accepted.filter(|(e, _)| e.number >= epoch.number) {
+                    self.send(by.place, &Body::Confirm { epoch: e, hash }, out);
                 }
             }
-            Body::Vouch { epoch, hash } => {
+            Body::Confirm { epoch, hash } => {
                 if let Some(bit) = self.voter_bit(by.place) {
-                    self.vouched(epoch, hash, bit, out);
+                    self.handle_confirmation(epoch, hash, bit, out);
                 }
             }
         }
--- a/zones/src/judge.rs
+++ b/zones/src/judge.rs
@@ -1,165 +1,202 @@
-//! What the reports of all proxies say of a zone. It owns whose word counts and how many have to agree. It must never take
-//! one proxy for two, nor one for which everything is bad for a witness.
+//! Derives the health of a zone from the reports of all proxies: whose report counts, and how many have to agree.
+//!
+//! Each proxy counts once, and a proxy for which every zone fails does not count as a witness, because it is probably cut
+//! off itself.
 use nickelgate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use threadward_budgets::wire::Author;
 use threadward_core::zoned::Seen;
 
-/// A report says nothing any more after this: it comes every [`crate::BRISK`] while anything is wrong.
-pub const FRESH: Micros = 1_500_000;
-/// Proxies that have to agree, where so many live and see the zone: one may lie, and another be cut off beside it.
-pub const LEAST: usize = 3;
-/// A proxy that was not heard for so long counts as gone: three of its reports in calm times.
-pub const LIVE: Micros = 3_000_000;
-/// Former lives of a proxy that are known as such.
-const FORMER: usize = 4;
+/// Age after which a report no longer counts as evidence. Reports arrive every [`crate::DEGRADED_REPORT_INTERVAL`] while
+/// anything is wrong.
+pub const REPORT_VALIDITY: Micros = 1_500_000;
+/// The number of proxies that have to report on a zone, where nobody was drawn to probe it: one of them may lie and another
+/// may be cut off.
+pub const MIN_WITNESSES: usize = 3;
+/// Time without a report after which a proxy counts as gone: three reports in healthy times.
+pub const LIVENESS_TIMEOUT: Micros = 3_000_000;
+/// How many earlier incarnations of a proxy are remembered, to reject their late reports.
+const REMEMBERED_INCARNATIONS: usize = 4;
 
-/// What one proxy said last.
+/// The latest report of one proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Heard {
-    pub life: u64,
-    former: [u64; FORMER],
+pub struct LatestReport {
+    /// The incarnation that sent it.
+    pub incarnation: u64,
+    former_incarnations: [u64; REMEMBERED_INCARNATIONS],
+    /// Its sequence number within the incarnation.
     pub seq: u32,
-    pub at: Micros,
-    /// The map that it acts on: its number, and the hash of it.
-    pub epoch: u64,
-    pub hash: u64,
-    /// The zone that it stands in.
-    pub place: u16,
-    pub seen: Vec<Seen>,
+    /// When it arrived, on the clock of the receiver.
+    pub received_at: Micros,
+    /// The number of the map that the proxy acts on.
+    pub map_number: u64,
+    /// The hash of that map.
+    pub map_hash: u64,
+    /// The zone in which the proxy runs.
+    pub own_zone: u16,
+    /// What its own attempts showed of each zone.
+    pub observed: Vec<Seen>,
 }
 
-impl Heard {
-    /// Every zone that it tried fails: it is itself cut off.
-    fn blind(&self) -> bool {
-        self.seen.iter().filter(|s| s.tried > 0).count() > 1
-            && self.seen.iter().filter(|s| s.tried > 0).all(Seen::fails)
+impl LatestReport {
+    /// Returns whether the proxy tried more than one zone and all of them fail: it is cut off itself.
+    fn is_cut_off(&self) -> bool {
+        self.observed.iter().filter(|s| s.tried > 0).count() > 1
+            && self.observed.iter().filter(|s| s.tried > 0).all(Seen::fails)
     }
 }
 
-/// What the decider heard: of each place in the file the newest report.
+/// The latest report of each proxy, by its index in the operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Reports(pub BTreeMap<u16, Heard>);
+pub struct Reports(pub BTreeMap<u16, LatestReport>);
 
-/// What they say together; how many say that the zone fails, and how many tried it.
+/// The health of a zone, with the number of proxies that see it fail and the number that tried it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
-    /// Too few tried it lately.
+pub enum ZoneHealth {
+    /// Too few proxies tried it lately.
     Unknown,
-    Fine(u16, u16),
-    Doubt(u16, u16),
-    Bad(u16, u16),
+    /// Fewer than a third of the proxies that tried it see it fail.
+    Healthy(u16, u16),
+    /// At least a third see it fail; or two thirds, but all of them in one zone while others tried it as well.
+    Degraded(u16, u16),
+    /// At least two thirds see it fail, and they run in more than one zone unless all proxies that tried it run in one.
+    Failing(u16, u16),
 }
 
-impl Verdict {
+impl ZoneHealth {
+    /// Returns the number of proxies that see the zone fail and the number that tried it.
     pub fn counts(&self) -> (u16, u16) {
         match *self {
-            Verdict::Unknown => (0, 0),
-            Verdict::Fine(a, b) | Verdict::Doubt(a, b) | Verdict::Bad(a, b) => (a, b),
+            ZoneHealth::Unknown => (0, 0),
+            ZoneHealth::Healthy(a, b) | ZoneHealth::Degraded(a, b) | ZoneHealth::Failing(a, b) => (a, b),
         }
     }
 }
 
 impl Reports {
-    /// Takes a report in. False: it is older than what is known, or of a life that has ended.
+    /// Stores a report. Returns false, and stores nothing, if it is not newer than the one that is stored or comes from an
+    /// earlier incarnation. `map` is the number and the hash of the map that the sender acts on.
     #[allow(clippy::too_many_arguments)]
-    pub fn take(
+    pub fn record(
         &mut self,
         now: Micros,
         by: Author,
         seq: u32,
         map: (u64, u64),
-        place: u16,
-        seen: Vec<Seen>,
+        own_zone: u16,
+        observed: Vec<Seen>,
     ) -> bool {
-        let (epoch, hash) = map;
-        let heard = Heard { life: by.life, former: [0; FORMER], seq, at: now, epoch, hash, place, seen };
+        let (map_number, map_hash) = map;
+        let report = LatestReport {
+            incarnation: by.life,
+            former_incarnations: [0; REMEMBERED_INCARNATIONS],
+            seq,
+            received_at: now,
+            map_number,
+            map_hash,
+            own_zone,
+            observed,
+        };
         match self.0.get_mut(&by.place) {
             None => {
-                self.0.insert(by.place, heard);
+                self.0.insert(by.place, report);
             }
-            Some(h) if h.life == by.life => {
+            Some(h) if h.incarnation == by.life => {
                 if seq.wrapping_sub(h.seq) as i32 <= 0 {
                     return false;
                 }
-                *h = Heard { former: h.former, ..heard };
+                *h = LatestReport { former_incarnations: h.former_incarnations, ..report };
             }
             Some(h) => {
-                if h.former.contains(&by.life) {
+                if h.former_incarnations.contains(&by.life) {
                     return false;
                 }
-                let mut former = h.former;
-                former.rotate_right(1);
-                former[0] = h.life;
-                *h = Heard { former, ..heard };
+                let mut former_incarnations = h.former_incarnations;
+                former_incarnations.rotate_right(1);
+                former_incarnations[0] = h.incarnation;
+                *h = LatestReport { former_incarnations, ..report };
             }
         }
         true
     }
 
-    /// Those that live.
-    pub fn live(&self, now: Micros) -> impl Iterator<Item = (u16, &Heard)> {
-        self.0.iter().filter(move |(_, h)| now < h.at + LIVE).map(|(p, h)| (*p, h))
+    /// Iterates over the proxies that reported within [`LIVENESS_TIMEOUT`].
+    pub fn live(&self, now: Micros) -> impl Iterator<Item = (u16, &LatestReport)> {
+        self.0.iter().filter(move |(_, h)| now < h.received_at + LIVENESS_TIMEOUT).map(|(p, h)| (*p, h))
     }
 
-    /// What is said of a zone, by all or by those that were drawn to try it: two of them are enough.
+    /// Returns the health of a zone according to all proxies, or only to the proxies that `by` selects: those that were
+    /// drawn to probe it. Two probers are enough, or one if no more are live.
     ///
     /// ```
-    /// use threadward_zones::judge::{Reports, Verdict, FRESH};
+    /// use threadward_zones::judge::{Reports, ZoneHealth, REPORT_VALIDITY};
     /// use threadward_zones::{Author, Seen};
     /// let mut r = Reports::default();
     /// let seen = |zone, bad| Seen { zone, tried: 8, failed: bad * 2, members: 4, bad, load: 8, busy: 0 };
-    /// let mut says = |place: u16, seen| r.take(0, Author { place, life: 1 }, 1, (0, 0), place % 2, seen);
-    /// says(0, vec![seen(0, 4), seen(1, 0)]);
-    /// says(1, vec![seen(0, 3), seen(1, 0)]);
-    /// says(2, vec![seen(0, 1), seen(1, 0)]);
-    /// says(3, vec![seen(0, 4), seen(1, 4)]);
-    /// assert_eq!(r.verdict(0, 0, None), Verdict::Bad(2, 3), "one bad member is no bad zone; the last is cut off");
-    /// assert_eq!(r.verdict(0, 1, None), Verdict::Fine(0, 3));
-    /// assert_eq!(r.verdict(0, 0, Some(&|place| place == 2)), Verdict::Fine(0, 1), "a prober's word alone");
-    /// assert_eq!(r.verdict(FRESH, 0, None), Verdict::Unknown, "too old");
+    /// let mut report =
+    ///     |place: u16, observed| r.record(0, Author { place, life: 1 }, 1, (0, 0), place % 2, observed);
+    /// report(0, vec![seen(0, 4), seen(1, 0)]);
+    /// report(1, vec![seen(0, 3), seen(1, 0)]);
+    /// report(2, vec![seen(0, 1), seen(1, 0)]);
+    /// report(3, vec![seen(0, 4), seen(1, 4)]);
+    /// assert_eq!(
+    ///     r.health(0, 0, None),
+    ///     ZoneHealth::Failing(2, 3),
+    ///     "one failing member is no failing zone, and the last proxy is cut off"
+    /// );
+    /// assert_eq!(r.health(0, 1, None), ZoneHealth::Healthy(0, 3));
+    /// assert_eq!(r.health(0, 0, Some(&|place| place == 2)), ZoneHealth::Healthy(0, 1), "one prober alone");
+    /// assert_eq!(r.health(REPORT_VALIDITY, 0, None), ZoneHealth::Unknown, "the reports are too old");
     /// ```
-    pub fn verdict(&self, now: Micros, zone: u16, by: Option<&dyn Fn(u16) -> bool>) -> Verdict {
-        let (mut says, mut bad) = (0u16, 0u16);
-        let (mut from, mut places) = (BTreeSet::new(), BTreeSet::new());
-        let named = |p: u16| by.is_none_or(|drawn| drawn(p));
-        for (_, h) in self.0.iter().filter(|(p, h)| now < h.at + FRESH && named(**p)) {
-            let Some(s) = h.seen.iter().find(|s| s.zone == zone && s.tried > 0) else { continue };
-            if h.blind() {
+    pub fn health(&self, now: Micros, zone: u16, by: Option<&dyn Fn(u16) -> bool>) -> ZoneHealth {
+        let (mut witnesses, mut failing) = (0u16, 0u16);
+        let (mut failing_from, mut tried_from) = (BTreeSet::new(), BTreeSet::new());
+        let selected = |p: u16| by.is_none_or(|drawn| drawn(p));
+        for (_, h) in self.0.iter().filter(|(p, h)| now < h.received_at + REPORT_VALIDITY && selected(**p)) {
+            let Some(s) = h.observed.iter().find(|s| s.zone == zone && s.tried > 0) else { continue };
+            if h.is_cut_off() {
                 continue;
             }
-            says += 1;
-            places.insert(h.place);
+            witnesses += 1;
+            tried_from.insert(h.own_zone);
             if s.fails() {
-                bad += 1;
-                from.insert(h.place);
+                failing += 1;
+                failing_from.insert(h.own_zone);
             }
         }
-        let drawn = || self.live(now).filter(|(p, _)| named(*p)).count();
-        let least = if by.is_some() { drawn().clamp(1, LEAST - 1) } else { LEAST };
-        if usize::from(says) < least {
-            return Verdict::Unknown;
+        let drawn = || self.live(now).filter(|(p, _)| selected(*p)).count();
+        let required = if by.is_some() { drawn().clamp(1, MIN_WITNESSES - 1) } else { MIN_WITNESSES };
+        if usize::from(witnesses) < required {
+            return ZoneHealth::Unknown;
         }
-        let apart = places.len() < 2 || from.len() > 1;
-        match (u32::from(bad), u32::from(says)) {
-            (b, all) if b * 3 >= all * 2 && apart => Verdict::Bad(bad, says),
-            (b, all) if b * 3 >= all => Verdict::Doubt(bad, says),
-            _ => Verdict::Fine(bad, says),
+        let independent = tried_from.len() < 2 || failing_from.len() > 1;
+        match (u32::from(failing), u32::from(witnesses)) {
+            (f, all) if f * 3 >= all * 2 && independent => ZoneHealth::Failing(failing, witnesses),
+            (f, all) if f * 3 >= all => ZoneHealth::Degraded(failing, witnesses),
+            _ => ZoneHealth::Healthy(failing, witnesses),
         }
     }
 
-    /// What goes to a zone in two seconds, and what it could carry, as far as its use was told.
-    pub fn load(&self, now: Micros, zone: u16) -> (u32, Option<u32>) {
-        let own = self.0.values().filter(|h| now < h.at + LIVE).flat_map(|h| h.seen.iter());
-        let (mut load, mut told, mut busy) = (0u32, 0u64, 0u64);
-        for s in own.filter(|s| s.zone == zone) {
+    /// Returns the attempts that all live proxies send to a zone in two seconds, and the number that it could carry,
+    /// estimated from the utilization that its members report; `None` if they report none.
+    pub fn load_and_capacity(&self, now: Micros, zone: u16) -> (u32, Option<u32>) {
+        let live_reports = self
+            .0
+            .values()
+            .filter(|h| now < h.received_at + LIVENESS_TIMEOUT)
+            .flat_map(|h| h.observed.iter());
+        let (mut load, mut load_with_utilization, mut weighted_utilization) = (0u32, 0u64, 0u64);
+        for s in live_reports.filter(|s| s.zone == zone) {
             load = load.saturating_add(u32::from(s.load));
             if s.busy > 0 {
-                told += u64::from(s.load);
-                busy += u64::from(s.load) * u64::from(s.busy);
+                load_with_utilization += u64::from(s.load);
+                weighted_utilization += u64::from(s.load) * u64::from(s.busy);
             }
         }
-        let most = (busy > 0).then(|| u32::try_from(u64::from(load) * 255 * told / busy).unwrap_or(u32::MAX));
-        (load, most)
+        let capacity = (weighted_utilization > 0).then(|| {
+            u32::try_from(u64::from(load) * 255 * load_with_utilization / weighted_utilization)
+                .unwrap_or(u32::MAX)
+        });
+        (load, capacity)
     }
 }
--- a/zones/src/lib.rs
+++ b/zones/src/lib.rs
@@ -1,8 +1,10 @@
-//! Which zones a fleet of proxies serves from: one instance a proxy, which reports, votes on maps, decides while it is the
-//! one that may, and says how each zone may be used.
+//! Decides for a whole fleet of proxies which zones it sends requests to.
 //!
-//! An instance reads no clock and opens no socket. It acts on no map that no majority of the voters took and never goes
-//! back to an earlier one. `docs/zones.md` says why, `state.rs` is the specification of a zone's states.
+//! Each proxy runs one [`Zones`] instance. The instance reports what the proxy's own attempts showed, votes on maps if it
+//! is a voter, decides on new maps while it is the elected decider, and tells the proxy how each zone may be used.
+//!
+//! An instance reads no clock and opens no socket. It only acts on maps that a majority of the voters accepted, and it
+//! never goes back to an earlier map. `docs/zones.md` explains the protocol; `state.rs` specifies the states of a zone.
 #![forbid(unsafe_code)]
 
 mod adoption;
@@ -19,20 +21,20 @@
 mod voter;
 pub mod wire;
 
-pub use instance::{Moved, Out, Seat, Zones};
+pub use instance::{ElectionView, Outgoing, ZoneMove, Zones};
 use nickelgate::Micros;
 pub use settings::{check, Kind, Settings, Zone};
-pub use tally::Tally;
+pub use tally::Counters;
 pub use threadward_budgets::wire::Author;
 pub use threadward_core::zoned::{Seen, Use};
 
-/// Zones that settings may name: a map of them fits one datagram of an Ethernet.
-pub const MOST_ZONES: usize = 40;
-/// Between two reports while all is well.
-pub const CALM_REPORT: Micros = 1_000_000;
-/// Between two reports while anything is not.
-pub const BRISK: Micros = 200_000;
-/// What was sent and not answered is sent again after this: several times a way there and back within a region.
-pub const AGAIN: Micros = 100_000;
-/// One that starts and hears of no map by then goes on without.
-pub const WAITS: Micros = 1_000_000;
+/// Largest number of zones in the settings. A map of this many zones fits into one Ethernet datagram.
+pub const MAX_ZONES: usize = 40;
+/// Time between two reports while every zone is in service and no zone fails for this proxy.
+pub const HEALTHY_REPORT_INTERVAL: Micros = 1_000_000;
+/// Time between two reports while a zone is not fully in service or fails for this proxy.
+pub const DEGRADED_REPORT_INTERVAL: Micros = 200_000;
+/// Time after which an unanswered message is sent again: several round trips within a region.
+pub const RESEND_INTERVAL: Micros = 100_000;
+/// Time that an instance waits for a map at startup before it takes requests without one.
+pub const STARTUP_WAIT: Micros = 1_000_000;
--- a/zones/src/settings.rs
+++ b/zones/src/settings.rs
@@ -1,70 +1,79 @@
-//! The settings of an instance: the zones, the voters and the own place; and their check.
-use crate::{Author, MOST_ZONES};
+//! The settings of an instance (the zones, the voters and the proxy's own identity) and their validation.
+use crate::{Author, MAX_ZONES};
 use nickelgate::Micros;
 use threadward_budgets::{MOST_PROXIES, MOST_VOTERS};
 
-/// What a zone's members are.
+/// What the members of a zone are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// Caches that the proxies which stand there send to.
+    /// Caches that serve the requests of the proxies in the same zone.
     Location,
-    /// Central caches, from which all fill.
-    Hub,
+    /// Central caches, from which all other caches fill.
+    Parent,
 }
 
-/// A zone, as the settings name it.
+/// One zone, as the settings describe it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Zone {
     /// What its members are.
     pub kind: Kind,
-    /// Zones of one number are a region: a hub and the locations tied to it.
+    /// The region. Zones with the same number form one: a parent zone and the locations tied to it.
     pub region: u16,
-    /// The time in which its members get warm.
-    pub cold: Micros,
-    /// Where its load goes while it is out.
-    pub takers: Vec<u16>,
+    /// The time that its members need to warm up.
+    pub warm_up: Micros,
+    /// The zones that take over its load while it is out.
+    pub fallbacks: Vec<u16>,
 }
 
 /// The settings of one proxy's instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// The own place in the file and the life, as budgets has them.
+    /// This proxy's index in the operators' file and its incarnation, as in the instance of shared budgets.
     pub me: Author,
-    /// Proxies that the file names.
+    /// The number of proxies in the operators' file.
     pub proxies: u16,
-    /// Places of the voters, odd in number.
+    /// The indices of the voters; their number is odd.
     pub voters: Vec<u16>,
-    /// The zone that this proxy stands in.
-    pub stands: u16,
+    /// The zone in which this proxy runs.
+    pub own_zone: u16,
     /// How long the authority to decide lasts.
     pub lease: Micros,
     /// All zones, in the order of their numbers.
     pub zones: Vec<Zone>,
 }
 
-/// Checks settings.
+/// Validates settings.
 ///
 /// # Errors
-/// One line that says what is wrong with the settings.
+/// Returns one line that says what is wrong with the settings.
 pub fn check(settings: &Settings) -> Result<(), String> {
     let zones = settings.zones.len();
-    if zones == 0 || zones > MOST_ZONES {
-        return Err(format!("{zones} zones: 1 to {MOST_ZONES}"));
+    if zones == 0 || zones > MAX_ZONES {
+        return Err(format!("{zones} zones: 1 to {MAX_ZONES}"));
     }
-    if let Some(taker) =
-        settings.zones.iter().flat_map(|zone| &zone.takers).find(|taker| usize::from(**taker) >= zones)
+    if let Some(fallback) = settings
+        .zones
+        .iter()
+        .flat_map(|zone| &zone.fallbacks)
+        .find(|fallback| usize::from(**fallback) >= zones)
     {
-        return Err(format!("zone {taker} is to take load and is no zone"));
+        return Err(format!("zone {fallback} is to take load but does not exist"));
     }
     let voters = &settings.voters;
     if voters.len().is_multiple_of(2)
         || voters.len() > MOST_VOTERS
         || voters.iter().any(|voter| *voter >= settings.proxies)
     {
-        return Err(format!("{} voters: an odd number of proxies, {MOST_VOTERS} at most", voters.len()));
+        return Err(format!(
+            "{} voters: must be an odd number of proxies, {MOST_VOTERS} at most",
+            voters.len()
+        ));
     }
     if usize::from(settings.proxies) > MOST_PROXIES || settings.me.place >= settings.proxies {
-        return Err(format!("place {} of {}: {MOST_PROXIES} at most", settings.me.place, settings.proxies));
+        return Err(format!(
+            "proxy index {} of {} proxies: {MOST_PROXIES} proxies at most",
+            settings.me.place, settings.proxies
+        ));
     }
     Ok(())
 }
--- a/zones/src/tally.rs
+++ b/zones/src/tally.rs
@@ -1,22 +1,22 @@
 //! The counters of an instance.
 
-/// What was counted since the start.
+/// Counts since the start of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Tally {
-    /// Bytes of the messages that it sent.
+pub struct Counters {
+    /// Bytes of the messages that were sent.
     pub sent_bytes: u64,
-    /// Messages that were none, or of a place that is none.
+    /// Messages that could not be decoded, came from a proxy that is not in the file, or held a map of other settings.
     pub malformed: u64,
-    /// Maps and reports of an earlier epoch or life.
-    pub old: u64,
+    /// Maps and reports of an earlier epoch or incarnation.
+    pub outdated: u64,
     /// Maps that were adopted.
     pub adopted: u64,
-    /// Maps that no majority vouched for.
-    pub unvouched: u64,
+    /// Maps that were announced but never confirmed by a majority of the voters.
+    pub unconfirmed: u64,
     /// Maps that this instance decided.
     pub decided: u64,
-    /// Moves among them that leave a zone.
-    pub leaves: u64,
-    /// Times that the guard kept a zone that fails.
-    pub kept: u64,
+    /// Moves that take a zone out of service, in maps that this instance proposed.
+    pub zones_left: u64,
+    /// Times that the capacity guard kept a failing zone in service.
+    pub kept_by_guard: u64,
 }
--- a/zones/src/voter.rs
+++ b/zones/src/voter.rs
@@ -1,53 +1,62 @@
-//! The voter's side of an instance: what it took last, and which maps it takes.
+//! The voter's side of an instance: what it accepted last, and which maps it accepts.
+//!
+//! Voters and decider run a consensus of the Paxos kind: prepare, promise, propose, accept.
 use crate::instance::Zones;
 use crate::map::{Epoch, Map};
 use crate::Author;
 
-/// A voter's memory.
+/// The memory of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
-    pub took: Map,
-    /// The last decider that read it, by the number that it asked for: nothing earlier is taken any more.
-    pub barred: Epoch,
-    /// It may have forgotten a map until it takes one.
-    pub fresh: bool,
+    /// The map that it accepted last.
+    pub accepted: Map,
+    /// The number and incarnation of the last decider that sent a prepare request. Earlier maps are no longer accepted.
+    pub promised_epoch: Epoch,
+    /// Whether it has accepted no map since it started. Until it does, it may have forgotten one.
+    pub no_map_since_start: bool,
 }
 
 impl Zones {
-    /// The place of a voter among the voters, as a bit.
-    pub(crate) fn voter_bit(&self, place: u16) -> Option<u8> {
-        self.settings.voters.iter().position(|v| *v == place).map(|i| 1 << i)
+    /// Returns the bit that stands for a voter in sets of voters, or `None` if the proxy is no voter.
+    pub(crate) fn voter_bit(&self, proxy: u16) -> Option<u8> {
+        self.settings.voters.iter().position(|v| *v == proxy).map(|i| 1 << i)
     }
 
-    /// Whether these voters are a majority.
+    /// Returns whether a set of voters is a majority.
     pub(crate) fn majority(&self, bits: u8) -> bool {
         bits.count_ones() as usize * 2 > self.settings.voters.len()
     }
 
-    /// A voter answers the life that it is promised to, and bars earlier ones from then on. What a former decider may have
-    /// out is one past what a majority took, so the number has to be two past what is known here.
-    pub(crate) fn read(&mut self, by: Author, number: u64) -> Option<(Epoch, bool, Map)> {
-        let v = self.voter.as_mut().filter(|_| self.seat.promised == Some(by))?;
-        if number >= v.barred.number.max(v.took.epoch.number).saturating_add(2) {
-            v.barred = Epoch { number, life: by.life };
+    /// Answers a prepare request: returns the promised epoch, whether this voter may have forgotten a map, and the map that
+    /// it accepted last. Promises to accept no earlier map from then on if `number` is large enough. Only the incarnation
+    /// that this voter is promised to in the election gets an answer.
+    ///
+    /// `number` has to be two more than any number known here: a former decider may have an unanswered proposal whose
+    /// number is one more than that of the last map that a majority accepted.
+    pub(crate) fn prepare(&mut self, by: Author, number: u64) -> Option<(Epoch, bool, Map)> {
+        let v = self.voter.as_mut().filter(|_| self.election.promised_to == Some(by))?;
+        if number >= v.promised_epoch.number.max(v.accepted.epoch.number).saturating_add(2) {
+            v.promised_epoch = Epoch { number, incarnation: by.life };
         }
-        Some((v.barred.max(v.took.epoch), v.fresh, v.took.clone()))
+        Some((v.promised_epoch.max(v.accepted.epoch), v.no_map_since_start, v.accepted.clone()))
     }
 
-    /// A voter takes a map from the life that it is promised to, if it is later than what it took, and one of a number.
-    pub(crate) fn proposed(&mut self, by: Author, map: Map) -> Option<Epoch> {
-        let promised = self.seat.promised == Some(by) && map.epoch.life == by.life;
+    /// Accepts a proposed map and returns its epoch, or counts it as outdated. The proposer has to be the incarnation that
+    /// this voter is promised to in the election, and the map has to be the one accepted last, or have a larger number than
+    /// that and not be ruled out by a promise.
+    pub(crate) fn accept(&mut self, by: Author, map: Map) -> Option<Epoch> {
+        let promised = self.election.promised_to == Some(by) && map.epoch.incarnation == by.life;
         let v = self.voter.as_mut()?;
-        let (asked, took, barred) = (map.epoch, v.took.epoch, v.barred);
-        let open = asked.number > barred.number || asked == barred;
-        if !promised || asked != took && !(open && asked.number > took.number) {
-            self.tally.old += 1;
+        let (proposed, accepted, promised_epoch) = (map.epoch, v.accepted.epoch, v.promised_epoch);
+        let allowed = proposed.number > promised_epoch.number || proposed == promised_epoch;
+        if !promised || proposed != accepted && !(allowed && proposed.number > accepted.number) {
+            self.counters.outdated += 1;
             return None;
         }
-        if asked != took {
-            v.took = map;
-            v.fresh = false;
+        if proposed != accepted {
+            v.accepted = map;
+            v.no_map_since_start = false;
         }
-        Some(asked)
+        Some(proposed)
     }
 }
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 //! answer or fail. It owns what is true; it must never tell an instance more than messages and own attempts would.
 use std::collections::{BTreeMap, VecDeque};
 use threadward_budgets::{Budgets, Settings as Terms};
-use threadward_zones::{wire, Kind, Seat, Seen, Settings, Use, Zone, Zones};
+use threadward_zones::{wire, ElectionView, Kind, Seen, Settings, Use, Zone, Zones};
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -36,8 +36,10 @@
 
 /// `hubs` hubs of a region each, every other the taker.
 pub fn hubs(hubs: u16, cold: u64) -> Vec<Zone> {
-    let takers = |z| (0..hubs).filter(|t| *t != z).collect();
-    (0..hubs).map(|z| Zone { kind: Kind::Hub, region: z, cold, takers: takers(z) }).collect()
+    let fallbacks = |z| (0..hubs).filter(|t| *t != z).collect();
+    (0..hubs)
+        .map(|z| Zone { kind: Kind::Parent, region: z, warm_up: cold, fallbacks: fallbacks(z) })
+        .collect()
 }
 
 impl Fleet {
@@ -64,7 +66,7 @@
         let terms = Terms { place, proxies, voters: voters.clone(), wholes: vec![100], lease };
         let budgets = Budgets::new(self.now, terms, entropy.try_into().unwrap()).unwrap();
         let (me, stands) = (budgets.me(), place % self.zones.len() as u16);
-        let s = Settings { me, proxies, voters, stands, lease, zones: self.zones.clone() };
+        let s = Settings { me, proxies, voters, own_zone: stands, lease, zones: self.zones.clone() };
         let past = vec![VecDeque::new(); self.zones.len()];
         Proxy { zones: Zones::new(self.now, s).unwrap(), budgets, up: true, past }
     }
@@ -97,11 +99,11 @@
         }
     }
 
-    fn seat(&self, p: u16) -> Seat {
+    fn seat(&self, p: u16) -> ElectionView {
         let b = &self.all[usize::from(p)].budgets;
         let decides = b.grants(self.now);
         let decider = if decides { p } else { b.grantor() };
-        Seat { decides, promised: b.promised(self.now), decider }
+        ElectionView { is_decider: decides, promised_to: b.promised(self.now), decider }
     }
 
     /// One step: what has arrived, what own attempts show, what is due.
@@ -112,7 +114,7 @@
             let (from, to, bytes) = first.remove();
             let (seat, mut out) = (self.seat(to), Vec::new());
             let p = &mut self.all[usize::from(to)];
-            if p.up && wire::ours(&bytes) {
+            if p.up && wire::is_zones_message(&bytes) {
                 p.zones.receive(now, from, &bytes, seat, &mut out);
             } else if p.up {
                 p.budgets.receive(now, &bytes, &mut out);
@@ -153,7 +155,7 @@
             let bad = if failed * 2 > tried { 4 } else { 0 };
             seen.push(Seen { zone: z, tried, failed, members: 4, bad, load: tried, busy });
         }
-        p.zones.seen(now, seen);
+        p.zones.observe(now, seen);
     }
 
     pub fn run(&mut self, span: u64) {
@@ -182,8 +184,12 @@
     pub fn told(&self) -> String {
         let one = |p: &Proxy| {
             let m = p.zones.map();
-            let all: Vec<_> = m.zones.iter().map(|z| (z.state, z.step, z.bad, z.of, z.failed)).collect();
-            format!("{} {:?} {all:?} {:?}\n", m.epoch.number, p.zones.tally, p.budgets.grants(self.now))
+            let all: Vec<_> = m
+                .zones
+                .iter()
+                .map(|z| (z.state, z.step, z.failing_proxies, z.trying_proxies, z.failed_returns))
+                .collect();
+            format!("{} {:?} {all:?} {:?}\n", m.epoch.number, p.zones.counters, p.budgets.grants(self.now))
         };
         self.all.iter().filter(|p| p.up).map(one).collect()
     }
--- a/zones/tests/life.rs
+++ b/zones/tests/life.rs
@@ -105,16 +105,17 @@
     let (epoch, hash) = (map.epoch, map.hash());
     for _ in 0..20 {
         for to in (0..9).filter(|p| *p != by) {
-            let told = [Body::Tell { map: map.clone() }, Body::Vouch { epoch, hash }];
-            let barred = Body::Holds { barred: epoch, fresh: false, map: map.clone() };
-            for body in told.into_iter().chain([barred, Body::Propose { map: map.clone() }]) {
+            let told = [Body::Announce { map: map.clone() }, Body::Confirm { epoch, hash }];
+            let promised_epoch =
+                Body::Promise { promised_epoch: epoch, no_map_since_start: false, map: map.clone() };
+            for body in told.into_iter().chain([promised_epoch, Body::Propose { map: map.clone() }]) {
                 f.send(by, to, wire::write(liar, &body, f.now));
             }
         }
         f.run(200 * MS);
     }
     assert!((0..3).all(|z| all_are(&f, z, State::In)), "{}", f.told());
-    assert!(f.all[5].zones.tally.unvouched > 0);
+    assert!(f.all[5].zones.counters.unconfirmed > 0);
     f.dead = Box::new(|_, z| z == 0);
     f.until(4 * S, "the fleet decides all the same", |f| all_are(f, 0, State::Out));
 }
@@ -146,7 +147,7 @@
     f.until(4 * S, "the worse is left", |f| all_are(f, 0, State::Out));
     f.run(4 * S);
     assert!(all_are(&f, 1, State::Suspect), "{}", f.told());
-    assert!(f.all.iter().map(|p| p.zones.tally.kept).sum::<u64>() > 0);
+    assert!(f.all.iter().map(|p| p.zones.counters.kept_by_guard).sum::<u64>() > 0);
 }
 
 /// The voters alone start anew: the map that they forgot is outnumbered, and all act on one again.
--- a/zones/tests/model.rs
+++ b/zones/tests/model.rs
@@ -8,7 +8,9 @@
 use threadward_zones::state::State::{self, In, Leaving, Out, Probing, Returning, Suspect};
 use threadward_zones::state::Why;
 use threadward_zones::wire::{self, Body};
-use threadward_zones::{Author, Kind, Seat, Seen, Settings, Tally, Use, Zone, Zones, AGAIN};
+use threadward_zones::{
+    Author, Counters, ElectionView, Kind, Seen, Settings, Use, Zone, Zones, RESEND_INTERVAL,
+};
 
 const N: usize = 3;
 /// States that are visited by lot from each start.
@@ -66,10 +68,10 @@
 }
 
 fn settings(me: Author) -> Settings {
-    let zone = |kind, region: u16, takers| Zone { kind, region, cold: 0, takers };
+    let zone = |kind, region: u16, fallbacks| Zone { kind, region, warm_up: 0, fallbacks };
     let zones =
-        vec![zone(Kind::Hub, 0, vec![1]), zone(Kind::Hub, 1, vec![0]), zone(Kind::Location, 2, vec![])];
-    Settings { me, proxies: N as u16, voters: vec![0, 1, 2], stands: me.place % 2, lease: 1_000_000, zones }
+        vec![zone(Kind::Parent, 0, vec![1]), zone(Kind::Parent, 1, vec![0]), zone(Kind::Location, 2, vec![])];
+    Settings { me, proxies: N as u16, voters: vec![0, 1, 2], own_zone: me.place % 2, lease: 1_000_000, zones }
 }
 
 impl Fleet {
@@ -77,9 +79,13 @@
         Author { place: i as u16, life: self.lives[i] }
     }
 
-    fn seat(&self, i: usize) -> Seat {
+    fn seat(&self, i: usize) -> ElectionView {
         let decides = self.decider == Some(i);
-        Seat { decides, promised: self.promised[i], decider: self.decider.unwrap_or(0) as u16 }
+        ElectionView {
+            is_decider: decides,
+            promised_to: self.promised[i],
+            decider: self.decider.unwrap_or(0) as u16,
+        }
     }
 
     /// Sends on what one sent, and looks at what it did.
@@ -87,7 +93,7 @@
         for (to, bytes) in out {
             let body = wire::read(&bytes, 0).map(|(_, body)| body);
             match body {
-                Some(Body::Report { .. } | Body::Ask { .. }) => self.deliver(i as u16, to, &bytes),
+                Some(Body::Report { .. } | Body::Query { .. }) => self.deliver(i as u16, to, &bytes),
                 _ => {
                     self.net.insert((to, i as u16, bytes));
                 }
@@ -111,21 +117,21 @@
         // Both hubs fail for all, the location does not.
         let hub = |zone| if fails { bad(zone) } else { fine(zone) };
         let seen = vec![hub(0), hub(1), fine(2)];
-        self.all[i].seen(now, seen);
+        self.all[i].observe(now, seen);
         let seat = self.seat(i);
         self.all[i].tick(now, seat, &mut out);
         self.sent(i, out);
     }
 
     fn look(&mut self, i: usize) {
-        self.all[i].tally = Tally::default();
-        self.all[i].moves();
+        self.all[i].counters = Counters::default();
+        self.all[i].take_moves();
         let mut out = Vec::new();
-        let ask = wire::write(self.author((i + 1) % N), &Body::Ask { epoch: Epoch::default() }, 0);
+        let ask = wire::write(self.author((i + 1) % N), &Body::Query { epoch: Epoch::default() }, 0);
         let mut voter = self.all[i].clone();
         voter.receive(self.clocks[i], ((i + 1) % N) as u16, &ask, self.seat(i), &mut out);
         for (_, bytes) in out {
-            if let Some((_, Body::Vouch { epoch, hash })) = wire::read(&bytes, 0) {
+            if let Some((_, Body::Confirm { epoch, hash })) = wire::read(&bytes, 0) {
                 *self.took.entry((epoch, hash)).or_default() |= 1 << i;
             }
         }
@@ -141,7 +147,7 @@
             Use::Part(share) => share <= u16::from(map.zones[usize::from(z)].step.saturating_sub(1)) * 125,
             _ => true,
         });
-        let own = epoch.life == self.lives[i] && self.decider == Some(i);
+        let own = epoch.incarnation == self.lives[i] && self.decider == Some(i);
         let old = self.decided.as_ref().filter(|_| own);
         let checks = [
             (epoch > before, "an epoch went back"),
@@ -154,7 +160,7 @@
         ];
         self.wrong = self.wrong.or(checks.iter().find(|c| !c.0).map(|c| c.1));
         if own {
-            self.deciders.insert(epoch.life);
+            self.deciders.insert(epoch.incarnation);
             self.decided = Some(map);
         }
     }
@@ -211,7 +217,7 @@
         };
         for n in 0..self.before {
             for i in 0..N {
-                f.tick(i, AGAIN, n < self.failing);
+                f.tick(i, RESEND_INTERVAL, n < self.failing);
                 while let Some((to, from, bytes)) = f.net.pop_first() {
                     f.deliver(from, to, &bytes);
                 }
@@ -254,7 +260,7 @@
         match act {
             Act::Tick(i) => {
                 f.ticks[i] -= 1;
-                f.tick(i, if f.decider == Some(i) { self.span } else { AGAIN }, self.fails);
+                f.tick(i, if f.decider == Some(i) { self.span } else { RESEND_INTERVAL }, self.fails);
             }
             Act::Lie => {
                 f.lies -= 1;
@@ -263,7 +269,7 @@
                 map.zones[0].state = Out;
                 map.zones[0].step = 0;
                 let (epoch, hash) = (map.epoch, map.hash());
-                for body in [Body::Tell { map }, Body::Vouch { epoch, hash }] {
+                for body in [Body::Announce { map }, Body::Confirm { epoch, hash }] {
                     let bytes = wire::write(f.author(2), &body, f.clocks[2]);
                     f.net.extend([0, 1].map(|to| (to, 2, bytes.clone())));
                 }
@@ -310,7 +316,7 @@
     }
 }
 
-const MUCH: Case = Case {
+const MANY_EVENTS: Case = Case {
     fails: false,
     span: 300_000,
     ticks: [4, 4, 3],
@@ -321,7 +327,8 @@
     before: 0,
     failing: 0,
 };
-const FEW: Case = Case { ticks: [1, 2, 0], elections: 1, crashes: 0, doubles: 0, net: 5, ..MUCH };
+const FEW_EVENTS: Case =
+    Case { ticks: [1, 2, 0], elections: 1, crashes: 0, doubles: 0, net: 5, ..MANY_EVENTS };
 
 /// A zone in the middle of its return, and two that fail at once.
 fn starts(c: Case) -> [(State, Case); 2] {
@@ -334,7 +341,7 @@
 /// Every order of few events, the shortest first.
 #[test]
 fn few_events_in_every_order() {
-    for (state, case) in starts(FEW) {
+    for (state, case) in starts(FEW_EVENTS) {
         assert_eq!(case.init_states()[0].all[0].map().zones[0].state, state);
         let all = case.checker().threads(3).target_state_count(SOME * 2).spawn_bfs().join();
         println!("{state:?}: {} states, {} events deep", all.unique_state_count(), all.max_depth());
@@ -346,7 +353,7 @@
 /// Many events, in an order by lot.
 #[test]
 fn many_events_by_lot() {
-    for (seed, (state, case)) in starts(MUCH).into_iter().enumerate() {
+    for (seed, (state, case)) in starts(MANY_EVENTS).into_iter().enumerate() {
         // What a voter forgot shows late, and these states are small.
         let most = if state == Suspect { SOME * 3 } else { SOME };
         let some =
--- a/zones/tests/wire.rs
+++ b/zones/tests/wire.rs
@@ -3,7 +3,7 @@
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::{State, Status};
 use threadward_zones::wire::{self, Body};
-use threadward_zones::{Author, Kind, Seat, Seen, Settings, Zone, Zones, MOST_ZONES};
+use threadward_zones::{Author, ElectionView, Kind, Seen, Settings, Zone, Zones, MAX_ZONES};
 
 const NOW: u64 = 100_000_000;
 
@@ -14,46 +14,47 @@
             let state = [In, Suspect, Leaving, Out, Probing, Returning][s];
             let step = if state == Returning { step } else { 0 };
             let since = NOW - age * 1000;
-            let (moved, refused, tries, lot) = (n, 1000 - n, p % 1001, p);
+            let (moved_permille, refused_permille, probers_permille, prober_seed) =
+                (n, 1000 - n, p % 1001, p);
             Status {
                 state,
                 step,
                 since,
-                returning: since,
-                moved,
-                refused,
-                bad: p,
-                of: p,
-                tries,
-                lot,
+                return_started: since,
+                moved_permille,
+                refused_permille,
+                failing_proxies: p,
+                trying_proxies: p,
+                probers_permille,
+                prober_seed,
                 ..Status::default()
             }
         });
-    let zones = proptest::collection::vec(zone, 1..=MOST_ZONES);
+    let zones = proptest::collection::vec(zone, 1..=MAX_ZONES);
     (any::<u64>(), any::<u64>(), zones)
-        .prop_map(|(number, life, zones)| Map { epoch: Epoch { number, life }, zones })
+        .prop_map(|(number, life, zones)| Map { epoch: Epoch { number, incarnation: life }, zones })
 }
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(map in maps(), number: u64, fresh: bool, n in 0..=MOST_ZONES as u16) {
+    fn what_is_written_is_read(map in maps(), number: u64, no_map_since_start: bool, n in 0..=MAX_ZONES as u16) {
         let epoch = map.epoch;
         let one = |zone| Seen { zone, tried: 9, failed: 3, members: 4, bad: 1, load: 9, busy: 7 };
-        let report = Body::Report { seq: 1, to: number, epoch: 2, hash: 3, place: 4, seen: (0..n).map(one).collect() };
+        let report = Body::Report { seq: 1, to_incarnation: number, map_number: 2, map_hash: 3, own_zone: 4, observed: (0..n).map(one).collect() };
         let all = [
             report,
-            Body::Read { number },
-            Body::Holds { barred: epoch, fresh, map: map.clone() },
+            Body::Prepare { number },
+            Body::Promise { promised_epoch: epoch, no_map_since_start, map: map.clone() },
             Body::Propose { map: map.clone() },
-            Body::Took { epoch },
-            Body::Tell { map },
-            Body::Ask { epoch },
-            Body::Vouch { epoch, hash: number },
+            Body::Accepted { epoch },
+            Body::Announce { map },
+            Body::Query { epoch },
+            Body::Confirm { epoch, hash: number },
         ];
         let from = Author { place: 3, life: number };
         for body in all {
             let bytes = wire::write(from, &body, NOW);
-            prop_assert!(wire::ours(&bytes) && bytes.len() <= wire::MOST);
+            prop_assert!(wire::is_zones_message(&bytes) && bytes.len() <= wire::MAX_MESSAGE_BYTES);
             prop_assert_eq!(wire::read(&bytes[..bytes.len() - 1], NOW), None);
             prop_assert_eq!(wire::read(&bytes, NOW), Some((from, body)));
         }
@@ -64,15 +65,15 @@
     fn noise_changes_nothing(mut bytes: Vec<u8>, kind in 32..40u8, decides: bool) {
         bytes.splice(0..bytes.len().min(3), [kind, 0, 1]);
         let mut z = one(2);
-        z.receive(NOW, 1, &bytes, Seat { decides, promised: None, decider: 0 }, &mut Vec::new());
+        z.receive(NOW, 1, &bytes, ElectionView { is_decider: decides, promised_to: None, decider: 0 }, &mut Vec::new());
         prop_assert_eq!(z.map().epoch, Epoch::default());
     }
 }
 
 fn one(zones: usize) -> Zones {
-    let zone = Zone { kind: Kind::Hub, region: 0, cold: 0, takers: vec![] };
+    let zone = Zone { kind: Kind::Parent, region: 0, warm_up: 0, fallbacks: vec![] };
     let (me, zones) = (Author { place: 0, life: 7 }, vec![zone; zones]);
-    let s = Settings { me, proxies: 3, voters: vec![0, 1, 2], stands: 0, lease: 1_000_000, zones };
+    let s = Settings { me, proxies: 3, voters: vec![0, 1, 2], own_zone: 0, lease: 1_000_000, zones };
     Zones::new(0, s).unwrap()
 }
 
@@ -81,12 +82,19 @@
 fn what_cannot_be_is_counted_and_dropped() {
     let by = Author { place: 1, life: 9 };
     let seen = |zone, failed, bad| Seen { zone, tried: 5, failed, members: 4, bad, load: 5, busy: 0 };
-    let report = |seen| Body::Report { seq: 1, to: 7, epoch: 0, hash: 0, place: 0, seen };
-    let (map, seat) = (Map::new(3, 0), Seat { decides: true, promised: Some(by), decider: 0 });
+    let report = |observed| Body::Report {
+        seq: 1,
+        to_incarnation: 7,
+        map_number: 0,
+        map_hash: 0,
+        own_zone: 0,
+        observed,
+    };
+    let (map, seat) = (Map::new(3, 0), ElectionView { is_decider: true, promised_to: Some(by), decider: 0 });
     let cases = [
-        (1, Body::Tell { map: map.clone() }),
+        (1, Body::Announce { map: map.clone() }),
         (1, Body::Propose { map }),
-        (2, Body::Read { number: 4 }),
+        (2, Body::Prepare { number: 4 }),
         (1, report(vec![seen(0, 6, 0)])),
         (1, report(vec![seen(0, 5, 65_535)])),
         (1, report(vec![seen(0, 5, 4), seen(0, 5, 4)])),
@@ -94,6 +102,6 @@
     for (from, body) in cases {
         let (mut z, mut out) = (one(2), Vec::new());
         z.receive(NOW, from, &wire::write(by, &body, NOW), seat, &mut out);
-        assert_eq!((z.tally.malformed, out.len()), (1, 0), "{body:?}");
+        assert_eq!((z.counters.malformed, out.len()), (1, 0), "{body:?}");
     }
 }
