--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -13,7 +13,7 @@
 use threadward_gossip::keys::MAX_PEERS;
 
 use threadward_gossip::{Quorum, Settings as GossipSettings};
-use threadward_zones::MOST_ZONES;
+use threadward_zones::MAX_ZONES;
 
 const SECONDS_A_DAY: f64 = 86_400.0;
 const MICROS: f64 = 1e6;
@@ -131,7 +131,7 @@
             "`budgets/src/lib.rs` `MOST_PROXIES`",
         ),
         counted("peers of `[gossip]`", fleet.proxies, MAX_PEERS, "`gossip/src/keys.rs` `MAX_PEERS`"),
-        counted("zones of `[zones]`", fleet.zones, MOST_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
+        counted("zones of `[zones]`", fleet.zones, MAX_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
         Breakage::counted(
             "servers of a list",
             fleet.caches.into(),
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use threadward_budgets::Budgets;
 use threadward_control::{ControlTree, Level};
-use threadward_zones::{wire, Author, Seat, ZoneObservation, ZoneUse, Zones};
+use threadward_zones::{wire, Author, ElectionView, ZoneObservation, ZoneUse, Zones};
 
 /// How often a proxy looks at what its traffic showed.
 const LOOK: Micros = 100_000;
@@ -127,11 +127,11 @@
     }
 
     /// What the budgets' election says.
-    fn seat(&self, now: Micros) -> Seat {
+    fn seat(&self, now: Micros) -> ElectionView {
         let budgets = &self.star.budgets;
         let decides = budgets.is_coordinator(now);
         let decider = if decides { self.place } else { budgets.coordinator() };
-        Seat { decides, promised: budgets.promised_to(now), decider }
+        ElectionView { is_decider: decides, promised_to: budgets.promised_to(now), decider }
     }
 }
 
@@ -145,7 +145,7 @@
         if now >= self.next_look {
             self.next_look = now + LOOK;
             let seen = self.evidence.seen(&self.zones);
-            self.zones.seen(now, seen);
+            self.zones.observe(now, seen);
         }
         let seat = self.seat(now);
         self.zones.tick(now, seat, out);
@@ -157,7 +157,7 @@
         }
     }
     fn part_of(bytes: &[u8]) -> usize {
-        usize::from(wire::ours(bytes))
+        usize::from(wire::is_zones_message(bytes))
     }
     fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], out: &mut Out) {
         if part == 0 {
