--- a/gossip/src/belief.rs
+++ b/gossip/src/belief.rs
@@ -113,25 +113,25 @@
 /// identified by their index in the settings.
 ///
 /// ```
-/// use nickelgate::{Addr, Role, Standing};
+/// use nickelgate::{Addr, Role, MemberHealth};
 /// use threadward_gossip::belief::{Belief, Quorum};
 /// use threadward_gossip::evidence::Evidence;
 /// use threadward_gossip::wire::{Claim, Kind};
 ///
 /// let parent = |n| Addr { ip: [10, 0, 0, n], port: 80 };
-/// let standing = |n| Standing {
+/// let member_health = |n| MemberHealth {
 ///     member: parent(n),
 ///     incarnation: 0,
 ///     role: Role::Parent,
 ///     strikes: 0,
 ///     skipped: false,
-///     failed: 0,
-///     why: None,
-///     good: 0,
-///     helped: 0,
+///     last_failed_at: 0,
+///     last_failure: None,
+///     last_good_at: 0,
+///     suspicion_skips: 0,
 /// };
 /// let (mut own, mut b) = (Evidence::default(), Belief::default());
-/// own.update(0, &[standing(1), standing(2)]);
+/// own.update(0, &[member_health(1), member_health(2)]);
 /// b.configure(&[None; 4]);
 /// let q = Quorum { eligible: 4, live: 4, tolerated_faults: None };
 /// let claim = Claim { member: parent(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
@@ -140,7 +140,7 @@
 /// b.record_statement(1_000_000, 2, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q)[0].suspected);
 /// // An answer that this proxy received outranks them and reduces their credit.
-/// own.update(1_500_000, &[Standing { good: 1_500_000, ..standing(1) }, standing(2)]);
+/// own.update(1_500_000, &[MemberHealth { good: 1_500_000, ..member_health(1) }, member_health(2)]);
 /// b.update_credit(1_500_000, &own);
 /// assert!(!b.evaluate(1_500_000, &own, q)[0].suspected && b.credit(1) < b.credit(3));
 /// ```
@@ -242,7 +242,7 @@
                         w.refuted_at = now;
                     }
                 } else if observed.is_suspect(now)
-                    && observed.last_failure.abs_diff(c.failed_at) < CONFIRMATION_WINDOW
+                    && observed.last_failed_at.abs_diff(c.failed_at) < CONFIRMATION_WINDOW
                 {
                     c.judged = true;
                     if now >= w.confirmed_at + EVIDENCE_LIFETIME {
@@ -266,7 +266,7 @@
                 // An answer that this proxy received since then outranks the claim.
                 if wire::short_incarnation(observed.incarnation) != c.short_incarnation
                     || age >= EVIDENCE_LIFETIME
-                    || observed.last_answer >= c.failed_at
+                    || observed.last_good_at >= c.failed_at
                 {
                     continue;
                 }
@@ -341,7 +341,7 @@
 mod tests {
     use super::*;
     use crate::wire::Kind;
-    use nickelgate::{Outcome, Standing};
+    use nickelgate::{MemberHealth, Outcome};
 
     const S: Micros = 1_000_000;
 
@@ -349,19 +349,19 @@
         Addr { ip: [10, 0, 0, n], port: 1 }
     }
 
-    fn standing(n: u8, failed: Micros, good: Micros) -> Standing {
+    fn member_health(n: u8, failed: Micros, good: Micros) -> MemberHealth {
         let why = Some(Outcome::Timeout);
         let (strikes, skipped) = (u32::from(failed > good), false);
-        Standing {
+        MemberHealth {
             member: parent(n),
             incarnation: 0,
             role: Role::Parent,
             strikes,
             skipped,
-            failed,
-            why,
-            good,
-            helped: 0,
+            last_failed_at: failed,
+            last_failure: why,
+            last_good_at: good,
+            suspicion_skips: 0,
         }
     }
 
@@ -373,7 +373,7 @@
         let mut b = Belief::default();
         b.configure(&vec![None; n]);
         let mut own = Evidence::default();
-        own.update(0, &(1..=4).map(|n| standing(n, 0, 0)).collect::<Vec<_>>());
+        own.update(0, &(1..=4).map(|n| member_health(n, 0, 0)).collect::<Vec<_>>());
         (b, own, Quorum { eligible: n, live: n, tolerated_faults: None })
     }
 
@@ -422,7 +422,7 @@
     #[test]
     fn own_answers_outrank_claims_and_reduce_credit() {
         let (mut b, mut own, q) = belief(4);
-        let good = |t| (1..=4).map(|n| standing(n, 0, t)).collect::<Vec<_>>();
+        let good = |t| (1..=4).map(|n| member_health(n, 0, t)).collect::<Vec<_>>();
         let mut t = S;
         for round in 0..4 {
             for w in 1..3 {
@@ -446,7 +446,7 @@
     fn own_failures_confirm_claims_and_raise_credit() {
         let (mut b, mut own, _) = belief(4);
         b.record_statement(10 * S, 1, 0, [claim(1, 3, 0)].into_iter());
-        own.update(10 * S, &[standing(1, 10 * S, 0)]);
+        own.update(10 * S, &[member_health(1, 10 * S, 0)]);
         b.update_credit(10 * S, &own);
         b.update_credit(10 * S, &own);
         assert!((b.credit(1) - 0.82).abs() < 1e-9);
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -4,7 +4,7 @@
 //! Hearsay never enters. A skip that other peers' claims helped to cause is reported only with the strength
 //! of the own failures behind it.
 use crate::wire::{self, Claim, Kind, MAX_CLAIMS, TIME_UNIT};
-use nickelgate::{Addr, Micros, Outcome, Role, Standing};
+use nickelgate::{Addr, MemberHealth, Micros, Outcome, Role};
 use std::collections::BTreeMap;
 
 /// A failure no longer counts after this time; a skip lasts as long.
@@ -20,58 +20,58 @@
     /// Its role for this proxy's router.
     pub role: Role,
     /// When it last failed; 0 if never.
-    pub last_failure: Micros,
+    pub last_failed_at: Micros,
     /// When it last answered successfully; 0 if never.
-    pub last_answer: Micros,
+    pub last_good_at: Micros,
     /// Consecutive own failures: 0 to 2, or 3 for three and more or for a skip caused by own failures alone.
     pub strength: u8,
     kind: Kind,
     skipped: bool,
-    hearsay_skips: u32,
+    suspicion_skips: u32,
     answer_mask: u32,
     answer_step: Micros,
 }
 
 impl Observation {
-    fn new(s: &Standing) -> Observation {
+    fn new(s: &MemberHealth) -> Observation {
         Observation {
             incarnation: s.incarnation,
             role: s.role,
-            last_failure: 0,
-            last_answer: 0,
+            last_failed_at: 0,
+            last_good_at: 0,
             strength: 0,
             kind: Kind::Silent,
             skipped: false,
-            hearsay_skips: s.helped,
+            suspicion_skips: s.suspicion_skips,
             answer_mask: 0,
             answer_step: 0,
         }
     }
-    fn update_from(&mut self, s: &Standing) {
+    fn update_from(&mut self, s: &MemberHealth) {
         self.role = s.role;
-        if s.good > self.last_answer {
-            let step = s.good / ANSWER_STEP;
+        if s.last_good_at > self.last_good_at {
+            let step = s.last_good_at / ANSWER_STEP;
             self.answer_mask = u32::try_from(step.saturating_sub(self.answer_step))
                 .map_or(0, |n| self.answer_mask.checked_shl(n).unwrap_or(0))
                 | 1;
-            (self.answer_step, self.last_answer) = (step, s.good);
+            (self.answer_step, self.last_good_at) = (step, s.last_good_at);
         }
-        if s.failed > self.last_failure {
+        if s.last_failed_at > self.last_failed_at {
             // A successful answer in between ends a series of consecutive failures.
-            let previous = if self.last_answer >= self.last_failure { 0 } else { self.strength };
+            let previous = if self.last_good_at >= self.last_failed_at { 0 } else { self.strength };
             self.strength = (previous + 1).min(3);
-            self.last_failure = s.failed;
-            self.kind = match s.why {
+            self.last_failed_at = s.last_failed_at;
+            self.kind = match s.last_failure {
                 Some(Outcome::Reset) => Kind::Broken,
                 Some(Outcome::ConnectFailed) => Kind::Unreachable,
                 Some(Outcome::Timeout) | None => Kind::Silent,
                 Some(_) => Kind::Refusing,
             };
         }
-        if s.skipped && !self.skipped && s.helped == self.hearsay_skips {
+        if s.skipped && !self.skipped && s.suspicion_skips == self.suspicion_skips {
             self.strength = 3;
         }
-        (self.skipped, self.hearsay_skips) = (s.skipped, s.helped);
+        (self.skipped, self.suspicion_skips) = (s.skipped, s.suspicion_skips);
     }
     /// Returns whether the member answered successfully after `from` and not after `to`, as far as the
     /// history goes back.
@@ -81,7 +81,7 @@
         while answer_mask != 0 {
             // A step is dated by its start, and the newest one by the answer itself, so that no answer is
             // dated too late.
-            let at = if step == self.answer_step { self.last_answer } else { step * ANSWER_STEP };
+            let at = if step == self.answer_step { self.last_good_at } else { step * ANSWER_STEP };
             if answer_mask & 1 == 1 && at > from && at <= to {
                 return true;
             }
@@ -92,33 +92,33 @@
     /// Returns whether own failures stand that no successful answer has followed.
     pub fn is_suspect(&self, now: Micros) -> bool {
         self.strength > 0
-            && self.last_failure > self.last_answer
-            && now < self.last_failure + EVIDENCE_LIFETIME
+            && self.last_failed_at > self.last_good_at
+            && now < self.last_failed_at + EVIDENCE_LIFETIME
     }
 }
 
 /// What this proxy's own traffic has shown about all members, and the claims that follow from it.
 ///
 /// ```
-/// use nickelgate::{Addr, Outcome, Role, Standing};
+/// use nickelgate::{Addr, Outcome, Role, MemberHealth};
 /// use threadward_gossip::{evidence::Evidence, wire::Kind};
 ///
-/// let s = Standing {
+/// let s = MemberHealth {
 ///     member: Addr { ip: [10, 0, 0, 1], port: 80 },
 ///     incarnation: 0,
 ///     role: Role::Parent,
 ///     strikes: 1,
 ///     skipped: false,
-///     failed: 2_000_000,
-///     why: Some(Outcome::ConnectFailed),
-///     good: 1_000_000,
-///     helped: 0,
+///     last_failed_at: 2_000_000,
+///     last_failure: Some(Outcome::ConnectFailed),
+///     last_good_at: 1_000_000,
+///     suspicion_skips: 0,
 /// };
 /// let mut own = Evidence::default();
 /// assert!(own.update(2_000_000, &[s]), "the claims have changed");
 /// let claims = own.claims(2_300_000);
 /// assert_eq!((claims[0].kind, claims[0].strength, claims[0].age), (Kind::Unreachable, 1, 30));
-/// assert!(own.update(2_400_000, &[Standing { good: 2_400_000, ..s }]));
+/// assert!(own.update(2_400_000, &[MemberHealth { last_good_at: 2_400_000, ..s }]));
 /// assert!(own.claims(2_400_000).is_empty(), "it answered");
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -129,13 +129,13 @@
 }
 
 impl Evidence {
-    /// Updates all members from the current standings, which have to be complete. Returns whether the set of
-    /// claims has changed.
-    pub fn update(&mut self, now: Micros, standings: &[Standing]) -> bool {
+    /// Updates all members from their current health and drops those that are not in the list or have
+    /// restarted. Returns whether the set of claims has changed.
+    pub fn update(&mut self, now: Micros, health: &[MemberHealth]) -> bool {
         self.members.retain(|a, observed| {
-            standings.iter().any(|s| s.member == *a && s.incarnation == observed.incarnation)
+            health.iter().any(|s| s.member == *a && s.incarnation == observed.incarnation)
         });
-        for s in standings {
+        for s in health {
             self.members.entry(s.member).or_insert_with(|| Observation::new(s)).update_from(s);
         }
         let claimable: Vec<(Addr, u8)> =
@@ -153,11 +153,11 @@
             // A probe only shows that a connection can be made, so it does not clear a member that is silent
             // or refusing.
             if matches!(observed.kind, Kind::Unreachable | Kind::Broken) {
-                observed.last_answer = now;
+                observed.last_good_at = now;
             }
         } else {
             observed.strength = (observed.strength + 1).min(3);
-            (observed.last_failure, observed.kind) = (now, Kind::Unreachable);
+            (observed.last_failed_at, observed.kind) = (now, Kind::Unreachable);
         }
     }
 
@@ -165,13 +165,13 @@
     pub fn claims(&self, now: Micros) -> Vec<Claim> {
         let mut all: Vec<(&Addr, &Observation)> =
             self.members.iter().filter(|(_, s)| s.is_suspect(now)).collect();
-        all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.last_failure)), **a));
+        all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.last_failed_at)), **a));
         let claim = |(a, s): (&Addr, &Observation)| Claim {
             member: *a,
             short_incarnation: wire::short_incarnation(s.incarnation),
             kind: s.kind,
             strength: s.strength,
-            age: u16::try_from(now.saturating_sub(s.last_failure) / TIME_UNIT).unwrap_or(u16::MAX),
+            age: u16::try_from(now.saturating_sub(s.last_failed_at) / TIME_UNIT).unwrap_or(u16::MAX),
         };
         all.into_iter().take(MAX_CLAIMS).map(claim).collect()
     }
@@ -181,19 +181,19 @@
 mod tests {
     use super::*;
 
-    fn standing(failed: Micros, good: Micros, skipped: bool, helped: u32) -> Standing {
+    fn member_health(failed: Micros, good: Micros, skipped: bool, helped: u32) -> MemberHealth {
         let member = Addr { ip: [9; 4], port: 9 };
         let why = Some(Outcome::Reset);
-        Standing {
+        MemberHealth {
             member,
             incarnation: 0,
             role: Role::Parent,
             strikes: 0,
             skipped,
-            failed,
-            why,
-            good,
-            helped,
+            last_failed_at: failed,
+            last_failure: why,
+            last_good_at: good,
+            suspicion_skips: helped,
         }
     }
 
@@ -201,23 +201,23 @@
     fn only_own_failures_become_claims_and_they_expire() {
         let mut e = Evidence::default();
         let s = 1_000_000;
-        assert!(!e.update(10 * s, &[standing(0, 9 * s, false, 0)]));
-        assert!(e.update(11 * s, &[standing(11 * s, 9 * s, true, 1)]));
+        assert!(!e.update(10 * s, &[member_health(0, 9 * s, false, 0)]));
+        assert!(e.update(11 * s, &[member_health(11 * s, 9 * s, true, 1)]));
         let c = e.claims(11 * s + 50_000);
         assert_eq!(
             (c.len(), c[0].strength, c[0].age, c[0].kind),
             (1, 1, 5, Kind::Broken),
             "a skip that hearsay helped to cause"
         );
-        assert!(e.update(12 * s, &[standing(12 * s, 9 * s, true, 1)]));
+        assert!(e.update(12 * s, &[member_health(12 * s, 9 * s, true, 1)]));
         assert_eq!(e.claims(12 * s)[0].strength, 2);
-        assert!(e.update(13 * s, &[standing(12 * s, 13 * s, false, 1)]), "it answered");
+        assert!(e.update(13 * s, &[member_health(12 * s, 13 * s, false, 1)]), "it answered");
         assert!(e.claims(13 * s).is_empty());
-        assert!(e.update(14 * s, &[standing(14 * s, 13 * s, true, 1)]));
+        assert!(e.update(14 * s, &[member_health(14 * s, 13 * s, true, 1)]));
         assert_eq!(e.claims(14 * s)[0].strength, 3, "a skip caused by own failures");
-        assert!(e.update(20 * s, &[standing(14 * s, 13 * s, true, 1)]), "too old");
-        e.update(21 * s, &[standing(21 * s, 13 * s, true, 1)]);
-        e.update(22 * s, &[Standing { incarnation: 5, ..standing(0, 0, false, 0) }]);
+        assert!(e.update(20 * s, &[member_health(14 * s, 13 * s, true, 1)]), "too old");
+        e.update(21 * s, &[member_health(21 * s, 13 * s, true, 1)]);
+        e.update(22 * s, &[MemberHealth { incarnation: 5, ..member_health(0, 0, false, 0) }]);
         assert!(e.claims(22 * s).is_empty(), "a later incarnation of the member");
     }
 
@@ -226,7 +226,7 @@
         let mut e = Evidence::default();
         let s = 1_000_000;
         for t in [10 * s, 10 * s + 700_000, 14 * s] {
-            e.update(t, &[standing(0, t, false, 0)]);
+            e.update(t, &[member_health(0, t, false, 0)]);
         }
         let observed = e.members.values().next().unwrap();
         assert!(observed.answered_between(13 * s, 15 * s) && observed.answered_between(10 * s, 11 * s));
--- a/gossip/src/instance.rs
+++ b/gossip/src/instance.rs
@@ -13,7 +13,7 @@
 use crate::members::{Members, State};
 use crate::output::{Counts, Notice, Output};
 use crate::settings::{validated_directory, Settings};
-use nickelgate::{Addr, Micros, Standing};
+use nickelgate::{Addr, MemberHealth, Micros};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 use std::collections::VecDeque;
@@ -290,11 +290,11 @@
         self.update_beliefs(now, out);
     }
 
-    /// Takes in the current standings of all members, as seen by the proxy's own traffic. Call it about
+    /// Takes in the current health of all members, as seen by the proxy's own traffic. Call it about
     /// every 50 ms.
-    pub fn observe(&mut self, now: Micros, standings: &[Standing], out: &mut Output) {
+    pub fn observe(&mut self, now: Micros, health: &[MemberHealth], out: &mut Output) {
         let now = self.monotonic(now);
-        if self.evidence.update(now, standings) {
+        if self.evidence.update(now, health) {
             // Send the statement immediately, or as soon as the minimum interval since the previous one has
             // passed.
             let at = if now >= self.last_statement_at + MIN_STATEMENT_INTERVAL {
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -10,7 +10,7 @@
 //! microseconds on the caller's clock.
 //!
 //! ```
-//! use nickelgate::{Addr, Outcome, Role, Standing};
+//! use nickelgate::{Addr, Outcome, Role, MemberHealth};
 //! use std::net::SocketAddr;
 //! use threadward_gossip::{public_key, Suspicion, Gossip, Notice, Output, PeerConfig, Settings};
 //!
@@ -31,23 +31,23 @@
 //! // Two parents. From 12 s on, proxies 0 and 1 see the first one fail three times in a row; proxy 2 sends
 //! // it nothing.
 //! let parent = |n| Addr { ip: [10, 0, 0, n], port: 80 };
-//! let standing = |n, failed| Standing {
+//! let member_health = |n, failed| MemberHealth {
 //!     member: parent(n),
 //!     incarnation: 0,
 //!     role: Role::Parent,
 //!     strikes: 0,
 //!     skipped: false,
-//!     failed,
-//!     why: Some(Outcome::Timeout),
-//!     good: 0,
-//!     helped: 0,
+//!     last_failed_at: failed,
+//!     last_failure: Some(Outcome::Timeout),
+//!     last_good_at: 0,
+//!     suspicion_skips: 0,
 //! };
 //! let mut notices = Vec::new();
 //! for now in (0..13_000_000).step_by(50_000) {
 //!     for i in 0..3 {
 //!         let mut out = Output::default();
 //!         let failed = if i < 2 && now >= 12_000_000 { now.min(12_100_000) } else { 0 };
-//!         all[i].observe(now, &[standing(1, failed), standing(2, 0)], &mut out);
+//!         all[i].observe(now, &[member_health(1, failed), member_health(2, 0)], &mut out);
 //!         all[i].tick(now, &mut out);
 //!         // This loop plays the network.
 //!         let mut sent: Vec<_> = out.send.drain(..).map(|(to, bytes)| (i, to, bytes)).collect();
--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -8,11 +8,12 @@
 use super::table::Table;
 use super::units::{bytes, core, number, or_missing, NOT_MEASURED};
 use crate::scale::report::{Design, Part, Quantity, Role};
-use threadward_budgets::MOST_PROXIES;
+use threadward_budgets::MAX_PROXIES;
 use threadward_gossip::evidence::EVIDENCE_LIFETIME;
 use threadward_gossip::keys::MAX_PEERS;
+
 use threadward_gossip::{Quorum, Settings as GossipSettings};
-use threadward_zones::MOST_ZONES;
+use threadward_zones::MAX_ZONES;
 
 const SECONDS_A_DAY: f64 = 86_400.0;
 const MICROS: f64 = 1e6;
@@ -126,11 +127,11 @@
         counted(
             "proxies of `[budgets]` without regions and sites",
             fleet.proxies,
-            MOST_PROXIES,
+            MAX_PROXIES,
             "`budgets/src/lib.rs` `MOST_PROXIES`",
         ),
         counted("peers of `[gossip]`", fleet.proxies, MAX_PEERS, "`gossip/src/keys.rs` `MAX_PEERS`"),
-        counted("zones of `[zones]`", fleet.zones, MOST_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
+        counted("zones of `[zones]`", fleet.zones, MAX_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
         Breakage::counted(
             "servers of a list",
             fleet.caches.into(),
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -18,7 +18,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use threadward_core::stages::admit::Limits;
-use threadward_core::{Ask, Body, Dispatch, End, Final, Payload, Planner, Progress, Told};
+use threadward_core::{
+    AttemptEnd, Body, CacheAnswer, ClientRequest, Dispatch, FinalAnswer, Payload, Planner, Progress,
+};
 use threadward_gossip::{Gossip, Notice, Output, SUSPICION_TTL};
 
 pub const S: Micros = 1_000_000;
@@ -107,23 +109,29 @@
 /// The settings of the stand-in's installation: media and pages may be repeated, bookings not.
 pub fn settings(proxies: usize) -> Settings {
     let media = Class {
-        aim: 600 * MS,
-        aim_stretch: 1.6,
+        target_latency: 600 * MS,
+        target_stretch: 1.6,
         deadline: 6 * S,
-        worth: 2.0,
-        late_worth: 0.15,
+        value: 2.0,
+        late_value: 0.15,
         ..Class::default()
     };
-    let pages = Class { aim: 400 * MS, aim_stretch: 2.0, deadline: 2_500 * MS, worth: 1.0, ..media.clone() };
+    let pages = Class {
+        target_latency: 400 * MS,
+        target_stretch: 2.0,
+        deadline: 2_500 * MS,
+        value: 1.0,
+        ..media.clone()
+    };
     let bookings = Class {
-        aim: 800 * MS,
-        aim_stretch: 0.0,
+        target_latency: 800 * MS,
+        target_stretch: 0.0,
         deadline: 3 * S,
-        worth: 3.0,
-        late_worth: 0.0,
-        effect: Effect::Fragile,
-        group: DedupGroup::All,
-        pass_on: true,
+        value: 3.0,
+        late_value: 0.0,
+        effect: Effect::NotRetryable,
+        dedup_group: DedupGroup::All,
+        pass_through: true,
         ..Class::default()
     };
     Settings {
@@ -133,26 +141,26 @@
         parent_kind: Some(1),
         origin_kind: Some(2),
         siblings: Siblings::Any,
-        notes_all: true,
-        notes_hit: true,
-        flow_kb_per_s: 7_800.0,
-        weights: WeightSource::Rough,
-        purge_done: 6 * S,
+        all_notes_reported: true,
+        hits_reported: true,
+        transfer_kb_per_s: 7_800.0,
+        weight_source: WeightSource::Rough,
+        purge_complete_after: 6 * S,
         purge_grace: 300 * MS,
         drain_grace: S,
-        cold_from: 0.2,
-        cold: 17 * S,
-        fall_multiple: 2.5,
-        fall: 2 * S,
-        parent_cold_from: 0.06,
-        parent_cold: 21 * S,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_period: 17 * S,
+        overload_multiple: 2.5,
+        overload_tolerance: 2 * S,
+        parent_cold_start_share: 0.06,
+        parent_cold_period: 21 * S,
+        parent_overload_multiple: 2.0,
         max_attempts: 8,
-        parallel: true,
+        parallel_attempts: true,
         cancel: true,
         retry_after: true,
         max_retry_after: S,
-        tick: 2 * MS,
+        min_event_interval: 2 * MS,
         answer_slack: 8 * MS,
         reports_inline: true,
         ..Settings::default()
@@ -190,7 +198,7 @@
     Arrive(usize, usize),
     /// A proxy's timers.
     Timers(usize),
-    End(usize, u64, u16, Box<End>),
+    End(usize, u64, u16, Box<AttemptEnd>),
     Look(usize),
     Tick(usize),
     Datagram {
@@ -206,7 +214,7 @@
 struct Proxy {
     planner: Planner,
     orders: Rc<RefCell<Vec<Order>>>,
-    answers: Rc<RefCell<Vec<(usize, Final)>>>,
+    answers: Rc<RefCell<Vec<(usize, FinalAnswer)>>>,
     gossip: Option<Gossip>,
     armed: Micros,
     gossip_armed: Micros,
@@ -294,10 +302,10 @@
         let mut arrivals = Vec::new();
         for i in 0..sc.proxies {
             let (orders, answers) = (Rc::default(), Rc::default());
-            let limits = Limits { open: 4096, bytes: usize::MAX, pause: 250 * MS };
+            let limits = Limits { max_open: 4096, max_bytes: usize::MAX, retry_after: 250 * MS };
             let link = Box::new(RecordedLink(Rc::clone(&orders)));
             let mut planner = Planner::new(settings.clone(), sc.seed ^ i as u64, limits, link);
-            planner.members(T0, ListForm::Full, entries(&sc));
+            planner.update_members(T0, ListForm::Full, entries(&sc));
             let gossip = (sc.talk != Talk::Silent).then(|| {
                 let mut entropy = [0; 32];
                 stream(sc.seed, 0x100 + i as u64).fill_bytes(&mut entropy);
@@ -383,7 +391,7 @@
                 }
                 Event::End(i, id, n, end) => {
                     if self.proxies[i].out.remove(&(id, n)) {
-                        self.proxies[i].planner.ended(now, id, n, *end);
+                        self.proxies[i].planner.attempt_ended(now, id, n, *end);
                         self.after(i);
                     }
                 }
@@ -400,7 +408,7 @@
                     self.purged.insert(object, now);
                     self.stores.values_mut().for_each(|s| s.drop(object));
                     for i in 0..self.proxies.len() {
-                        self.proxies[i].planner.purged(now, 0, Some(object), 0);
+                        self.proxies[i].planner.purge(now, 0, Some(object), 0);
                         self.after(i);
                     }
                 }
@@ -411,7 +419,7 @@
                 Event::Restart(member) => {
                     self.stores.remove(&member);
                     self.started.insert(member, (now, VecDeque::new()));
-                    self.list(member, |e| Entry { since: now, incarnation: now, ..e });
+                    self.list(member, |e| Entry { started_at: now, incarnation: now, ..e });
                 }
             }
         }
@@ -441,7 +449,7 @@
         let now = self.queue.now;
         for i in 0..self.proxies.len() {
             let list = entries(&self.sc).into_iter().filter(|e| e.addr == member).map(&change).collect();
-            self.proxies[i].planner.members(now, ListForm::Delta, list);
+            self.proxies[i].planner.update_members(now, ListForm::Delta, list);
             self.after(i);
         }
     }
@@ -450,15 +458,17 @@
     /// the mean sending time of its class, than the multiple of what the cache can do by then; a tenth for chance.
     fn cold(&mut self, member: Addr, work: Micros) {
         let (now, s) = (self.queue.now, &self.settings);
-        let Some((from, sent)) = self.started.get_mut(&member).filter(|(from, _)| now < from + s.cold) else {
+        let Some((from, sent)) = self.started.get_mut(&member).filter(|(from, _)| now < from + s.cold_period)
+        else {
             return;
         };
         sent.push_back((now, work));
-        while sent.front().is_some_and(|(at, _)| at + s.fall < now) {
+        while sent.front().is_some_and(|(at, _)| at + s.overload_tolerance < now) {
             sent.pop_front();
         }
-        let share = s.cold_from + (1.0 - s.cold_from) * (now - *from) as f64 / s.cold as f64;
-        let most = 1.1 * s.fall_multiple * share * self.sc.flows * s.fall as f64;
+        let share =
+            s.cold_start_share + (1.0 - s.cold_start_share) * (now - *from) as f64 / s.cold_period as f64;
+        let most = 1.1 * s.overload_multiple * share * self.sc.flows * s.overload_tolerance as f64;
         let sum: Micros = sent.iter().map(|(_, w)| w).sum();
         if sum as f64 > most {
             self.report
@@ -470,19 +480,19 @@
     fn arrive(&mut self, i: usize, k: usize) {
         let (now, a) = (self.queue.now, &self.arrivals[i][k]);
         let class = &self.settings.classes[usize::from(a.class)];
-        self.asked += class.worth;
+        self.asked += class.value;
         self.report.requests += 1;
-        let ask = Ask {
-            call: format!("{i}-{k}").into(),
+        let ask = ClientRequest {
+            call_id: format!("{i}-{k}").into(),
             class: a.class,
             object: a.object,
-            row: format!("{:016x}", a.object).into(),
+            object_name: format!("{:016x}", a.object).into(),
             due: now + class.deadline,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         let answers = self.proxies[i].answers.clone();
         let reply = Box::new(move |last| answers.borrow_mut().push((k, last)));
-        self.proxies[i].planner.take(now, 0, ask, reply);
+        self.proxies[i].planner.accept_request(now, 0, ask, reply);
         self.after(i);
     }
 
@@ -503,7 +513,7 @@
             }
         }
         let now = self.queue.now;
-        let answers: Vec<(usize, Final)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
+        let answers: Vec<(usize, FinalAnswer)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
         let s = &self.settings;
         let mut served = 0;
         for (k, last) in answers {
@@ -515,14 +525,15 @@
                 self.report.broken.push(format!("request {k} of n{i} answered after {took} us"));
             }
             match last {
-                Final::Served(_) => {
+                FinalAnswer::Served(_) => {
                     served += 1;
                     self.report.served += 1;
                     self.spent += took;
-                    self.earned += class.worth * if took <= class.aim { 1.0 } else { class.late_worth };
+                    self.earned +=
+                        class.value * if took <= class.target_latency { 1.0 } else { class.late_value };
                 }
-                Final::Refused { .. } => self.report.refused += 1,
-                Final::Failed => self.report.failed += 1,
+                FinalAnswer::Refused { .. } => self.report.refused += 1,
+                FinalAnswer::Failed => self.report.failed += 1,
             }
         }
         if let Some(g) = &mut self.proxies[i].gossip {
@@ -538,36 +549,44 @@
     /// An attempt reaches a stand-in: checked against the rules, then answered in its time.
     fn send(&mut self, i: usize, d: &Dispatch) {
         let now = self.queue.now;
-        let (id, n, member, object) = (d.request, d.attempt, d.member, d.ask.object);
+        let (id, n, member, object) = (d.request, d.attempt, d.member, d.client_request.object);
         self.proxies[i].out.insert((id, n));
         let drained = |a: &Addr| self.leaving.get(a).is_some_and(|at| now > at + S);
         if drained(&member) || d.source.as_ref().is_some_and(drained) {
             self.report.broken.push(format!("sent to {member:?} after its drain"));
         }
         let purged = self.purged.get(&object).copied().filter(|at| now > at + 300 * MS && now < at + 6 * S);
-        if let Some(at) = purged.filter(|at| d.ask.class != 2 && (d.age == 0 || d.age > now - at)) {
+        if let Some(at) =
+            purged.filter(|at| d.client_request.class != 2 && (d.max_age == 0 || d.max_age > now - at))
+        {
             self.report.broken.push(format!("a copy from before {at} would do for a request at {now}"));
         }
-        if d.ask.class == 2 {
+        if d.client_request.class == 2 {
             let before = self.proxies[i].ran.insert(id, n);
             if before.is_some() {
                 self.report.broken.push(format!("booking {id} of n{i} went out again"));
             }
         }
-        let sending = [90, 20, 5][usize::from(d.ask.class)] * MS;
+        let sending = [90, 20, 5][usize::from(d.client_request.class)] * MS;
         self.cold(member, sending);
         let word = |w: u64| draw(&[self.sc.seed, i as u64, id, u64::from(n), member.ip[3].into(), w]);
         let between = |w, least: Micros, most: Micros| least + (word(w) * (most - least) as f64) as Micros;
         let near = between(1, 8 * MS, 30 * MS) + (sending as f64 * (0.5 + word(2))) as Micros;
         let told = |outcome, note, waited| {
-            let body = Payload { body: Body::part(vec![1], 0..1), tag: "t".into(), unchanged: false };
+            let body = Payload { body: Body::from_range(vec![1], 0..1), tag: "t".into(), unchanged: false };
             let payload = (outcome == Outcome::Ok).then_some(body);
-            End::Answered(Told { outcome, note, waited, report: Report::default(), payload })
+            AttemptEnd::Answered(CacheAnswer {
+                outcome,
+                note,
+                source_wait: waited,
+                report: Report::default(),
+                payload,
+            })
         };
         let (after, end) = match self.trouble(member, now) {
             Some(Trouble::Hang) => return,
-            Some(Trouble::FailFast) => (5 * MS, End::Broke(Progress::WrittenWhole)),
-            _ if d.ask.class == 2 => {
+            Some(Trouble::FailFast) => (5 * MS, AttemptEnd::ConnectionFailed(Progress::FullyWritten)),
+            _ if d.client_request.class == 2 => {
                 let way = d.source.map_or(0, |_| between(3, 60 * MS, 120 * MS));
                 (near + way, told(Outcome::Ok, Note::FilledOrigin, way))
             }
@@ -588,10 +607,11 @@
                 }
             }
         };
-        if d.ask.class != 2 && matches!(&end, End::Answered(t) if t.outcome == Outcome::Ok) {
+        if d.client_request.class != 2 && matches!(&end, AttemptEnd::Answered(t) if t.outcome == Outcome::Ok)
+        {
             self.stores.entry(member).or_default().take(object, self.sc.held.0);
         }
-        if let End::Answered(Told { outcome: Outcome::Miss, .. }) = end {
+        if let AttemptEnd::Answered(CacheAnswer { outcome: Outcome::Miss, .. }) = end {
             self.proxies[i].ran.remove(&id);
         }
         self.queue.put(now + after, Event::End(i, id, n, Box::new(end)));
@@ -608,10 +628,10 @@
             let troubled =
                 self.sc.troubles.iter().any(|t| t.0 == s.member && now >= t.2 && now < t.3 + 5 * S);
             if s.skipped && troubled {
-                self.proxies[i].skipped.entry(s.member).or_insert(s.failed);
+                self.proxies[i].skipped.entry(s.member).or_insert(s.last_failed_at);
             }
-            let before = self.proxies[i].helped.insert(s.member, s.helped).unwrap_or(0);
-            let more = s.helped - before;
+            let before = self.proxies[i].helped.insert(s.member, s.suspicion_skips).unwrap_or(0);
+            let more = s.suspicion_skips - before;
             if troubled {
                 self.report.helped += more;
             } else {
@@ -622,7 +642,8 @@
             let all = self.sc.talk == Talk::LiarAll;
             let accused = |m: Addr| m == hub(self.sc.hubs) || all;
             for s in standings.iter_mut().filter(|s| s.role == Role::Parent && accused(s.member)) {
-                (s.failed, s.good, s.skipped, s.why) = (now, 0, true, Some(Outcome::Timeout));
+                (s.last_failed_at, s.last_good_at, s.skipped, s.last_failure) =
+                    (now, 0, true, Some(Outcome::Timeout));
             }
         }
         self.talk(i, |g, now, out| g.observe(now, &standings, out));
@@ -647,10 +668,15 @@
             let planner = &mut self.proxies[i].planner;
             match news {
                 Notice::Suspicion(d) => {
-                    planner.rumour(now, d.member, d.incarnation, if d.suspected { SUSPICION_TTL } else { 0 });
+                    planner.report_suspicion(
+                        now,
+                        d.member,
+                        d.incarnation,
+                        if d.suspected { SUSPICION_TTL } else { 0 },
+                    );
                 }
                 Notice::SuspicionContinues { member, incarnation } => {
-                    planner.rumour(now, member, incarnation, SUSPICION_TTL)
+                    planner.report_suspicion(now, member, incarnation, SUSPICION_TTL)
                 }
                 _ => {}
             }
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use threadward_budgets::Budgets;
 use threadward_control::{ControlTree, Level};
-use threadward_zones::{wire, Author, Seat, Seen, Use, Zones};
+use threadward_zones::{wire, Author, ElectionView, ZoneObservation, ZoneUse, Zones};
 
 /// How often a proxy looks at what its traffic showed.
 const LOOK: Micros = 100_000;
@@ -100,13 +100,21 @@
 }
 
 impl Evidence {
-    fn seen(&self, zones: &Zones) -> Vec<Seen> {
+    fn seen(&self, zones: &Zones) -> Vec<ZoneObservation> {
         let used = std::iter::once(self.stands).chain(self.hubs..self.zones);
         let seen = |zone| {
-            let tried = if zones.usage(zone) == Use::None { 0 } else { 40 };
+            let tried = if zones.usage(zone) == ZoneUse::Unused { 0 } else { 40 };
             let failing = self.failing.get() == Some(zone);
             let (failed, bad) = if failing { (tried, 20) } else { (0, 0) };
-            Seen { zone, tried, failed, members: 20, bad, load: tried, busy: 60 }
+            ZoneObservation {
+                zone,
+                attempts: tried,
+                failed,
+                members: 20,
+                bad_members: bad,
+                load: tried,
+                mean_use: 60,
+            }
         };
         used.map(seen).collect()
     }
@@ -119,11 +127,11 @@
     }
 
     /// What the budgets' election says.
-    fn seat(&self, now: Micros) -> Seat {
+    fn seat(&self, now: Micros) -> ElectionView {
         let budgets = &self.star.budgets;
-        let decides = budgets.grants(now);
-        let decider = if decides { self.place } else { budgets.grantor() };
-        Seat { decides, promised: budgets.promised(now), decider }
+        let decides = budgets.is_coordinator(now);
+        let decider = if decides { self.place } else { budgets.coordinator() };
+        ElectionView { is_decider: decides, promised_to: budgets.promised_to(now), decider }
     }
 }
 
@@ -137,7 +145,7 @@
         if now >= self.next_look {
             self.next_look = now + LOOK;
             let seen = self.evidence.seen(&self.zones);
-            self.zones.seen(now, seen);
+            self.zones.observe(now, seen);
         }
         let seat = self.seat(now);
         self.zones.tick(now, seat, out);
@@ -149,7 +157,7 @@
         }
     }
     fn part_of(bytes: &[u8]) -> usize {
-        usize::from(wire::ours(bytes))
+        usize::from(wire::is_zones_message(bytes))
     }
     fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], out: &mut Out) {
         if part == 0 {
@@ -180,7 +188,7 @@
 
     /// Its place and life, by which the election knows it.
     pub fn author(&self) -> Author {
-        self.budgets.me()
+        self.budgets.identity()
     }
 }
 
@@ -203,7 +211,7 @@
         self.budgets.share(now, budget)
     }
     fn role(&self, now: Micros) -> Role {
-        match (self.budgets.grants(now), self.votes) {
+        match (self.budgets.is_coordinator(now), self.votes) {
             (true, _) => Role::Leader,
             (_, true) => Role::Voter,
             _ => Role::Proxy,
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -99,11 +99,12 @@
                 net::log(&format!("gossip: peer {name} {word}"));
             }
             Notice::SuspicionContinues { member, incarnation } => {
-                self.node.plan(|p, now| p.rumour(now, member, incarnation, SUSPICION_TTL));
+                self.node.plan(|p, now| p.report_suspicion(now, member, incarnation, SUSPICION_TTL));
             }
             Notice::Suspicion(d) => {
                 let lasts = if d.suspected { SUSPICION_TTL } else { 0 };
-                self.node.plan(|p, now| p.rumour(now, d.member, d.incarnation, lasts));
+                self.node.plan(|p, now| p.report_suspicion(now, d.member, d.incarnation, lasts));
+
                 let id = self.node.pool.id(d.member).unwrap_or_default();
                 if d.suspected {
                     self.node.count(Counter::GossipDoubts);
@@ -130,7 +131,7 @@
             let good = outcome == Outcome::Ok;
             // A probe that confirms a suspicion counts any other answer as none.
             let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
-            talk.node.plan(|p, now| p.probed(now, member, outcome, report));
+            talk.node.plan(|p, now| p.probe_ended(now, member, outcome, report));
             talk.call(|g, now, out| g.record_probe(now, member, good, out));
         });
     }
@@ -154,7 +155,7 @@
     fn look(self: &Rc<Self>) {
         let (standings, served, open) = self.node.plan(|p, _| {
             let served = p.counters.get(Counter::Served) + p.counters.get(Counter::Unchanged);
-            (p.standings(), served, p.open())
+            (p.standings(), served, p.open_requests())
         });
         let new = served - self.served.replace(served);
         let busy = open * 2 > self.node.config.names.max_open;
@@ -175,7 +176,7 @@
             c.set(Counter::GossipWithheld, t.withheld);
             c.set(Counter::GossipConflicts, t.conflicts);
             // Members that have left the list take their count with them; the counter never falls.
-            let helped = standings.iter().map(|s| u64::from(s.helped)).sum::<u64>();
+            let helped = standings.iter().map(|s| u64::from(s.suspicion_skips)).sum::<u64>();
             c.set(Counter::GossipHelped, helped.max(c.get(Counter::GossipHelped)));
             DROPPED.iter().zip(t.dropped).for_each(|(counter, n)| c.set(*counter, n));
         });
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -20,7 +20,7 @@
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::State;
 use threadward_zones::wire::Body;
-use threadward_zones::{wire, Author, Seen};
+use threadward_zones::{wire, Author, ZoneObservation};
 
 type Ex = &'static LocalExecutor<'static>;
 
@@ -419,7 +419,7 @@
 
     /// Sends a message in the name of a place, and more behind it.
     fn send(&self, to: usize, name: usize, body: &Body, more: &[u8]) {
-        let mut bytes = wire::write(Author { place: name as u16, life: 9 }, body, now());
+        let mut bytes = wire::write(Author { index: name as u16, incarnation: 9 }, body, now());
         bytes.extend(more);
         bytes.extend(mac(LIAR, to, &bytes));
         self.socket.send_to(&bytes, self.at[to]).unwrap();
@@ -434,23 +434,38 @@
             };
             let right = mac(p, LIAR, &buf[..n]) == buf[n..n + 16];
             if let Some((by, _)) = wire::read(&buf[..n], now()).filter(|_| right && p < PROXIES) {
-                self.lives[p] = by.life;
+                self.lives[p] = by.incarnation;
             }
         }
         let mut map = Map::new(ZONES.len(), now());
-        map.epoch = Epoch { number: 1_000_000, life: 9 };
+        map.epoch = Epoch { number: 1_000_000, incarnation: 9 };
         map.zones.iter_mut().for_each(|z| z.state = State::Out);
         self.seq += 1;
         // Who sees every zone fail is cut off itself: one is left out now and then.
         let zones = (0..ZONES.len() as u16).filter(|z| self.seq % 8 != u32::from(*z));
-        let seen: Vec<Seen> = zones
-            .map(|zone| Seen { zone, tried: 99, failed: 99, members: 2, bad: 2, load: 99, busy: 0 })
+        let seen: Vec<ZoneObservation> = zones
+            .map(|zone| ZoneObservation {
+                zone,
+                attempts: 99,
+                failed: 99,
+                members: 2,
+                bad_members: 2,
+                load: 99,
+                mean_use: 0,
+            })
             .collect();
         for p in 0..PROXIES {
             let (seq, to, epoch, hash) = (self.seq, self.lives[p], map.epoch, map.hash());
-            let report = Body::Report { seq, to, epoch: 1, hash, place: WEST as u16, seen: seen.clone() };
-            let told = [Body::Tell { map: map.clone() }, Body::Propose { map: map.clone() }];
-            let vouched = [Body::Vouch { epoch, hash }, Body::Took { epoch }];
+            let report = Body::Report {
+                seq,
+                to_incarnation: to,
+                map_number: 1,
+                map_hash: hash,
+                own_zone: WEST as u16,
+                observed: seen.clone(),
+            };
+            let told = [Body::Announce { map: map.clone() }, Body::Propose { map: map.clone() }];
+            let vouched = [Body::Confirm { epoch, hash }, Body::Accepted { epoch }];
             let all = [[report.clone(), report], told, vouched].concat();
             all.iter().for_each(|body| self.send(p, LIAR, body, &[]));
         }
@@ -475,7 +490,7 @@
         }
         assert!(f.liar.lives.iter().any(|l| *l > 0), "it reported to the one that decides");
         // In another's name, and one that is too long.
-        let took = Body::Took { epoch: Epoch { number: 1, life: 9 } };
+        let took = Body::Accepted { epoch: Epoch { number: 1, incarnation: 9 } };
         for p in 0..PROXIES {
             f.liar.send(p, (p + 1) % PROXIES, &took, &[]);
             f.liar.send(p, LIAR, &took, &[0]);
