--- a/gossip/src/belief.rs
+++ b/gossip/src/belief.rs
@@ -140,7 +140,7 @@
 /// b.record_statement(1_000_000, 2, 0, [claim].into_iter());
 /// assert!(b.evaluate(1_000_000, &own, q)[0].suspected);
 /// // An answer that this proxy received outranks them and reduces their credit.
-/// own.update(1_500_000, &[MemberHealth { good: 1_500_000, ..member_health(1) }, member_health(2)]);
+/// own.update(1_500_000, &[MemberHealth { last_good_at: 1_500_000, ..member_health(1) }, member_health(2)]);
 /// b.update_credit(1_500_000, &own);
 /// assert!(!b.evaluate(1_500_000, &own, q)[0].suspected && b.credit(1) < b.credit(3));
 /// ```
