--- a/control/src/division.rs
+++ b/control/src/division.rs
@@ -1,14 +1,15 @@
-//! What belongs to each group for good, and what its leader divides among the members beside that. All of it follows
-//! from the settings alone, so that every process reckons the same amounts.
+//! What belongs to each group for good, and what its leader divides among the members beside that. All of it
+//! follows from the settings alone, so that every process reckons the same amounts.
 use crate::settings::{Scope, Settings, SharedBudget};
 use crate::topology::{Level, Topology};
 
-/// Part of a fleet budget that is set aside for the regions, by weight: one part in so many. Half: a region that is cut
-/// off goes on with half of its even part for as long as it takes, where a tenth would stop most of its fills; the other
-/// half still moves to where it is wanted, so that a region at its daily peak gets several times its even part.
+/// Part of a fleet budget that is set aside for the regions, by weight: one part in so many. Half: a region
+/// that is cut off goes on with half of its even part for as long as it takes, where a tenth would stop most
+/// of its fills; the other half still moves to where it is wanted, so that a region at its daily peak gets
+/// several times its even part.
 const REGIONS_SET_ASIDE: u64 = 2;
-/// Part of what a region or site has for good that is set aside for its members, by weight: one part in so many. A tenth,
-/// as without a tree.
+/// Part of what a region or site has for good that is set aside for its members, by weight: one part in so
+/// many. A tenth, as without a tree.
 const MEMBERS_SET_ASIDE: u64 = 10;
 
 /// Amounts of one group, in the order of the budgets.
@@ -16,8 +17,8 @@
 pub struct GroupAmounts {
     /// What the leader divides without any lease from above.
     pub pools: Vec<u32>,
-    /// What belongs to one member for good and is not handed on by it in turn: the floor of a proxy, the pool of a site
-    /// or region.
+    /// What belongs to one member for good and is not handed on by it in turn: the floor of a proxy, the pool
+    /// of a site or region.
     pub member_own: Vec<u32>,
 }
 
@@ -90,7 +91,8 @@
     }
 }
 
-/// `whole * weight / all`, rounded down: parts of weights that sum to `all` at most never sum to more than the whole.
+/// `whole * weight / all`, rounded down: parts of weights that sum to `all` at most never sum to more than
+/// the whole.
 fn part(whole: u32, weight: u64, all: u64) -> u32 {
     let share = u64::from(whole) * weight / all.max(1);
     u32::try_from(share).unwrap_or(whole).min(whole)
--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -1,5 +1,5 @@
-//! The envelope of a message between processes of a tree: which group and seat it is for, and which process sent it. A
-//! message of the group's [`threadward_budgets::wire`] follows unchanged.
+//! The envelope of a message between processes of a tree: which group and seat it is for, and which process
+//! sent it. A message of the group's [`threadward_budgets::wire`] follows unchanged.
 use crate::topology::Level;
 use threadward_budgets::wire;
 
--- a/control/src/member.rs
+++ b/control/src/member.rs
@@ -6,8 +6,8 @@
 use nickelgate::Micros;
 use threadward_budgets::{Budgets, Group};
 
-/// A region's leases last so many times a site's, the fleet's so many: one from above outlasts several of those that are
-/// granted out of it.
+/// A region's leases last so many times a site's, the fleet's so many: one from above outlasts several of
+/// those that are granted out of it.
 const REGION_LEASE_FACTOR: Micros = 2;
 const FLEET_LEASE_FACTOR: Micros = 4;
 
@@ -56,14 +56,14 @@
         self.instance.grants(now).then_some(self.instance.tally.elected)
     }
 
-    /// Lets this leader divide what it has for good and what `upper` holds from the group above, and lets `upper` take a
-    /// newer lease once what was handed on fits into that.
+    /// Lets this leader divide what it has for good and what `upper` holds from the group above, and lets
+    /// `upper` take a newer lease once what was handed on fits into that.
     pub fn draw_supply(&mut self, now: Micros, upper: &mut Budgets) {
         let budgets = self.own_pools.len();
         let handed_on: Vec<u32> = (0..budgets).map(|budget| self.instance.granted(now, budget)).collect();
         upper.confirm(now, &handed_on, &self.own_pools);
-        // Near its end a lease from above would only allow leases too short to be renewed: what is the group's own is then
-        // divided without it.
+        // Near its end a lease from above would only allow leases too short to be renewed: what is the
+        // group's own is then divided without it.
         let useful = |until: Micros| until.saturating_sub(now) >= self.lease / 2;
         match upper.divisible(now).filter(|leased| useful(leased.until)) {
             Some(leased) => {
--- a/control/src/speakers.rs
+++ b/control/src/speakers.rs
@@ -8,8 +8,8 @@
     until: Micros,
 }
 
-/// The processes last heard from, by seat. Bounded by the seats of the group, since the caller checks that a process
-/// stands behind the seat it speaks for.
+/// The processes last heard from, by seat. Bounded by the seats of the group, since the caller checks that a
+/// process stands behind the seat it speaks for.
 #[derive(Clone, Debug, Default)]
 pub struct Speakers {
     by_seat: BTreeMap<u16, Speaker>,
--- a/control/src/topology.rs
+++ b/control/src/topology.rs
@@ -1,5 +1,5 @@
-//! Which proxies form a site and which sites form a region. Built once from the operators' file and shared by reference,
-//! so that the state of one proxy does not grow with the fleet.
+//! Which proxies form a site and which sites form a region. Built once from the operators' file and shared by
+//! reference, so that the state of one proxy does not grow with the fleet.
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/control/src/tree.rs
+++ b/control/src/tree.rs
@@ -16,8 +16,8 @@
     place: u16,
 }
 
-/// One proxy's part in the tree: a member of its site's group and, while it leads one, of the group above. It does
-/// nothing by itself: the caller brings the time and messages, and sends what it is given.
+/// One proxy's part in the tree: a member of its site's group and, while it leads one, of the group above. It
+/// does nothing by itself: the caller brings the time and messages, and sends what it is given.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -79,8 +79,9 @@
         })
     }
 
-    /// What this proxy may use of a budget now, in units: its floor, and its lease while that lasts. Ask at every use: a
-    /// process that was stopped finds its lease over here. A budget that is not in the settings has 0.
+    /// What this proxy may use of a budget now, in units: its floor, and its lease while that lasts. Ask at
+    /// every use: a process that was stopped finds its lease over here. A budget that is not in the settings
+    /// has 0.
     pub fn share(&mut self, now: Micros, budget: usize) -> u32 {
         self.site.instance.share(now, budget)
     }
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A frame came in from a proxy of the file; who that is has been checked. One that cannot be read is counted and
-    /// changes nothing.
+    /// A frame came in from a proxy of the file; who that is has been checked. One that cannot be read is
+    /// counted and changes nothing.
     pub fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out) {
         self.settle(now);
         let Some(frame) = Frame::decode(message).filter(|frame| self.is_sound(frame)) else {
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Ends by will: nothing is used or led from here on. What was handed on runs out by itself, so the groups above are
-    /// told nothing: their leaders count this process's leases until they are over.
+    /// Ends by will: nothing is used or led from here on. What was handed on runs out by itself, so the
+    /// groups above are told nothing: their leaders count this process's leases until they are over.
     pub fn leave(&mut self, out: &mut Out) {
         self.left = true;
         let mut messages = Out::new();
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Brings all levels in step: before an instance acts, so that nothing is done on a leadership or lease that is
-    /// over, and after, so that its result reaches the others.
+    /// Brings all levels in step: before an instance acts, so that nothing is done on a leadership or lease
+    /// that is over, and after, so that its result reaches the others.
     fn settle(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.follow_leadership();
@@ -191,8 +192,9 @@
         self.flow_up();
     }
 
-    /// A member of an upper group lives exactly as long as the term of leadership below: it is dropped when that ends, and
-    /// one that begins has a life of its own and abstains from voting at first, as after a restart.
+    /// A member of an upper group lives exactly as long as the term of leadership below: it is dropped when
+    /// that ends, and one that begins has a life of its own and abstains from voting at first, as after a
+    /// restart.
     fn follow_leadership(&mut self) {
         let site_term = self.leading_term(self.now);
         if self.region.as_ref().map(|region| region.term) != site_term {
@@ -249,7 +251,8 @@
         }
     }
 
-    /// Whether the seat that a frame is for exists, and its origin stands behind the seat that its message speaks for.
+    /// Whether the seat that a frame is for exists, and its origin stands behind the seat that its message
+    /// speaks for.
     fn is_sound(&self, frame: &Frame) -> bool {
         let topology = &self.settings.topology;
         usize::from(frame.origin) < topology.proxies()
--- a/zones/src/adoption.rs
+++ b/zones/src/adoption.rs
@@ -1,4 +1,5 @@
-//! How an instance learns a map: another proxy announces it, a majority of the voters confirms it, and it is adopted.
+//! How an instance learns a map: another proxy announces it, a majority of the voters confirms it, and it is
+//! adopted.
 use crate::instance::Zones;
 use crate::map::{Epoch, Map};
 use crate::wire::Body;
@@ -22,8 +23,8 @@
 }
 
 impl Zones {
-    /// Stores a map that a voter announced, unless it is no later than the map in use or than that voter's last one, and asks
-    /// the voters to confirm it.
+    /// Stores a map that a voter announced, unless it is no later than the map in use or than that voter's
+    /// last one, and asks the voters to confirm it.
     pub(crate) fn handle_announcement(&mut self, by: u16, map: Map, out: &mut Outgoing) {
         let known = self.unconfirmed_maps.iter().any(|t| t.announced_by == by && t.map.epoch >= map.epoch);
         if self.voter_bit(by).is_none() || map.epoch <= self.map.epoch || known {
@@ -43,7 +44,8 @@
         self.query_voters(out);
     }
 
-    /// Drops the unconfirmed maps that are outdated or too old, and asks the voters about the others if that is due.
+    /// Drops the unconfirmed maps that are outdated or too old, and asks the voters about the others if that
+    /// is due.
     pub(crate) fn query_voters(&mut self, out: &mut Outgoing) {
         let (now, before) = (self.now, self.unconfirmed_maps.len());
         let current = self.map.epoch;
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Counts a voter's confirmation of a map. Once a majority has confirmed it, adopts it, passes it on and reports.
+    /// Counts a voter's confirmation of a map. Once a majority has confirmed it, adopts it, passes it on and
+    /// reports.
     pub(crate) fn handle_confirmation(&mut self, epoch: Epoch, hash: u64, bit: u8, out: &mut Outgoing) {
         let same = |t: &&mut UnconfirmedMap| t.map.epoch == epoch && t.hash == hash;
         let Some(t) = self.unconfirmed_maps.iter_mut().find(same) else { return };
@@ -80,8 +83,8 @@
         }
     }
 
-    /// If this proxy is a voter, announces the map in use to its part of the proxies, because the decider may die before all
-    /// of them know the map.
+    /// If this proxy is a voter, announces the map in use to its part of the proxies, because the decider may
+    /// die before all of them know the map.
     fn pass_on(&mut self, out: &mut Outgoing) {
         let voters = self.settings.voters.len();
         let Some(own) = self.settings.voters.iter().position(|v| *v == self.settings.me.place) else {
--- a/zones/src/decider.rs
+++ b/zones/src/decider.rs
@@ -1,7 +1,8 @@
-//! The decider. It first learns from a majority of the voters which map they accepted last. Then it evaluates the reports and
-//! proposes one map after another.
+//! The decider. It first learns from a majority of the voters which map they accepted last. Then it evaluates
+//! the reports and proposes one map after another.
 //!
-//! It only acts on its own proposal once a majority of the voters accepted it, and never has two open proposals.
+//! It only acts on its own proposal once a majority of the voters accepted it, and never has two open
+//! proposals.
 use crate::guard::{self, ZoneLoad};
 use crate::judge::{Reports, ZoneHealth, LIVENESS_TIMEOUT, REPORT_VALIDITY};
 use crate::map::{Epoch, Map};
@@ -11,11 +12,11 @@
 use std::collections::BTreeMap;
 use std::mem::discriminant;
 
-/// Time after which a proposal that no majority accepted may be ruled out by a promise to another decider: several round
-/// trips.
+/// Time after which a proposal that no majority accepted may be ruled out by a promise to another decider:
+/// several round trips.
 const PROPOSAL_STUCK_AFTER: Micros = 3 * RESEND_INTERVAL;
-/// Map numbers increase in small steps. A number that is larger than all known ones by more than this is a lie, which could
-/// use up the numbers.
+/// Map numbers increase in small steps. A number that is larger than all known ones by more than this is a
+/// lie, which could use up the numbers.
 const MAX_NUMBER_JUMP: u64 = 1 << 32;
 
 /// The health of a zone at the last evaluation.
@@ -48,8 +49,8 @@
     /// It is not the decider.
     #[default]
     Following,
-    /// It collects promises. The voters that promised are two bit sets: those that accepted a map since their start, and
-    /// those that did not.
+    /// It collects promises. The voters that promised are two bit sets: those that accepted a map since their
+    /// start, and those that did not.
     Preparing {
         began: Micros,
         /// Voters that remember a map.
@@ -88,7 +89,8 @@
     /// The largest map number that this incarnation prepared or proposed. No number is used twice.
     number: u64,
     reports: Reports,
-    /// Proxies that report to another incarnation of the decider: when, and the number of the map that they act on.
+    /// Proxies that report to another incarnation of the decider: when, and the number of the map that they
+    /// act on.
     following_others: BTreeMap<u16, (Micros, u64)>,
     /// When the current map was last announced to a proxy.
     announced_at: BTreeMap<u16, Micros>,
@@ -100,8 +102,8 @@
     next_due: Micros,
 }
 
-/// Returns the zones as the capacity guard should see them: a zone that has just returned takes no load of other zones until
-/// it has been in service for as long as the first hold.
+/// Returns the zones as the capacity guard should see them: a zone that has just returned takes no load of
+/// other zones until it has been in service for as long as the first hold.
 fn zones_for_guard(zones: &[Status], now: Micros) -> Vec<Status> {
     let just_returned =
         |z: &&mut Status| z.state == State::In && z.return_started > 0 && now < z.since + state::FIRST_HOLD;
@@ -129,7 +131,8 @@
     /// Ends the work as decider, if it had begun, and drops the proposal that no majority accepted.
     pub fn stop(&mut self) {
         if self.phase != Phase::Following {
-            // The reports are kept: otherwise a late report of an earlier incarnation would be taken for the newest.
+            // The reports are kept: otherwise a late report of an earlier incarnation would be taken for the
+            // newest.
             let old = std::mem::replace(self, Decider::new(self.loads.len()));
             (self.newest_start, self.number, self.loads, self.reports) =
                 (old.newest_start, old.number, old.loads, old.reports);
@@ -157,8 +160,8 @@
         }
     }
 
-    /// Stores a report. Returns false for an outdated report and for one to another incarnation of the decider; their senders
-    /// get the map nevertheless.
+    /// Stores a report. Returns false for an outdated report and for one to another incarnation of the
+    /// decider; their senders get the map nevertheless.
     #[allow(clippy::too_many_arguments)]
     pub fn record_report(
         &mut self,
@@ -179,8 +182,9 @@
         self.reports.record(now, by, seq, map, own_zone, observed)
     }
 
-    /// Handles a voter's promise. It counts if it is for the number that this decider prepared; otherwise a larger number is
-    /// prepared. While leading, a promise to another decider that rules out a stuck proposal makes this one prepare again.
+    /// Handles a voter's promise. It counts if it is for the number that this decider prepared; otherwise a
+    /// larger number is prepared. While leading, a promise to another decider that rules out a stuck proposal
+    /// makes this one prepare again.
     pub fn handle_promise(
         &mut self,
         now: Micros,
@@ -232,8 +236,8 @@
         Some(p.map)
     }
 
-    /// Does what is due now: begins to prepare, begins to lead once the promises are complete, evaluates the zones. Returns
-    /// the messages to the voters.
+    /// Does what is due now: begins to prepare, begins to lead once the promises are complete, evaluates the
+    /// zones. Returns the messages to the voters.
     pub fn run(
         &mut self,
         now: Micros,
@@ -257,8 +261,8 @@
         if let Phase::Preparing { began, remembering, restarted, latest, next_send } = &mut self.phase {
             let voters_in = |bits: u8| bits.count_ones() as usize;
             let (remembering, promised, all) = (*remembering, *remembering | *restarted, s.voters.len());
-            // Every voter answered, so that no other could remember a later map; or a majority answered and the others have
-            // been silent for so long that they count as gone too.
+            // Every voter answered, so that no other could remember a later map; or a majority answered and
+            // the others have been silent for so long that they count as gone too.
             let forgotten =
                 voters_in(promised) == all || voters_in(promised) * 2 > all && now >= *began + 2 * s.lease;
             if voters_in(remembering) * 2 > all || forgotten {
@@ -277,7 +281,8 @@
                 return requests;
             }
         }
-        // Nothing is evaluated before a majority accepted this decider's first map, the one from which it continues.
+        // Nothing is evaluated before a majority accepted this decider's first map, the one from which it
+        // continues.
         if self.proposal.is_none() && map.epoch.incarnation == s.me.life && now >= self.next_due {
             self.next_due = now + RESEND_INTERVAL;
             self.evaluate_zones(now, s, map, counters);
@@ -293,12 +298,13 @@
         requests
     }
 
-    /// Evaluates every zone, beginning with the one that fails for the largest part of the proxies, and proposes one map with
-    /// all transitions that are due.
+    /// Evaluates every zone, beginning with the one that fails for the largest part of the proxies, and
+    /// proposes one map with all transitions that are due.
     fn evaluate_zones(&mut self, now: Micros, s: &Settings, map: &Map, counters: &mut Counters) {
         let mut zones = map.zones.clone();
         let mut order = Vec::new();
-        // While a zone is out, the others carry its load. Their own load can only be measured while all are in service.
+        // While a zone is out, the others carry its load. Their own load can only be measured while all are
+        // in service.
         let all_in_service = zones.iter().all(|z| matches!(z.state, State::In | State::Suspect));
         for (z, status) in zones.iter().enumerate() {
             let drawn = |p: u16| status.is_prober(p);
@@ -313,7 +319,8 @@
                 tracked.impairment_changed_at = now;
             }
             tracked.health = health;
-            // A decider that began while a zone already failed has no better estimate than the load that goes there now.
+            // A decider that began while a zone already failed has no better estimate than the load that goes
+            // there now.
             if all_in_service && (matches!(health, ZoneHealth::Healthy(..)) || self.loads[z].load == 0) {
                 let (load, capacity) = self.reports.load_and_capacity(now, z as u16);
                 self.loads[z].update(load, capacity);
@@ -325,8 +332,9 @@
         self.following_others.retain(|_, (at, _)| now < *at + LIVENESS_TIMEOUT);
         let all_acted = self.following_others.is_empty()
             && self.reports.live(now).all(|(_, h)| h.map_number == map.epoch.number);
-        // If all voters forgot a map that proxies still act on, those proxies never go back to an earlier one, so the next map
-        // gets a larger number than theirs. The second largest number counts, since one proxy may lie.
+        // If all voters forgot a map that proxies still act on, those proxies never go back to an earlier
+        // one, so the next map gets a larger number than theirs. The second largest number counts, since one
+        // proxy may lie.
         let mut later: Vec<u64> = self.following_others.values().map(|(_, number)| *number).collect();
         later.sort_unstable();
         let later = later.iter().rev().nth(1).copied().unwrap_or(0);
--- a/zones/src/encoding.rs
+++ b/zones/src/encoding.rs
@@ -8,8 +8,8 @@
 pub(crate) const STATUS_BYTES: usize = 22;
 
 impl Map {
-    /// Returns a hash of everything in the map but its times, so that it is the same for every holder of the map, whatever
-    /// its clock.
+    /// Returns a hash of everything in the map but its times, so that it is the same for every holder of the
+    /// map, whatever its clock.
     pub fn hash(&self) -> u64 {
         let hash = Sha256::digest(without_times(self));
         u64::from_be_bytes([hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7]])
--- a/zones/src/guard.rs
+++ b/zones/src/guard.rs
@@ -9,8 +9,8 @@
 /// The weight of a new sample in the moving averages of load and capacity: one part in this many.
 const AVERAGE_DIVISOR: u64 = 4;
 
-/// The fraction of successes that does not keep a zone, in thousandths of the proxies that tried it: one proxy in ten may
-/// lie, or may have reported success before the zone failed.
+/// The fraction of successes that does not keep a zone, in thousandths of the proxies that tried it: one
+/// proxy in ten may lie, or may have reported success before the zone failed.
 const IGNORED_SUCCESS_PERMILLE: u32 = 100;
 
 /// The load and capacity of a zone while it was in service, in attempts per two seconds.
@@ -23,8 +23,9 @@
 }
 
 impl ZoneLoad {
-    /// Adds a sample of a zone in service to the averages. `capacity` follows from the utilization that the members report,
-    /// `None` if they report none. The average of the capacity never falls below that of the load.
+    /// Adds a sample of a zone in service to the averages. `capacity` follows from the utilization that the
+    /// members report, `None` if they report none. The average of the capacity never falls below that of the
+    /// load.
     pub fn update(&mut self, load: u32, capacity: Option<u32>) {
         let mean = |old, new| {
             ((u64::from(old) * (AVERAGE_DIVISOR - 1) + u64::from(new)).div_ceil(AVERAGE_DIVISOR)) as u32
@@ -35,9 +36,9 @@
     }
 }
 
-/// Returns `None` if `zone` must stay in service. Otherwise returns the thousandths of its load that fit into other zones,
-/// and the thousandths of the requests to the proxies in the zone that have to be refused. `served` is the thousandths of
-/// the proxies that tried the zone for which it still works.
+/// Returns `None` if `zone` must stay in service. Otherwise returns the thousandths of its load that fit into
+/// other zones, and the thousandths of the requests to the proxies in the zone that have to be refused.
+/// `served` is the thousandths of the proxies that tried the zone for which it still works.
 ///
 /// ```
 /// use threadward_zones::guard::{leave_plan, ZoneLoad};
@@ -69,11 +70,12 @@
     }
     let fallbacks =
         || zones[zone].fallbacks.iter().map(|t| usize::from(*t)).filter(|t| *t != zone && in_service(*t));
-    // Without a fallback the zone stays: each proxy already skips the failing members on its own, which refuses as soon, and
-    // the rest of the zone still serves.
+    // Without a fallback the zone stays: each proxy already skips the failing members on its own, which
+    // refuses as soon, and the rest of the zone still serves.
     fallbacks().next()?;
-    // If the capacity of a fallback is unknown, a zone that serves hardly anything is moved whatever the free capacity: the
-    // limits of the fallbacks and of the proxies shed the excess. A zone that still serves stays.
+    // If the capacity of a fallback is unknown, a zone that serves hardly anything is moved whatever the free
+    // capacity: the limits of the fallbacks and of the proxies shed the excess. A zone that still serves
+    // stays.
     if fallbacks().any(|t| loads[t].capacity == 0) {
         return (served <= IGNORED_SUCCESS_PERMILLE).then_some((1000, 0));
     }
@@ -97,8 +99,9 @@
     if moved + IGNORED_SUCCESS_PERMILLE < served {
         return None;
     }
-    // For a location, the requests that fit nowhere are refused on arrival. For a parent zone, the proxies' own limits shed
-    // the fills that fit nowhere: hits need no fill, and refusing requests would lose the hits too.
+    // For a location, the requests that fit nowhere are refused on arrival. For a parent zone, the proxies'
+    // own limits shed the fills that fit nowhere: hits need no fill, and refusing requests would lose the
+    // hits too.
     let refused = if kind == Kind::Location { 1000 - moved } else { 0 };
     Some((moved as u16, refused as u16))
 }
--- a/zones/src/instance.rs
+++ b/zones/src/instance.rs
@@ -1,4 +1,5 @@
-//! One proxy's instance: the interface that the proxy calls, and the dispatch of messages to the parts of the instance.
+//! One proxy's instance: the interface that the proxy calls, and the dispatch of messages to the parts of the
+//! instance.
 use crate::adoption::UnconfirmedMap;
 use crate::decider::Decider;
 use crate::map::{Epoch, Map};
@@ -74,7 +75,7 @@
     /// };
     /// let z = Zones::new(0, s.clone()).unwrap();
     /// assert_eq!(z.usage(1), Use::All, "every zone is in service until a majority says otherwise");
-    /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "the number of voters must be odd");
+    /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "two voters, an even number");
     /// ```
     pub fn new(now: Micros, settings: Settings) -> Result<Zones, String> {
         check(&settings)?;
@@ -110,7 +111,8 @@
         &self.map
     }
 
-    /// Returns whether a map was learned or waited for long enough. Until then, a proxy that starts takes no requests.
+    /// Returns whether a map was learned or waited for long enough. Until then, a proxy that starts takes no
+    /// requests.
     pub fn ready(&self, now: Micros) -> bool {
         self.map.epoch.number > 0 || now >= self.started + STARTUP_WAIT
     }
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Returns the part of this proxy's requests, in thousandths, that it refuses at once because they fit nowhere while its
-    /// own zone is out.
+    /// Returns the part of this proxy's requests, in thousandths, that it refuses at once because they fit
+    /// nowhere while its own zone is out.
     pub fn refused_permille(&self) -> u16 {
         let own = self.map.zones.get(usize::from(self.settings.own_zone));
         own.map_or(0, |s| match s.state {
@@ -153,8 +155,8 @@
         std::mem::take(&mut self.moves)
     }
 
-    /// Stores what this proxy's own attempts showed of each zone in the last two seconds. If a zone begins to fail, or stops
-    /// failing, the next report is due at once.
+    /// Stores what this proxy's own attempts showed of each zone in the last two seconds. If a zone begins to
+    /// fail, or stops failing, the next report is due at once.
     pub fn observe(&mut self, now: Micros, observed: Vec<Seen>) {
         self.now = self.now.max(now);
         let fails = |all: &[Seen], z: u16| all.iter().any(|s| s.zone == z && s.fails());
@@ -177,8 +179,9 @@
         self.next_report.min(query).min(self.decider.next_due())
     }
 
-    /// Does what is due by now, given the current state of the election, and appends the messages to send to `out`. The
-    /// receiving proxies pass them to [`Zones::receive`]. An example with a single voter, which decides alone:
+    /// Does what is due by now, given the current state of the election, and appends the messages to send to
+    /// `out`. The receiving proxies pass them to [`Zones::receive`]. An example with a single voter, which
+    /// decides alone:
     ///
     /// ```
     /// use threadward_zones::{
@@ -224,8 +227,8 @@
         }
     }
 
-    /// Handles a message that is known to come from the proxy `from`. A message that claims another sender is counted as
-    /// malformed.
+    /// Handles a message that is known to come from the proxy `from`. A message that claims another sender is
+    /// counted as malformed.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -245,8 +248,8 @@
         }
     }
 
-    /// Stores the state of the election. If the decider changed, the next report is due at once. An instance that is no
-    /// longer the decider drops its open proposal.
+    /// Stores the state of the election. If the decider changed, the next report is due at once. An instance
+    /// that is no longer the decider drops its open proposal.
     fn update_election(&mut self, election: ElectionView) {
         let changed =
             election.is_decider != self.election.is_decider || election.decider != self.election.decider;
@@ -319,8 +322,8 @@
                 if let Some(epoch) = self.accept(by, map) {
                     self.send(by.place, &Body::Accepted { epoch }, out);
                 } else if let Some((promised_epoch, no_map_since_start, map)) = self.prepare(by, 0) {
-                    // The proposer is the elected decider, but an earlier promise rules its proposal out: it has to prepare
-                    // again with a larger number.
+                    // The proposer is the elected decider, but an earlier promise rules its proposal out: it
+                    // has to prepare again with a larger number.
                     if promised_epoch.number >= proposed {
                         self.send(by.place, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
                     }
--- a/zones/src/judge.rs
+++ b/zones/src/judge.rs
@@ -1,17 +1,18 @@
-//! Derives the health of a zone from the reports of all proxies: whose report counts, and how many have to agree.
+//! Derives the health of a zone from the reports of all proxies: whose report counts, and how many have to
+//! agree.
 //!
-//! Each proxy counts once, and a proxy for which every zone fails does not count as a witness, because it is probably cut
-//! off itself.
+//! Each proxy counts once, and a proxy for which every zone fails does not count as a witness, because it is
+//! probably cut off itself.
 use nickelgate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use threadward_budgets::wire::Author;
 use threadward_core::zoned::Seen;
 
-/// Age after which a report no longer counts as evidence. Reports arrive every [`crate::DEGRADED_REPORT_INTERVAL`] while
-/// anything is wrong.
+/// Age after which a report no longer counts as evidence. Reports arrive every
+/// [`crate::DEGRADED_REPORT_INTERVAL`] while anything is wrong.
 pub const REPORT_VALIDITY: Micros = 1_500_000;
-/// The number of proxies that have to report on a zone, where nobody was drawn to probe it: one of them may lie and another
-/// may be cut off.
+/// The number of proxies that have to report on a zone, where nobody was drawn to probe it: one of them may
+/// lie and another may be cut off.
 pub const MIN_WITNESSES: usize = 3;
 /// Time without a report after which a proxy counts as gone: three reports in healthy times.
 pub const LIVENESS_TIMEOUT: Micros = 3_000_000;
@@ -57,9 +58,11 @@
     Unknown,
     /// Fewer than a third of the proxies that tried it see it fail.
     Healthy(u16, u16),
-    /// At least a third see it fail; or two thirds, but all of them in one zone while others tried it as well.
+    /// At least a third see it fail; or two thirds, but all of them in one zone while others tried it as
+    /// well.
     Degraded(u16, u16),
-    /// At least two thirds see it fail, and they run in more than one zone unless all proxies that tried it run in one.
+    /// At least two thirds see it fail, and they run in more than one zone unless all proxies that tried it
+    /// run in one.
     Failing(u16, u16),
 }
 
@@ -74,8 +77,9 @@
 }
 
 impl Reports {
-    /// Stores a report. Returns false, and stores nothing, if it is not newer than the one that is stored or comes from an
-    /// earlier incarnation. `map` is the number and the hash of the map that the sender acts on.
+    /// Stores a report. Returns false, and stores nothing, if it is not newer than the one that is stored or
+    /// comes from an earlier incarnation. `map` is the number and the hash of the map that the sender acts
+    /// on.
     #[allow(clippy::too_many_arguments)]
     pub fn record(
         &mut self,
@@ -125,8 +129,8 @@
         self.0.iter().filter(move |(_, h)| now < h.received_at + LIVENESS_TIMEOUT).map(|(p, h)| (*p, h))
     }
 
-    /// Returns the health of a zone according to all proxies, or only to the proxies that `by` selects: those that were
-    /// drawn to probe it. Two probers are enough, or one if no more are live.
+    /// Returns the health of a zone according to all proxies, or only to the proxies that `by` selects: those
+    /// that were drawn to probe it. Two probers are enough, or one if no more are live.
     ///
     /// ```
     /// use threadward_zones::judge::{Reports, ZoneHealth, REPORT_VALIDITY};
@@ -177,8 +181,8 @@
         }
     }
 
-    /// Returns the attempts that all live proxies send to a zone in two seconds, and the number that it could carry,
-    /// estimated from the utilization that its members report; `None` if they report none.
+    /// Returns the attempts that all live proxies send to a zone in two seconds, and the number that it could
+    /// carry, estimated from the utilization that its members report; `None` if they report none.
     pub fn load_and_capacity(&self, now: Micros, zone: u16) -> (u32, Option<u32>) {
         let live_reports = self
             .0
--- a/zones/src/lib.rs
+++ b/zones/src/lib.rs
@@ -1,10 +1,12 @@
 //! Decides for a whole fleet of proxies which zones it sends requests to.
 //!
-//! Each proxy runs one [`Zones`] instance. The instance reports what the proxy's own attempts showed, votes on maps if it
-//! is a voter, decides on new maps while it is the elected decider, and tells the proxy how each zone may be used.
+//! Each proxy runs one [`Zones`] instance. The instance reports what the proxy's own attempts showed, votes
+//! on maps if it is a voter, decides on new maps while it is the elected decider, and tells the proxy how
+//! each zone may be used.
 //!
-//! An instance reads no clock and opens no socket. It only acts on maps that a majority of the voters accepted, and it
-//! never goes back to an earlier map. `docs/zones.md` explains the protocol; `state.rs` specifies the states of a zone.
+//! An instance reads no clock and opens no socket. It only acts on maps that a majority of the voters
+//! accepted, and it never goes back to an earlier map. `docs/zones.md` explains the protocol; `state.rs`
+//! specifies the states of a zone.
 #![forbid(unsafe_code)]
 
 mod adoption;
--- a/zones/src/map.rs
+++ b/zones/src/map.rs
@@ -4,8 +4,8 @@
 use crate::state::Status;
 use nickelgate::Micros;
 
-/// The position of a map in the order of all maps; a later map has a larger epoch. It contains the incarnation of the
-/// decider that made the map, so that two deciders never produce the same epoch.
+/// The position of a map in the order of all maps; a later map has a larger epoch. It contains the
+/// incarnation of the decider that made the map, so that two deciders never produce the same epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch {
     /// Increases with every map.
--- a/zones/src/reporting.rs
+++ b/zones/src/reporting.rs
@@ -6,7 +6,8 @@
 use crate::{Outgoing, Seen, DEGRADED_REPORT_INTERVAL, HEALTHY_REPORT_INTERVAL};
 
 impl Zones {
-    /// Reports to the decider what this proxy's own attempts showed and which map it acts on, and schedules the next report.
+    /// Reports to the decider what this proxy's own attempts showed and which map it acts on, and schedules
+    /// the next report.
     pub(crate) fn report(&mut self, out: &mut Outgoing) {
         let degraded =
             self.map.zones.iter().any(|z| z.state != State::In) || self.observed.iter().any(Seen::fails);
@@ -37,8 +38,9 @@
         }
     }
 
-    /// Does the decider's work that is due, if this proxy is the decider: sends prepare requests and proposals to the voters,
-    /// adopts a proposal that a majority accepted, and announces the map to proxies that act on another one.
+    /// Does the decider's work that is due, if this proxy is the decider: sends prepare requests and
+    /// proposals to the voters, adopts a proposal that a majority accepted, and announces the map to proxies
+    /// that act on another one.
     pub(crate) fn decide(&mut self, out: &mut Outgoing) {
         if !self.election.is_decider {
             return;
@@ -77,16 +79,16 @@
         self.announce_to_outdated(None, out);
     }
 
-    /// Announces the map to the proxies that act on another one, to each at most once in [`crate::RESEND_INTERVAL`]. `only`
-    /// restricts this to a proxy that has just reported.
+    /// Announces the map to the proxies that act on another one, to each at most once in
+    /// [`crate::RESEND_INTERVAL`]. `only` restricts this to a proxy that has just reported.
     pub(crate) fn announce_to_outdated(&mut self, only: Option<u16>, out: &mut Outgoing) {
         if !self.decider.leads() || self.map.epoch.incarnation != self.settings.me.life {
             return;
         }
         for to in self.decider.take_outdated(self.now, &self.map, self.settings.me.place, only) {
             self.send(to, &Body::Announce { map: self.map.clone() }, out);
-            // A voter that missed or forgot the map also gets it as a proposal, so that it can confirm the map and pass it to
-            // the next decider.
+            // A voter that missed or forgot the map also gets it as a proposal, so that it can confirm the
+            // map and pass it to the next decider.
             if self.voter_bit(to).is_some() {
                 self.send(to, &Body::Propose { map: self.map.clone() }, out);
             }
--- a/zones/src/state.rs
+++ b/zones/src/state.rs
@@ -1,23 +1,27 @@
-//! The states of a zone and every transition between them. This file is the specification; `docs/zones.md` has the same
-//! table in words.
+//! The states of a zone and every transition between them. This file is the specification; `docs/zones.md`
+//! has the same table in words.
 //!
-//! The transitions depend only on the arguments of [`next_status`]: this file reads no clock and counts no reports. Between
-//! two transitions of a zone at least the times below pass. Only the decider calls [`next_status`]; a transition takes
-//! effect once a majority of the voters accepted the map that contains it.
+//! The transitions depend only on the arguments of [`next_status`]: this file reads no clock and counts no
+//! reports. Between two transitions of a zone at least the times below pass. Only the decider calls
+//! [`next_status`]; a transition takes effect once a majority of the voters accepted the map that contains
+//! it.
 use crate::judge::ZoneHealth;
 use nickelgate::Micros;
 
-/// Time for which two thirds of the proxies must see a zone fail before it is left, so that a single lost report changes
-/// nothing.
+/// Time for which two thirds of the proxies must see a zone fail before it is left, so that a single lost
+/// report changes nothing.
 pub const CONFIRMATION_TIME: Micros = 300_000;
-/// Time without impairment after which a suspect zone is in service again: the time span that a report covers.
+/// Time without impairment after which a suspect zone is in service again: the time span that a report
+/// covers.
 pub const SUSPECT_CLEARED_AFTER: Micros = 2_000_000;
-/// The same for a suspect zone that nobody tries. It is longer because a proxy skips a member of a suspect zone for 5 s after
-/// one failure, so that a lack of reports proves nothing.
+/// The same for a suspect zone that nobody tries. It is longer because a proxy skips a member of a suspect
+/// zone for 5 s after one failure, so that a lack of reports proves nothing.
 pub const UNTRIED_SUSPECT_CLEARED_AFTER: Micros = 6_000_000;
-/// Time by which all live proxies act on a decision. After it the zone counts as out, whoever has not answered.
+/// Time by which all live proxies act on a decision. After it the zone counts as out, whoever has not
+/// answered.
 pub const LEAVE_DEADLINE: Micros = 1_000_000;
-/// Time that a zone stays out at first: as long as a proxy skips a suspect member. It doubles with each failed return.
+/// Time that a zone stays out at first: as long as a proxy skips a suspect member. It doubles with each
+/// failed return.
 pub const FIRST_HOLD: Micros = 5_000_000;
 /// How often the hold doubles at most.
 pub const MAX_HOLD_DOUBLINGS: u8 = 4;
@@ -34,14 +38,15 @@
 
 /// Smallest number of proxies that probe a zone, as far as there are that many.
 pub const MIN_PROBERS: u32 = 4;
-/// In a large fleet, the largest part of the proxies that probe a zone, in thousandths. These probers send as if the zone
-/// were warm: all of them together send less than members that have just started can bear under the strictest settings. The
-/// few attempts that each proxy's own budget allows for cold members would not be enough to assess the zone.
+/// In a large fleet, the largest part of the proxies that probe a zone, in thousandths. These probers send as
+/// if the zone were warm: all of them together send less than members that have just started can bear under
+/// the strictest settings. The few attempts that each proxy's own budget allows for cold members would not be
+/// enough to assess the zone.
 pub const SMALL_PROBER_SHARE: u16 = 40;
 /// Attempts in two seconds on which the assessment of a probed zone rests.
 pub const ATTEMPTS_FOR_ASSESSMENT: u32 = 20;
-/// A member that has just started takes this fraction (one in so many) of the attempts that it takes when warm, under the
-/// strictest settings.
+/// A member that has just started takes this fraction (one in so many) of the attempts that it takes when
+/// warm, under the strictest settings.
 pub const COLD_MEMBER_DIVISOR: u32 = 16;
 
 /// The state of a zone.
@@ -122,8 +127,8 @@
     pub impairment_changed_at: Micros,
     /// Whether all live proxies act on the current map.
     pub all_acted: bool,
-    /// Result of the capacity guard: thousandths of the load that fit elsewhere and thousandths of the requests that would
-    /// be refused; `None` if the zone must stay in service.
+    /// Result of the capacity guard: thousandths of the load that fit elsewhere and thousandths of the
+    /// requests that would be refused; `None` if the zone must stay in service.
     pub leave_plan: Option<(u16, u16)>,
     /// Whether the capacity guard would let the zone go if it served nothing.
     pub may_leave_if_idle: bool,
@@ -142,19 +147,21 @@
     pub fn hold_time(&self) -> Micros {
         FIRST_HOLD << self.failed_returns.min(MAX_HOLD_DOUBLINGS)
     }
-    /// Returns when the current step ends, counted from the start of the return. The steps divide the time to warm up evenly.
+    /// Returns when the current step ends, counted from the start of the return. The steps divide the time to
+    /// warm up evenly.
     pub fn step_due_after(&self, warm_up: Micros) -> Micros {
         warm_up.max(MIN_RETURN_TIME) * Micros::from(self.step) / Micros::from(RETURN_STEPS)
     }
-    /// Returns whether the proxy with this index was drawn to probe the zone. Every proxy computes the same answer.
+    /// Returns whether the proxy with this index was drawn to probe the zone. Every proxy computes the same
+    /// answer.
     pub fn is_prober(&self, proxy: u16) -> bool {
         let x = (u64::from(proxy) << 16 | u64::from(self.prober_seed)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (x ^ x >> 32).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 32 & 0xffff
             < u64::from(self.probers_permille) * 0xffff / 1000
     }
-    /// Returns which part of `proxies` has to probe a zone that carried `load` attempts in two seconds, in thousandths: enough
-    /// to assess the zone from the few attempts that cold members take, and twice as many as before if the last probers
-    /// reported too little.
+    /// Returns which part of `proxies` has to probe a zone that carried `load` attempts in two seconds, in
+    /// thousandths: enough to assess the zone from the few attempts that cold members take, and twice as many
+    /// as before if the last probers reported too little.
     pub fn prober_permille(&self, load: u32, proxies: u32) -> u16 {
         let min_share = u64::from(MIN_PROBERS) * 1000 / u64::from(proxies.max(1));
         if min_share <= u64::from(SMALL_PROBER_SHARE) {
@@ -180,8 +187,8 @@
     }
 }
 
-/// Returns the status after the transition that is due now, or `None` if none is due. For a zone that is to be probed, the
-/// caller then draws the probers.
+/// Returns the status after the transition that is due now, or `None` if none is due. For a zone that is to
+/// be probed, the caller then draws the probers.
 ///
 /// ```
 /// use threadward_zones::judge::ZoneHealth;
@@ -210,8 +217,8 @@
     let health_for = now.saturating_sub(context.health_since);
     let impairment_unchanged_for = now.saturating_sub(context.impairment_changed_at);
     match (s.state, health) {
-        // While a zone is suspect, proxies skip its members sooner. That costs a zone that is merely overloaded, so only a
-        // zone that could be left becomes suspect.
+        // While a zone is suspect, proxies skip its members sooner. That costs a zone that is merely
+        // overloaded, so only a zone that could be left becomes suspect.
         (In, Degraded(..) | Failing(..)) if context.may_leave_if_idle => {
             counted.with_state(now, Suspect, Why::Failing)
         }
@@ -243,7 +250,8 @@
         }
         (Probing, Healthy(..)) if health_for >= CONFIRMATION_TIME && in_state_for >= CONFIRMATION_TIME => {
             let step = if context.members_cold { 1 } else { STEPS_SKIPPED_WHEN_WARM + 1 };
-            // The return of a warm zone counts as begun at the time that puts the skipped steps into the past.
+            // The return of a warm zone counts as begun at the time that puts the skipped steps into the
+            // past.
             let skipped = Status { step: step - 1, ..counted }.step_due_after(context.warm_up);
             let began = Status { return_started: now.saturating_sub(skipped), ..counted };
             began.with_state(now, Returning, Why::Fine).map(|r| Status { step, ..r })
@@ -252,8 +260,8 @@
         (Returning, Failing(..)) if health_for >= CONFIRMATION_TIME => {
             counted.with_failed_return(now, Why::Failing)
         }
-        // Reports still cover failures from before the last step for a while. Without this wait, one failure would take back
-        // more than one step.
+        // Reports still cover failures from before the last step for a while. Without this wait, one failure
+        // would take back more than one step.
         (Returning, Degraded(..) | Failing(..))
             if in_state_for >= SUSPECT_CLEARED_AFTER && impairment_unchanged_for >= CONFIRMATION_TIME =>
         {
--- a/zones/src/tally.rs
+++ b/zones/src/tally.rs
@@ -5,7 +5,8 @@
 pub struct Counters {
     /// Bytes of the messages that were sent.
     pub sent_bytes: u64,
-    /// Messages that could not be decoded, came from a proxy that is not in the file, or held a map of other settings.
+    /// Messages that could not be decoded, came from a proxy that is not in the file, or held a map of other
+    /// settings.
     pub malformed: u64,
     /// Maps and reports of an earlier epoch or incarnation.
     pub outdated: u64,
--- a/zones/src/voter.rs
+++ b/zones/src/voter.rs
@@ -10,7 +10,8 @@
 pub(crate) struct Voter {
     /// The map that it accepted last.
     pub accepted: Map,
-    /// The number and incarnation of the last decider that sent a prepare request. Earlier maps are no longer accepted.
+    /// The number and incarnation of the last decider that sent a prepare request. Earlier maps are no longer
+    /// accepted.
     pub promised_epoch: Epoch,
     /// Whether it has accepted no map since it started. Until it does, it may have forgotten one.
     pub no_map_since_start: bool,
@@ -27,12 +28,12 @@
         bits.count_ones() as usize * 2 > self.settings.voters.len()
     }
 
-    /// Answers a prepare request: returns the promised epoch, whether this voter may have forgotten a map, and the map that
-    /// it accepted last. Promises to accept no earlier map from then on if `number` is large enough. Only the incarnation
-    /// that this voter is promised to in the election gets an answer.
+    /// Answers a prepare request: returns the promised epoch, whether this voter may have forgotten a map,
+    /// and the map that it accepted last. Promises to accept no earlier map from then on if `number` is large
+    /// enough. Only the incarnation that this voter is promised to in the election gets an answer.
     ///
-    /// `number` has to be two more than any number known here: a former decider may have an unanswered proposal whose
-    /// number is one more than that of the last map that a majority accepted.
+    /// `number` has to be two more than any number known here: a former decider may have an unanswered
+    /// proposal whose number is one more than that of the last map that a majority accepted.
     pub(crate) fn prepare(&mut self, by: Author, number: u64) -> Option<(Epoch, bool, Map)> {
         let v = self.voter.as_mut().filter(|_| self.election.promised_to == Some(by))?;
         if number >= v.promised_epoch.number.max(v.accepted.epoch.number).saturating_add(2) {
@@ -41,9 +42,9 @@
         Some((v.promised_epoch.max(v.accepted.epoch), v.no_map_since_start, v.accepted.clone()))
     }
 
-    /// Accepts a proposed map and returns its epoch, or counts it as outdated. The proposer has to be the incarnation that
-    /// this voter is promised to in the election, and the map has to be the one accepted last, or have a larger number than
-    /// that and not be ruled out by a promise.
+    /// Accepts a proposed map and returns its epoch, or counts it as outdated. The proposer has to be the
+    /// incarnation that this voter is promised to in the election, and the map has to be the one accepted
+    /// last, or have a larger number than that and not be ruled out by a promise.
     pub(crate) fn accept(&mut self, by: Author, map: Map) -> Option<Epoch> {
         let promised = self.election.promised_to == Some(by) && map.epoch.incarnation == by.life;
         let v = self.voter.as_mut()?;
--- a/zones/src/wire.rs
+++ b/zones/src/wire.rs
@@ -1,7 +1,8 @@
 //! The wire format of the messages: encoding, decoding and the bounds of their fields.
 //!
-//! Decoding does not judge what a message says. It allocates no more than the zones of one message need, of which there are
-//! [`crate::MAX_ZONES`] at most. Times are sent as ages in milliseconds, because the clocks of two proxies are unrelated.
+//! Decoding does not judge what a message says. It allocates no more than the zones of one message need, of
+//! which there are [`crate::MAX_ZONES`] at most. Times are sent as ages in milliseconds, because the clocks
+//! of two proxies are unrelated.
 use crate::encoding::{epoch, map, STATUS_BYTES};
 use crate::map::{Epoch, Map};
 use crate::state::{State, Status, Why};
@@ -10,7 +11,8 @@
 use threadward_budgets::wire::Author;
 use threadward_core::zoned::Seen;
 
-/// The first byte of a report. The other messages follow up to 39; the messages of shared budgets begin with 1 to 7.
+/// The first byte of a report. The other messages follow up to 39; the messages of shared budgets begin with
+/// 1 to 7.
 const FIRST_KIND: u8 = 32;
 /// Length of the longest message, without its authentication code.
 pub const MAX_MESSAGE_BYTES: usize = 1 + 10 + 33 + MAX_ZONES * STATUS_BYTES;
@@ -19,12 +21,12 @@
 /// Largest number of members of a zone in a report.
 const MAX_ZONE_MEMBERS: u16 = u16::MAX / 2;
 
-/// The content of a message. The doc comments name the Paxos roles: a decider prepares and proposes, voters promise and
-/// accept.
+/// The content of a message. The doc comments name the Paxos roles: a decider prepares and proposes, voters
+/// promise and accept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Body {
-    /// A proxy reports to the decider what its own attempts showed, which map it acts on and in which zone it runs.
-    /// `to_incarnation` is the incarnation of the decider that made that map.
+    /// A proxy reports to the decider what its own attempts showed, which map it acts on and in which zone it
+    /// runs. `to_incarnation` is the incarnation of the decider that made that map.
     Report {
         seq: u32,
         to_incarnation: u64,
@@ -33,11 +35,11 @@
         own_zone: u16,
         observed: Vec<Seen>,
     },
-    /// A new decider asks a voter for the map that it accepted last, and to accept no map below this number from anybody
-    /// else.
+    /// A new decider asks a voter for the map that it accepted last, and to accept no map below this number
+    /// from anybody else.
     Prepare { number: u64 },
-    /// A voter's answer: it accepts no map before `promised_epoch`. With `no_map_since_start` it has accepted no map since it
-    /// started and may have forgotten one.
+    /// A voter's answer: it accepts no map before `promised_epoch`. With `no_map_since_start` it has accepted
+    /// no map since it started and may have forgotten one.
     Promise { promised_epoch: Epoch, no_map_since_start: bool, map: Map },
     /// The decider asks a voter to accept a map.
     Propose { map: Map },
@@ -122,8 +124,8 @@
     out
 }
 
-/// Decodes a message that [`write`] encoded; returns `None` for anything that is too short, too long or unknown. Points in
-/// time are on the reader's clock, as if the message had been delivered instantly.
+/// Decodes a message that [`write`] encoded; returns `None` for anything that is too short, too long or
+/// unknown. Points in time are on the reader's clock, as if the message had been delivered instantly.
 pub fn read(bytes: &[u8], now: Micros) -> Option<(Author, Body)> {
     let mut r = Reader(bytes);
     let kind = r.read_u8()?.checked_sub(FIRST_KIND)?;
--- a/zones/tests/model.rs
+++ b/zones/tests/model.rs
@@ -1,7 +1,10 @@
-//! A model check of the crate's own code: three proxies that all vote and of which two may decide; messages lost, doubled
-//! and late; a voter that lies once; a voter that restarts without memory; an authority that ends and passes on, the election being what
-//! `docs/budgets.md` proves of it. It owns what must hold in every state. Reports reach a decider at once or not at all,
-//! and a question to vouch is answered at once: neither changes whom it asks.
+//! A model check of the crate's own code, and the invariants that must hold in every state.
+//!
+//! Three proxies all vote, and two of them may become the decider. Messages are lost, duplicated and delayed.
+//! One voter lies once, a voter may restart without memory, and the authority to decide ends and passes on,
+//! with the guarantees that `docs/budgets.md` proves for the election. To keep the number of states small, a
+//! report is delivered at once or not at all and a query to a voter is delivered at once: neither changes
+//! whom the instances ask.
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::collections::{BTreeMap, BTreeSet};
 use threadward_zones::map::{Epoch, Map};
@@ -13,58 +16,67 @@
 };
 
 const N: usize = 3;
-/// States that are visited by lot from each start.
-const SOME: usize = 150_000;
+/// Number of states that the random walk visits from each start.
+const RANDOM_STATES: usize = 150_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
     all: Vec<Zones>,
-    lives: [u64; N],
+    incarnations: [u64; N],
     clocks: [u64; N],
-    net: BTreeSet<(u16, u16, Vec<u8>)>,
-    promised: [Option<Author>; N],
+    /// Messages on their way: receiver, sender and bytes.
+    in_flight: BTreeSet<(u16, u16, Vec<u8>)>,
+    promised_to: [Option<Author>; N],
     decider: Option<usize>,
+    // How many events of each kind may still happen.
     ticks: [u8; N],
     elections: u8,
     crashes: u8,
-    doubles: u8,
+    duplicates: u8,
     lies: u8,
-    /// Of a map that a voter took, who; and of a number the map that somebody acted on.
-    took: BTreeMap<(Epoch, u64), u8>,
-    acted: BTreeMap<u64, (u64, Map)>,
+    /// For each map, by epoch and hash, the voters that accepted it, one bit each.
+    accepted_by: BTreeMap<(Epoch, u64), u8>,
+    /// For each map number, the hash and the map that a proxy acted on first.
+    acted_on: BTreeMap<u64, (u64, Map)>,
     epochs: [Epoch; N],
-    /// The map that a decider acted on last, and how many.
+    /// The map that a decider decided and adopted last.
     decided: Option<Map>,
+    /// The incarnations of the deciders whose maps were adopted.
     deciders: BTreeSet<u64>,
-    wrong: Option<&'static str>,
+    /// The first invariant that was broken.
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Event {
     Tick(usize),
-    /// By the voters of these bits.
+    /// A proxy is elected as decider by the voters of these bits.
     Elect(usize, u8),
-    End,
+    /// The authority of the decider ends.
+    EndAuthority,
     Crash(usize),
     Deliver(usize),
-    Double(usize),
-    /// The last voter tells a map that nobody took, and vouches for it.
+    Duplicate(usize),
+    /// The last voter announces a map that nobody accepted, and confirms it.
     Lie,
 }
 
-/// How the fleet stands at the beginning, and how much may happen.
+/// The state of the fleet at the beginning, and how many events of each kind may happen.
 struct Case {
+    /// Whether both parent zones fail.
     fails: bool,
-    /// A decider's tick lasts so long.
-    span: u64,
+    /// The time that passes in a tick of the decider.
+    decider_tick: u64,
     ticks: [u8; N],
     elections: u8,
     crashes: u8,
-    doubles: u8,
-    net: usize,
-    /// Ticks without mishap before the check begins, and of them those in which zone 0 fails.
-    before: u32,
-    failing: u32,
+    duplicates: u8,
+    /// Largest number of messages in flight.
+    max_in_flight: usize,
+    /// Ticks without faults before the check begins.
+    ticks_before: u32,
+    /// The first of them, in which both parent zones fail.
+    failing_ticks: u32,
 }
 
 fn settings(me: Author) -> Settings {
@@ -76,63 +88,65 @@
 
 impl Fleet {
     fn author(&self, i: usize) -> Author {
-        Author { place: i as u16, life: self.lives[i] }
+        Author { place: i as u16, life: self.incarnations[i] }
     }
 
-    fn seat(&self, i: usize) -> ElectionView {
-        let decides = self.decider == Some(i);
+    fn election(&self, i: usize) -> ElectionView {
+        let is_decider = self.decider == Some(i);
         ElectionView {
-            is_decider: decides,
-            promised_to: self.promised[i],
+            is_decider,
+            promised_to: self.promised_to[i],
             decider: self.decider.unwrap_or(0) as u16,
         }
     }
 
-    /// Sends on what one sent, and looks at what it did.
-    fn sent(&mut self, i: usize, out: Vec<(u16, Vec<u8>)>) {
+    /// Puts the messages that a proxy sent in flight, and checks the invariants.
+    fn send_and_check(&mut self, i: usize, out: Vec<(u16, Vec<u8>)>) {
         for (to, bytes) in out {
             let body = wire::read(&bytes, 0).map(|(_, body)| body);
             match body {
                 Some(Body::Report { .. } | Body::Query { .. }) => self.deliver(i as u16, to, &bytes),
                 _ => {
-                    self.net.insert((to, i as u16, bytes));
+                    self.in_flight.insert((to, i as u16, bytes));
                 }
             }
         }
-        self.look(i);
+        self.check_invariants(i);
     }
 
     fn deliver(&mut self, from: u16, to: u16, bytes: &[u8]) {
         let (t, mut out) = (usize::from(to), Vec::new());
-        let (seat, now) = (self.seat(t), self.clocks[t]);
-        self.all[t].receive(now, from, bytes, seat, &mut out);
-        self.sent(t, out);
+        let (election, now) = (self.election(t), self.clocks[t]);
+        self.all[t].receive(now, from, bytes, election, &mut out);
+        self.send_and_check(t, out);
     }
 
     fn tick(&mut self, i: usize, span: u64, fails: bool) {
         self.clocks[i] += span;
         let (now, mut out) = (self.clocks[i], Vec::new());
-        let bad = |zone| Seen { zone, tried: 9, failed: 9, members: 2, bad: 2, load: 9, busy: 60 };
-        let fine = |zone| Seen { failed: 0, bad: 0, ..bad(zone) };
-        // Both hubs fail for all, the location does not.
-        let hub = |zone| if fails { bad(zone) } else { fine(zone) };
-        let seen = vec![hub(0), hub(1), fine(2)];
-        self.all[i].observe(now, seen);
-        let seat = self.seat(i);
-        self.all[i].tick(now, seat, &mut out);
-        self.sent(i, out);
+        let failing = |zone| Seen { zone, tried: 9, failed: 9, members: 2, bad: 2, load: 9, busy: 60 };
+        let healthy = |zone| Seen { failed: 0, bad: 0, ..failing(zone) };
+        // Both parent zones fail for all proxies, the location does not.
+        let parent = |zone| if fails { failing(zone) } else { healthy(zone) };
+        let observed = vec![parent(0), parent(1), healthy(2)];
+        self.all[i].observe(now, observed);
+        let election = self.election(i);
+        self.all[i].tick(now, election, &mut out);
+        self.send_and_check(i, out);
     }
 
-    fn look(&mut self, i: usize) {
+    /// Notes which map a proxy has accepted as a voter, and checks the invariants if it acts on another map
+    /// than before. Counters and transitions are cleared so that they don't multiply the states.
+    fn check_invariants(&mut self, i: usize) {
         self.all[i].counters = Counters::default();
         self.all[i].take_moves();
         let mut out = Vec::new();
-        let ask = wire::write(self.author((i + 1) % N), &Body::Query { epoch: Epoch::default() }, 0);
+        let query = wire::write(self.author((i + 1) % N), &Body::Query { epoch: Epoch::default() }, 0);
         let mut voter = self.all[i].clone();
-        voter.receive(self.clocks[i], ((i + 1) % N) as u16, &ask, self.seat(i), &mut out);
+        voter.receive(self.clocks[i], ((i + 1) % N) as u16, &query, self.election(i), &mut out);
         for (_, bytes) in out {
             if let Some((_, Body::Confirm { epoch, hash })) = wire::read(&bytes, 0) {
-                *self.took.entry((epoch, hash)).or_default() |= 1 << i;
+                *self.accepted_by.entry((epoch, hash)).or_default() |= 1 << i;
             }
         }
         let map = self.all[i].map().clone();
@@ -141,24 +155,24 @@
             return;
         }
         self.epochs[i] = epoch;
-        let took = self.took.get(&(epoch, hash)).map_or(0, |bits| bits.count_ones());
-        let known = self.acted.entry(epoch.number).or_insert((hash, map.clone())).0;
-        let returns = (0..2).all(|z| match self.all[i].usage(z) {
+        let accepted = self.accepted_by.get(&(epoch, hash)).map_or(0, |bits| bits.count_ones());
+        let known = self.acted_on.entry(epoch.number).or_insert((hash, map.clone())).0;
+        let usage_within_step = (0..2).all(|z| match self.all[i].usage(z) {
             Use::Part(share) => share <= u16::from(map.zones[usize::from(z)].step.saturating_sub(1)) * 125,
             _ => true,
         });
-        let own = epoch.incarnation == self.lives[i] && self.decider == Some(i);
+        let own = epoch.incarnation == self.incarnations[i] && self.decider == Some(i);
         let old = self.decided.as_ref().filter(|_| own);
         let checks = [
             (epoch > before, "an epoch went back"),
-            (took * 2 > N as u32, "a map was adopted that no majority took"),
+            (accepted * 2 > N as u32, "a map was adopted that no majority accepted"),
             (known == hash, "two maps of one number were adopted"),
-            (map.zones[..2].iter().any(|z| !matches!(z.state, Leaving | Out)), "both hubs are out"),
-            (returns, "a zone is used beyond its step"),
+            (map.zones[..2].iter().any(|z| !matches!(z.state, Leaving | Out)), "both parent zones are out"),
+            (usage_within_step, "a zone is used beyond its step"),
             (old.is_none_or(|o| o.epoch.number < epoch.number), "maps were decided out of order"),
-            (old.is_none_or(|o| follows(o, &map)), "a zone moved off the table"),
+            (old.is_none_or(|o| follows(o, &map)), "a zone made a transition that is not in the table"),
         ];
-        self.wrong = self.wrong.or(checks.iter().find(|c| !c.0).map(|c| c.1));
+        self.violation = self.violation.or(checks.iter().find(|c| !c.0).map(|c| c.1));
         if own {
             self.deciders.insert(epoch.incarnation);
             self.decided = Some(map);
@@ -166,7 +180,7 @@
     }
 }
 
-/// Whether every zone stayed or moved once, as `state.rs` has it.
+/// Returns whether every zone kept its state or made one transition that `state.rs` allows.
 fn follows(old: &Map, new: &Map) -> bool {
     const TABLE: [(State, State); 10] = [
         (In, Suspect),
@@ -181,88 +195,90 @@
         (Returning, In),
     ];
     old.zones.iter().zip(&new.zones).all(|(a, b)| {
-        let on = b.step == a.step || b.step == a.step + 1;
-        let step = a.state != b.state || on || b.step + 1 == a.step && b.why == Why::Failing;
-        (a.state == b.state || TABLE.contains(&(a.state, b.state))) && step
+        let same_or_next = b.step == a.step || b.step == a.step + 1;
+        let step_allowed =
+            a.state != b.state || same_or_next || b.step + 1 == a.step && b.why == Why::Failing;
+        (a.state == b.state || TABLE.contains(&(a.state, b.state))) && step_allowed
     })
 }
 
 impl Model for Case {
     type State = Fleet;
-    type Action = Act;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let lives = [10, 20, 30];
+        let incarnations = [10, 20, 30];
         let new = |i: usize| {
-            Zones::new(1_000_000, settings(Author { place: i as u16, life: lives[i] })).expect("settings")
+            Zones::new(1_000_000, settings(Author { place: i as u16, life: incarnations[i] }))
+                .expect("settings")
         };
         let mut f = Fleet {
             all: (0..N).map(new).collect(),
-            lives,
+            incarnations,
             clocks: [1_000_000; N],
-            net: BTreeSet::new(),
-            promised: [Some(Author { place: 0, life: 10 }); N],
+            in_flight: BTreeSet::new(),
+            promised_to: [Some(Author { place: 0, life: 10 }); N],
             decider: Some(0),
             ticks: self.ticks,
             elections: self.elections,
             crashes: self.crashes,
-            doubles: self.doubles,
+            duplicates: self.duplicates,
             lies: 1,
-            took: BTreeMap::new(),
-            acted: BTreeMap::new(),
+            accepted_by: BTreeMap::new(),
+            acted_on: BTreeMap::new(),
             epochs: [Epoch::default(); N],
             decided: None,
             deciders: BTreeSet::new(),
-            wrong: None,
+            violation: None,
         };
-        for n in 0..self.before {
+        for n in 0..self.ticks_before {
             for i in 0..N {
-                f.tick(i, RESEND_INTERVAL, n < self.failing);
-                while let Some((to, from, bytes)) = f.net.pop_first() {
+                f.tick(i, RESEND_INTERVAL, n < self.failing_ticks);
+                while let Some((to, from, bytes)) = f.in_flight.pop_first() {
                     f.deliver(from, to, &bytes);
                 }
             }
         }
-        assert_eq!(f.wrong, None);
-        // What is known of the past is the last map alone.
+        assert_eq!(f.violation, None);
+        // Only the last map of this time is remembered, so that the states stay small.
         let last = f.all[0].map().clone();
-        f.took.retain(|(epoch, _), _| *epoch == last.epoch);
-        f.acted.retain(|number, _| *number == last.epoch.number);
+        f.accepted_by.retain(|(epoch, _), _| *epoch == last.epoch);
+        f.acted_on.retain(|number, _| *number == last.epoch.number);
         vec![f]
     }
 
-    fn actions(&self, f: &Fleet, acts: &mut Vec<Act>) {
-        acts.extend((0..f.net.len()).map(Act::Deliver));
-        acts.extend((0..N).filter(|i| f.ticks[*i] > 0).map(Act::Tick));
+    fn actions(&self, f: &Fleet, events: &mut Vec<Event>) {
+        events.extend((0..f.in_flight.len()).map(Event::Deliver));
+        events.extend((0..N).filter(|i| f.ticks[*i] > 0).map(Event::Tick));
         if f.decider.is_some() {
-            acts.push(Act::End);
+            events.push(Event::EndAuthority);
         } else if f.elections > 0 {
-            acts.extend([
-                Act::Elect(0, 0b011),
-                Act::Elect(0, 0b101),
-                Act::Elect(1, 0b011),
-                Act::Elect(1, 0b110),
+            events.extend([
+                Event::Elect(0, 0b011),
+                Event::Elect(0, 0b101),
+                Event::Elect(1, 0b011),
+                Event::Elect(1, 0b110),
             ]);
         }
         if f.crashes > 0 {
-            acts.extend((0..N).map(Act::Crash));
+            events.extend((0..N).map(Event::Crash));
         }
         if f.lies > 0 {
-            acts.push(Act::Lie);
+            events.push(Event::Lie);
         }
-        if f.doubles > 0 {
-            acts.extend((0..f.net.len()).map(Act::Double));
+        if f.duplicates > 0 {
+            events.extend((0..f.in_flight.len()).map(Event::Duplicate));
         }
     }
 
-    fn next_state(&self, f: &Fleet, act: Act) -> Option<Fleet> {
+    fn next_state(&self, f: &Fleet, event: Event) -> Option<Fleet> {
         let mut f = f.clone();
-        match act {
-            Act::Tick(i) => {
+        match event {
+            Event::Tick(i) => {
                 f.ticks[i] -= 1;
-                f.tick(i, if f.decider == Some(i) { self.span } else { RESEND_INTERVAL }, self.fails);
+                f.tick(i, if f.decider == Some(i) { self.decider_tick } else { RESEND_INTERVAL }, self.fails);
             }
-            Act::Lie => {
+            Event::Lie => {
                 f.lies -= 1;
                 let mut map = f.all[2].map().clone();
                 map.epoch.number += 100;
@@ -271,32 +287,33 @@
                 let (epoch, hash) = (map.epoch, map.hash());
                 for body in [Body::Announce { map }, Body::Confirm { epoch, hash }] {
                     let bytes = wire::write(f.author(2), &body, f.clocks[2]);
-                    f.net.extend([0, 1].map(|to| (to, 2, bytes.clone())));
+                    f.in_flight.extend([0, 1].map(|to| (to, 2, bytes.clone())));
                 }
             }
-            Act::End => f.decider = None,
-            Act::Elect(i, by) => {
+            Event::EndAuthority => f.decider = None,
+            Event::Elect(i, by) => {
                 f.elections -= 1;
                 f.decider = Some(i);
                 let to = f.author(i);
-                (0..N).filter(|v| by >> v & 1 == 1).for_each(|v| f.promised[v] = Some(to));
+                (0..N).filter(|v| by >> v & 1 == 1).for_each(|v| f.promised_to[v] = Some(to));
             }
-            Act::Crash(i) => {
+            Event::Crash(i) => {
                 f.crashes -= 1;
-                f.lives[i] += 1;
+                f.incarnations[i] += 1;
                 let me = f.author(i);
                 f.all[i] = Zones::new(f.clocks[i], settings(me)).expect("settings");
-                (f.epochs[i], f.promised[i]) = (Epoch::default(), None);
+                (f.epochs[i], f.promised_to[i]) = (Epoch::default(), None);
                 f.decider = f.decider.filter(|d| *d != i);
-                // It promises nothing for a lease: what was under way to it is gone by then.
-                f.net.retain(|(to, _, _)| usize::from(*to) != i);
+                // A restarted voter votes for nobody for the length of a lease. Messages to it that were in
+                // flight are lost by then.
+                f.in_flight.retain(|(to, _, _)| usize::from(*to) != i);
             }
-            Act::Deliver(at) | Act::Double(at) => {
-                let (to, from, bytes) = f.net.iter().nth(at)?.clone();
-                if matches!(act, Act::Double(_)) {
-                    f.doubles -= 1;
+            Event::Deliver(at) | Event::Duplicate(at) => {
+                let (to, from, bytes) = f.in_flight.iter().nth(at)?.clone();
+                if matches!(event, Event::Duplicate(_)) {
+                    f.duplicates -= 1;
                 } else {
-                    f.net.remove(&(to, from, bytes.clone()));
+                    f.in_flight.remove(&(to, from, bytes.clone()));
                 }
                 f.deliver(from, to, &bytes);
             }
@@ -306,60 +323,62 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is wrong", |_, f: &Fleet| f.wrong.is_none()),
-            Property::sometimes("two deciders' maps were acted on", |_, f: &Fleet| f.deciders.len() > 1),
+            Property::always("no invariant is broken", |_, f: &Fleet| f.violation.is_none()),
+            Property::sometimes("proxies acted on maps of two deciders", |_, f: &Fleet| f.deciders.len() > 1),
         ]
     }
 
     fn within_boundary(&self, f: &Fleet) -> bool {
-        f.net.len() <= self.net
+        f.in_flight.len() <= self.max_in_flight
     }
 }
 
 const MANY_EVENTS: Case = Case {
     fails: false,
-    span: 300_000,
+    decider_tick: 300_000,
     ticks: [4, 4, 3],
     elections: 3,
     crashes: 1,
-    doubles: 2,
-    net: 20,
-    before: 0,
-    failing: 0,
+    duplicates: 2,
+    max_in_flight: 20,
+    ticks_before: 0,
+    failing_ticks: 0,
 };
 const FEW_EVENTS: Case =
-    Case { ticks: [1, 2, 0], elections: 1, crashes: 0, doubles: 0, net: 5, ..MANY_EVENTS };
+    Case { ticks: [1, 2, 0], elections: 1, crashes: 0, duplicates: 0, max_in_flight: 5, ..MANY_EVENTS };
 
-/// A zone in the middle of its return, and two that fail at once.
+/// Returns the two starts: a zone in the middle of its return, and two zones that fail at once.
 fn starts(c: Case) -> [(State, Case); 2] {
     [
-        (Returning, Case { before: 62, failing: 12, ..c }),
-        (Suspect, Case { before: 5, failing: 5, fails: true, ..c }),
+        (Returning, Case { ticks_before: 62, failing_ticks: 12, ..c }),
+        (Suspect, Case { ticks_before: 5, failing_ticks: 5, fails: true, ..c }),
     ]
 }
 
-/// Every order of few events, the shortest first.
+/// Guards against a protocol error that a few events in an unusual order bring about. Tries every order,
+/// shortest first.
 #[test]
 fn few_events_in_every_order() {
     for (state, case) in starts(FEW_EVENTS) {
         assert_eq!(case.init_states()[0].all[0].map().zones[0].state, state);
-        let all = case.checker().threads(3).target_state_count(SOME * 2).spawn_bfs().join();
+        let all = case.checker().threads(3).target_state_count(RANDOM_STATES * 2).spawn_bfs().join();
         println!("{state:?}: {} states, {} events deep", all.unique_state_count(), all.max_depth());
         all.assert_properties();
-        assert!(all.unique_state_count() > SOME / 4);
+        assert!(all.unique_state_count() > RANDOM_STATES / 4);
     }
 }
 
-/// Many events, in an order by lot.
+/// Guards against a protocol error that takes more events than can be tried in every order. Tries many events
+/// in random order.
 #[test]
-fn many_events_by_lot() {
+fn many_events_in_random_order() {
     for (seed, (state, case)) in starts(MANY_EVENTS).into_iter().enumerate() {
-        // What a voter forgot shows late, and these states are small.
-        let most = if state == Suspect { SOME * 3 } else { SOME };
+        // The effect of a voter that forgot a map shows late, and these states are small.
+        let states = if state == Suspect { RANDOM_STATES * 3 } else { RANDOM_STATES };
         let some =
-            case.checker().target_state_count(most).spawn_simulation(seed as u64, UniformChooser).join();
+            case.checker().target_state_count(states).spawn_simulation(seed as u64, UniformChooser).join();
         println!("{state:?}: {} states, {} events deep", some.state_count(), some.max_depth());
         some.assert_properties();
-        assert!(some.state_count() >= most);
+        assert!(some.state_count() >= states);
     }
 }
--- a/zones/tests/wire.rs
+++ b/zones/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes: what is written is read, and nothing else is.
+//! The wire format: every encoded message is decoded as it was, and nothing else is decoded.
 use proptest::prelude::*;
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::{State, Status};
@@ -37,7 +37,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(map in maps(), number: u64, no_map_since_start: bool, n in 0..=MAX_ZONES as u16) {
+    fn messages_are_decoded_as_they_were_encoded(map in maps(), number: u64, no_map_since_start: bool, n in 0..=MAX_ZONES as u16) {
         let epoch = map.epoch;
         let one = |zone| Seen { zone, tried: 9, failed: 3, members: 4, bad: 1, load: 9, busy: 7 };
         let report = Body::Report { seq: 1, to_incarnation: number, map_number: 2, map_hash: 3, own_zone: 4, observed: (0..n).map(one).collect() };
@@ -60,28 +60,32 @@
         }
     }
 
-    /// Whatever comes in: no panic, and no map but by a majority.
+    /// Guards against datagrams that crash an instance or change its map: arbitrary bytes after a valid head
+    /// cause no panic, and no map is adopted without a majority.
     #[test]
-    fn noise_changes_nothing(mut bytes: Vec<u8>, kind in 32..40u8, decides: bool) {
+    fn arbitrary_bytes_change_no_map(mut bytes: Vec<u8>, kind in 32..40u8, is_decider: bool) {
         bytes.splice(0..bytes.len().min(3), [kind, 0, 1]);
-        let mut z = one(2);
-        z.receive(NOW, 1, &bytes, ElectionView { is_decider: decides, promised_to: None, decider: 0 }, &mut Vec::new());
+        let mut z = instance(2);
+        z.receive(NOW, 1, &bytes, ElectionView { is_decider, promised_to: None, decider: 0 }, &mut Vec::new());
         prop_assert_eq!(z.map().epoch, Epoch::default());
     }
 }
 
-fn one(zones: usize) -> Zones {
+/// Returns the instance of proxy 0 of 3, with this number of zones.
+fn instance(zones: usize) -> Zones {
     let zone = Zone { kind: Kind::Parent, region: 0, warm_up: 0, fallbacks: vec![] };
     let (me, zones) = (Author { place: 0, life: 7 }, vec![zone; zones]);
     let s = Settings { me, proxies: 3, voters: vec![0, 1, 2], own_zone: 0, lease: 1_000_000, zones };
     Zones::new(0, s).unwrap()
 }
 
-/// Messages of other settings, for another, of figures that cannot be, or with a zone twice are malformed.
+/// Guards against messages that no correct instance of this fleet sends: maps of other settings, messages in
+/// another proxy's name, reports with impossible numbers or with a zone twice. They are counted as malformed
+/// and dropped.
 #[test]
-fn what_cannot_be_is_counted_and_dropped() {
+fn invalid_messages_are_counted_and_dropped() {
     let by = Author { place: 1, life: 9 };
-    let seen = |zone, failed, bad| Seen { zone, tried: 5, failed, members: 4, bad, load: 5, busy: 0 };
+    let observation = |zone, failed, bad| Seen { zone, tried: 5, failed, members: 4, bad, load: 5, busy: 0 };
     let report = |observed| Body::Report {
         seq: 1,
         to_incarnation: 7,
@@ -90,18 +94,19 @@
         own_zone: 0,
         observed,
     };
-    let (map, seat) = (Map::new(3, 0), ElectionView { is_decider: true, promised_to: Some(by), decider: 0 });
+    let (map, election) =
+        (Map::new(3, 0), ElectionView { is_decider: true, promised_to: Some(by), decider: 0 });
     let cases = [
         (1, Body::Announce { map: map.clone() }),
         (1, Body::Propose { map }),
         (2, Body::Prepare { number: 4 }),
-        (1, report(vec![seen(0, 6, 0)])),
-        (1, report(vec![seen(0, 5, 65_535)])),
-        (1, report(vec![seen(0, 5, 4), seen(0, 5, 4)])),
+        (1, report(vec![observation(0, 6, 0)])),
+        (1, report(vec![observation(0, 5, 65_535)])),
+        (1, report(vec![observation(0, 5, 4), observation(0, 5, 4)])),
     ];
     for (from, body) in cases {
-        let (mut z, mut out) = (one(2), Vec::new());
-        z.receive(NOW, from, &wire::write(by, &body, NOW), seat, &mut out);
+        let (mut z, mut out) = (instance(2), Vec::new());
+        z.receive(NOW, from, &wire::write(by, &body, NOW), election, &mut out);
         assert_eq!((z.counters.malformed, out.len()), (1, 0), "{body:?}");
     }
 }
