--- a/control/src/tree.rs
+++ b/control/src/tree.rs
@@ -7,7 +7,7 @@
 use nickelgate::Micros;
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
-use threadward_budgets::{wire, Out};
+use threadward_budgets::{wire, Outbox};
 
 /// Where an answer goes: the process that asked, for its seat.
 #[derive(Clone, Copy, Debug)]
@@ -16,8 +16,8 @@
     place: u16,
 }
 
-/// One proxy's part in the tree: a member of its site's group and, while it leads one, of the group above. It
-/// does nothing by itself: the caller brings the time and messages, and sends what it is given.
+/// One proxy's part in the tree: a member of its site's group and, while it leads one, of the group above. It does
+/// nothing by itself: the caller brings the time and messages, and sends what it is given.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -79,21 +79,20 @@
         })
     }
 
-    /// What this proxy may use of a budget now, in units: its floor, and its lease while that lasts. Ask at
-    /// every use: a process that was stopped finds its lease over here. A budget that is not in the settings
-    /// has 0.
+    /// What this proxy may use of a budget now, in units: its floor, and its lease while that lasts. Ask at every use: a
+    /// process that was stopped finds its lease over here. A budget that is not in the settings has 0.
     pub fn share(&mut self, now: Micros, budget: usize) -> u32 {
         self.site.instance.share(now, budget)
     }
 
     /// What this proxy would use of a budget, in units.
     pub fn want(&mut self, budget: usize, units: u32) {
-        self.site.instance.want(budget, units);
+        self.site.instance.set_demand(budget, units);
     }
 
     /// Whether a lease lasts now.
     pub fn leased(&self, now: Micros) -> bool {
-        self.site.instance.leased(now)
+        self.site.instance.has_lease(now)
     }
 
     /// Whether this process leads its group of that level now.
@@ -120,10 +119,10 @@
     }
 
     /// Carries out what is due by now.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
+    pub fn tick(&mut self, now: Micros, out: &mut Outbox) {
         self.settle(now);
         for level in [Level::Fleet, Level::Region, Level::Site] {
-            let (now, mut messages) = (self.now, Out::new());
+            let (now, mut messages) = (self.now, Outbox::new());
             if let Some(member) = self.member_mut(level) {
                 member.instance.tick(now, &mut messages);
             }
@@ -132,9 +131,9 @@
         }
     }
 
-    /// A frame came in from a proxy of the file; who that is has been checked. One that cannot be read is
-    /// counted and changes nothing.
-    pub fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out) {
+    /// A frame came in from a proxy of the file; who that is has been checked. One that cannot be read is counted and
+    /// changes nothing.
+    pub fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox) {
         self.settle(now);
         let Some(frame) = Frame::decode(message).filter(|frame| self.is_sound(frame)) else {
             self.counters.malformed += 1;
@@ -153,11 +152,11 @@
         }
     }
 
-    /// Ends by will: nothing is used or led from here on. What was handed on runs out by itself, so the
-    /// groups above are told nothing: their leaders count this process's leases until they are over.
-    pub fn leave(&mut self, out: &mut Out) {
+    /// Ends by will: nothing is used or led from here on. What was handed on runs out by itself, so the groups above are
+    /// told nothing: their leaders count this process's leases until they are over.
+    pub fn leave(&mut self, out: &mut Outbox) {
         self.left = true;
-        let mut messages = Out::new();
+        let mut messages = Outbox::new();
         self.site.instance.leave(&mut messages);
         self.send(Level::Site, messages, None, out);
         self.settle(self.now);
@@ -183,8 +182,8 @@
         }
     }
 
-    /// Brings all levels in step: before an instance acts, so that nothing is done on a leadership or lease
-    /// that is over, and after, so that its result reaches the others.
+    /// Brings all levels in step: before an instance acts, so that nothing is done on a leadership or lease that is
+    /// over, and after, so that its result reaches the others.
     fn settle(&mut self, now: Micros) {
         self.now = self.now.max(now);
         self.follow_leadership();
@@ -192,9 +191,8 @@
         self.flow_up();
     }
 
-    /// A member of an upper group lives exactly as long as the term of leadership below: it is dropped when
-    /// that ends, and one that begins has a life of its own and abstains from voting at first, as after a
-    /// restart.
+    /// A member of an upper group lives exactly as long as the term of leadership below: it is dropped when that ends, and
+    /// one that begins has a life of its own and abstains from voting at first, as after a restart.
     fn follow_leadership(&mut self) {
         let site_term = self.leading_term(self.now);
         if self.region.as_ref().map(|region| region.term) != site_term {
@@ -244,25 +242,24 @@
         for (budget, shared) in self.settings.budgets.iter().enumerate() {
             let bounded = |wanted: u64| u32::try_from(wanted).unwrap_or(u32::MAX).min(shared.total_units);
             let Some(region) = &mut self.region else { return };
-            region.instance.want(budget, bounded(self.site.instance.wanted(budget)));
+            region.instance.set_demand(budget, bounded(self.site.instance.total_demand(budget)));
             if let Some(fleet) = self.fleet.as_mut().filter(|_| shared.scope == Scope::Fleet) {
-                fleet.instance.want(budget, bounded(region.instance.wanted(budget)));
+                fleet.instance.set_demand(budget, bounded(region.instance.total_demand(budget)));
             }
         }
     }
 
-    /// Whether the seat that a frame is for exists, and its origin stands behind the seat that its message
-    /// speaks for.
+    /// Whether the seat that a frame is for exists, and its origin stands behind the seat that its message speaks for.
     fn is_sound(&self, frame: &Frame) -> bool {
         let topology = &self.settings.topology;
         usize::from(frame.origin) < topology.proxies()
             && frame.seat < topology.members(frame.level, frame.group)
             && topology.group_of(frame.origin, frame.level) == frame.group
-            && wire::author_place(frame.message) == Some(topology.seat_of(frame.origin, frame.level))
+            && wire::author_index(frame.message) == Some(topology.seat_of(frame.origin, frame.level))
     }
 
-    fn deliver(&mut self, frame: &Frame, out: &mut Out) {
-        let (now, mut messages) = (self.now, Out::new());
+    fn deliver(&mut self, frame: &Frame, out: &mut Outbox) {
+        let (now, mut messages) = (self.now, Outbox::new());
         let seat = self.settings.topology.seat_of(frame.origin, frame.level);
         if let Some(member) = self.member_mut(frame.level) {
             member.speakers.heard(now, seat, frame.origin, member.lease);
@@ -272,8 +269,9 @@
     }
 
     /// Passes a frame on to the leader that this process knows of.
-    fn forward(&mut self, frame: Frame, out: &mut Out) {
+    fn forward(&mut self, frame: Frame, out: &mut Outbox) {
         let next = self.next_hop(frame.level).filter(|place| *place != self.settings.proxy_index);
+
         match next.filter(|place| *place != frame.origin && frame.hops < MAX_HOPS) {
             Some(place) => {
                 self.counters.forwarded += 1;
@@ -285,10 +283,10 @@
 
     /// The process that knows more of who speaks for the own seat at a level.
     fn next_hop(&mut self, level: Level) -> Option<u16> {
-        let region_leader = self.region.as_ref().map(|region| region.instance.grantor());
+        let region_leader = self.region.as_ref().map(|region| region.instance.coordinator());
         match region_leader.filter(|_| level == Level::Fleet) {
             Some(seat) => self.speaker(Level::Region, seat),
-            None => self.speaker(Level::Site, self.site.instance.grantor()),
+            None => self.speaker(Level::Site, self.site.instance.coordinator()),
         }
     }
 
@@ -309,8 +307,9 @@
         }
     }
 
-    fn send(&mut self, level: Level, messages: Out, reply: Option<ReplyTo>, out: &mut Out) {
+    fn send(&mut self, level: Level, messages: Outbox, reply: Option<ReplyTo>, out: &mut Outbox) {
         let group = self.settings.topology.group_of(self.settings.proxy_index, level);
+
         for (seat, message) in messages {
             let asker = reply.filter(|asker| asker.seat == seat).map(|asker| asker.place);
             let Some(place) = asker.or_else(|| self.speaker(level, seat)) else { continue };
@@ -319,7 +318,7 @@
         }
     }
 
-    fn emit(&mut self, place: u16, frame: &Frame, out: &mut Out) {
+    fn emit(&mut self, place: u16, frame: &Frame, out: &mut Outbox) {
         let bytes = frame.encode();
         self.counters.sent_bytes += bytes.len() as u64;
         out.push((place, bytes));
@@ -342,13 +341,13 @@
     fn next_due(&self) -> Micros {
         ControlTree::next_due(self)
     }
-    fn tick(&mut self, now: Micros, out: &mut Out) {
+    fn tick(&mut self, now: Micros, out: &mut Outbox) {
         ControlTree::tick(self, now, out);
     }
-    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox) {
         ControlTree::receive(self, now, message, out);
     }
-    fn leave(&mut self, out: &mut Out) {
+    fn leave(&mut self, out: &mut Outbox) {
         ControlTree::leave(self, out);
     }
     fn counters(&self) -> Counters {
@@ -363,14 +362,14 @@
 }
 
 fn count(counters: &mut Counters, member: &Member) {
-    let tally = member.instance.tally;
+    let tally = member.instance.counters;
     counters.malformed += tally.malformed;
     match member.level {
         Level::Site => {
-            counters.lapsed += tally.lapsed;
-            counters.elected.site += tally.elected;
+            counters.lapsed += tally.leases_expired;
+            counters.elected.site += tally.times_elected;
         }
-        Level::Region => counters.elected.region += tally.elected,
-        Level::Fleet => counters.elected.fleet += tally.elected,
+        Level::Region => counters.elected.region += tally.times_elected,
+        Level::Fleet => counters.elected.fleet += tally.times_elected,
     }
 }
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -149,13 +149,13 @@
                 true => Zone {
                     kind: Kind::Location,
                     region: z % self.hubs,
-                    warm_up: s.cold,
+                    warm_up: s.cold_period,
                     fallbacks: if self.direct { hubs(None) } else { Vec::new() },
                 },
                 false => Zone {
                     kind: Kind::Parent,
                     region: z - self.locations,
-                    warm_up: s.parent_cold,
+                    warm_up: s.parent_cold_period,
                     fallbacks: hubs(Some(z)),
                 },
             })
--- a/lab/src/gossip_simulation.rs
+++ b/lab/src/gossip_simulation.rs
@@ -5,11 +5,11 @@
 use crate::event_queue::EventQueue;
 use crate::net::{Net, NetworkConditions};
 use crate::stream;
-use nickelgate::{Addr, Micros, Outcome, Role, Standing};
+use nickelgate::{Addr, MemberHealth, Micros, Outcome, Role};
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use threadward_gossip::{public, Gossip, News, Out, PeerConfig, Settings, State};
+use threadward_gossip::{public_key, Gossip, Notice, Output, PeerConfig, Settings, State};
 
 /// How often an instance observes its own traffic.
 pub const OBSERVATION_INTERVAL: Micros = 25_000;
@@ -34,11 +34,11 @@
     /// How far its clock is ahead of the queue's.
     pub ahead: Micros,
     /// What its own traffic shows.
-    pub standings: Vec<Standing>,
+    pub standings: Vec<MemberHealth>,
     /// Whom it accuses of having just failed, whatever its traffic shows: a liar.
     pub accuses: Vec<Addr>,
     /// What it has reported so far.
-    pub news: Vec<News>,
+    pub news: Vec<Notice>,
     addr: SocketAddr,
     incarnation: u64,
     /// When it ticks next, so that one timer is enough.
@@ -78,21 +78,26 @@
 
 /// An instance as its peers' settings name it; the first `seeds` are asked first.
 pub fn peer(i: usize, seeds: usize) -> PeerConfig {
-    PeerConfig { name: format!("n{i}"), addr: address(i), keys: vec![public(&secret(i))], seed: i < seeds }
+    PeerConfig {
+        name: format!("n{i}"),
+        addr: address(i),
+        keys: vec![public_key(&secret(i))],
+        seed: i < seeds,
+    }
 }
 
 /// A hub or cache as a standing that shows nothing wrong.
-pub fn well(member: Addr, role: Role) -> Standing {
-    Standing {
+pub fn well(member: Addr, role: Role) -> MemberHealth {
+    MemberHealth {
         member,
         incarnation: 0,
         role,
         strikes: 0,
         skipped: false,
-        failed: 0,
-        why: None,
-        good: 0,
-        helped: 0,
+        last_failed_at: 0,
+        last_failure: None,
+        last_good_at: 0,
+        suspicion_skips: 0,
     }
 }
 
@@ -189,12 +194,12 @@
     }
 
     /// One call of an instance, and what it wants done.
-    pub fn call(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Out)) {
+    pub fn call(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
         let now = self.clock(i);
-        let mut out = Out::default();
+        let mut out = Output::default();
         let Some(g) = self.slots[i].gossip.as_mut() else { return };
         f(g, now, &mut out);
-        self.slots[i].news.extend(out.news);
+        self.slots[i].news.extend(out.notices);
         for (addr, bytes) in out.send {
             // Several may stand in the file under one address: all of them get it.
             for to in self.slots_by_address.get(&addr).cloned().unwrap_or_default() {
@@ -241,12 +246,13 @@
                     let now = self.clock(i);
                     let mut shown = self.slots[i].standings.clone();
                     for s in shown.iter_mut().filter(|s| self.slots[i].accuses.contains(&s.member)) {
-                        (s.failed, s.skipped, s.why, s.good) = (now, true, Some(Outcome::Timeout), 0);
+                        (s.last_failed_at, s.skipped, s.last_failure, s.last_good_at) =
+                            (now, true, Some(Outcome::Timeout), 0);
                     }
                     let second = self.queue.now % 1_000_000 < OBSERVATION_INTERVAL;
                     let served = if second { self.served } else { 0 };
                     self.call(i, |g, now, out| {
-                        g.served(served);
+                        g.add_served_requests(served);
                         g.observe(now, &shown, out);
                     });
                     self.queue.put(self.queue.now + OBSERVATION_INTERVAL, Event::Observe(i, incarnation));
@@ -261,9 +267,9 @@
         let now = self.clock(i);
         for s in self.slots[i].standings.iter_mut().filter(|s| s.member == member) {
             if fails {
-                (s.failed, s.skipped, s.why) = (now, true, Some(Outcome::Timeout));
+                (s.last_failed_at, s.skipped, s.last_failure) = (now, true, Some(Outcome::Timeout));
             } else {
-                (s.good, s.skipped) = (now, false);
+                (s.last_good_at, s.skipped) = (now, false);
             }
         }
     }
@@ -292,6 +298,6 @@
 
     /// The members of which an instance believes that they fail.
     pub fn believes(&self, i: usize) -> Vec<Addr> {
-        self.gossip(i).believed()
+        self.gossip(i).suspected_members()
     }
 }
--- a/lab/src/regions/control.rs
+++ b/lab/src/regions/control.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 use threadward_budgets::Budgets;
 use threadward_zones::map::Epoch;
-use threadward_zones::{ElectionView, Outgoing, Seen, Use, Zones};
+use threadward_zones::{ElectionView, Outgoing, ZoneObservation, ZoneUse, Zones};
 
 const LEASE: Micros = 1_200_000;
 /// The first stream of random numbers that belongs to the entropy of instances; each proxy has one.
@@ -29,15 +29,15 @@
         let voters: Vec<u16> = (0..VOTERS as u16).collect();
         let proxies = day.proxies as u16;
         let settings = threadward_budgets::Settings {
-            place: i as u16,
+            index: i as u16,
             proxies,
             voters: voters.clone(),
-            wholes: vec![u32::from(proxies) * 10],
+            totals: vec![u32::from(proxies) * 10],
             lease: LEASE,
         };
         let budgets = Budgets::new(T0, settings, entropy).unwrap_or_else(|error| panic!("n{i}: {error}"));
         let settings = threadward_zones::Settings {
-            me: budgets.me(),
+            me: budgets.identity(),
             proxies,
             voters,
             own_zone: day.stands(i) as u16,
@@ -50,16 +50,24 @@
 
     /// What the election of budgets says now.
     fn seat(&self, now: Micros, i: usize) -> ElectionView {
-        let decides = self.budgets.grants(now);
-        let decider = if decides { i as u16 } else { self.budgets.grantor() };
-        ElectionView { is_decider: decides, promised_to: self.budgets.promised(now), decider }
+        let decides = self.budgets.is_coordinator(now);
+        let decider = if decides { i as u16 } else { self.budgets.coordinator() };
+        ElectionView { is_decider: decides, promised_to: self.budgets.promised_to(now), decider }
     }
 }
 
 /// What a liar says: that one hub fails, and nothing of any location.
-fn lie(seen: &mut Vec<Seen>, hubs: std::ops::Range<u16>, zone: u16) {
+fn lie(seen: &mut Vec<ZoneObservation>, hubs: std::ops::Range<u16>, zone: u16) {
     seen.retain(|report| hubs.contains(&report.zone) && report.zone != zone);
-    seen.push(Seen { zone, tried: 900, failed: 900, members: 90, bad: 90, load: 60_000, busy: 1 });
+    seen.push(ZoneObservation {
+        zone,
+        attempts: 900,
+        failed: 900,
+        members: 90,
+        bad_members: 90,
+        load: 60_000,
+        mean_use: 1,
+    });
 }
 
 impl Regions {
@@ -71,7 +79,7 @@
         }
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
-        let mut seen = proxy.planner.seen(now);
+        let mut seen = proxy.planner.zone_observations(now);
         if self.day.liar == Some(i) {
             lie(&mut seen, self.day.locations..self.day.many(), self.day.hub(0));
         }
@@ -106,8 +114,8 @@
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
         if control.zones.ready(now) {
-            let uses: Vec<Use> = (0..self.day.many()).map(|zone| control.zones.usage(zone)).collect();
-            proxy.planner.follow_zones(now, &uses, control.zones.refused_permille());
+            let uses: Vec<ZoneUse> = (0..self.day.many()).map(|zone| control.zones.usage(zone)).collect();
+            proxy.planner.set_zone_uses(now, &uses, control.zones.refused_permille());
         }
         let epoch = control.zones.map().epoch;
         if epoch > control.epoch {
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use threadward_budgets::seal::{open, seal};
 use threadward_budgets::wire::{self, Author};
-use threadward_budgets::{Budgets, Out, Settings};
+use threadward_budgets::{Budgets, Outbox, Settings};
 use threadward_control::frame::MAX_FRAME_BYTES;
 use threadward_control::{ControlTree, Level, SharedBudgets};
 use threadward_core::{Counter, Micros};
@@ -147,7 +147,7 @@
             0 => Micros::MAX,
             units => (1_000_000 * PROBE).div_ceil(units.into()),
         });
-        let probed = self.node.plan(|p, _| p.pace_probes(pause));
+        let probed = self.node.plan(|p, _| p.set_probe_pause(pause));
         if !probed {
             net::log("budgets: no cache is probed here: this proxy takes no share");
         }
@@ -165,8 +165,8 @@
     }
 
     /// One call of the instance, and what it wants sent.
-    fn call(&self, action: impl FnOnce(&mut dyn SharedBudgets, Micros, &mut Out)) {
-        let mut out = Out::new();
+    fn call(&self, action: impl FnOnce(&mut dyn SharedBudgets, Micros, &mut Outbox)) {
+        let mut out = Outbox::new();
         action(self.instance.borrow_mut().shared_mut(), uptime(), &mut out);
         for (to, message) in out {
             if let Some(datagram) = seal(&self.key, to, &message) {
@@ -179,7 +179,7 @@
     /// no part.
     pub fn seat_settings(&self) -> Option<(Author, Settings)> {
         match &*self.instance.borrow() {
-            Instance::Plain { budgets, settings } => Some((budgets.me(), settings.clone())),
+            Instance::Plain { budgets, settings } => Some((budgets.identity(), settings.clone())),
             Instance::Tree(_) => None,
         }
     }
@@ -189,9 +189,9 @@
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
-                let decides = budgets.grants(now);
-                let decider = if decides { self.place } else { budgets.grantor() };
-                ElectionView { is_decider: decides, promised_to: budgets.promised(now), decider }
+                let decides = budgets.is_coordinator(now);
+                let decider = if decides { self.place } else { budgets.coordinator() };
+                ElectionView { is_decider: decides, promised_to: budgets.promised_to(now), decider }
             }
             Instance::Tree(_) => ElectionView { is_decider: false, promised_to: None, decider: self.place },
         }
@@ -199,7 +199,7 @@
 
     fn received(&self, datagram: &[u8]) {
         let longest = match &*self.instance.borrow() {
-            Instance::Plain { .. } => wire::MOST,
+            Instance::Plain { .. } => wire::MAX_MESSAGE_BYTES,
             Instance::Tree(_) => MAX_FRAME_BYTES,
         };
         let message = open(&self.key, self.place, datagram).filter(|message| message.len() <= longest);
@@ -212,7 +212,7 @@
     /// What this proxy sends to members that started lately is kept to its share.
     fn keep_cold(&self) {
         let share = self.share(COLD_MEMBERS);
-        let sends = self.node.plan(|p, now| p.keep_cold(now, share / COLD));
+        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
         self.want(COLD_MEMBERS, sends.saturating_mul(COLD));
     }
 
@@ -221,7 +221,7 @@
         let instance = self.instance.borrow();
         for leadership in &self.leaderships {
             let held = match &*instance {
-                Instance::Plain { budgets, .. } => budgets.grants(uptime()),
+                Instance::Plain { budgets, .. } => budgets.is_coordinator(uptime()),
                 Instance::Tree(tree) => tree.leads(uptime(), leadership.level),
             };
             if leadership.held.replace(held) != held {
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use threadward_core::{Counter, Micros};
 use threadward_zones::state::State;
-use threadward_zones::{Kind, Outgoing, Settings, Use, Zone, ZoneMove, Zones};
+use threadward_zones::{Kind, Outgoing, Settings, Zone, ZoneMove, ZoneUse, Zones};
 
 /// How often own traffic is looked at.
 const TRAFFIC_INTERVAL: Micros = 100_000;
@@ -37,7 +37,7 @@
     let zone = |z: usize| Zone {
         kind: if hub(z) { Kind::Parent } else { Kind::Location },
         region: if hub(z) { z as u16 } else { tied(z) },
-        warm_up: if hub(z) { s.parent_cold } else { s.cold },
+        warm_up: if hub(z) { s.parent_cold_period } else { s.cold_period },
         fallbacks: if hub(z) || s.direct { hubs(z) } else { Vec::new() },
     };
     (0..names.zones.len()).map(zone).collect()
@@ -58,7 +58,7 @@
             zones: zones(&node),
         };
         let instance = Zones::new(uptime(), settings).map_err(|e| format!("zones: {e}"))?;
-        let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.place).into();
+        let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.index).into();
         let (socket, names) = (budgets.socket(), node.config.names.zones.clone());
         let fleet = Rc::new(Fleet { node, budgets, socket, names, pairs, instance: instance.into() });
         let receiver = Rc::downgrade(&fleet);
@@ -109,10 +109,11 @@
         if !z.ready(uptime()) {
             return;
         }
-        let uses: Vec<Use> = (0..self.names.len() as u16).map(|n| z.usage(n)).collect();
+        let uses: Vec<ZoneUse> = (0..self.names.len() as u16).map(|n| z.usage(n)).collect();
         let refused = z.refused_permille();
+
         drop(z);
-        self.node.plan(|p, now| p.follow_zones(now, &uses, refused));
+        self.node.plan(|p, now| p.set_zone_uses(now, &uses, refused));
     }
 
     fn told(&self, m: &ZoneMove) {
@@ -152,7 +153,7 @@
         let (seen, newest) = self.node.plan(|p, at| {
             let newest: Vec<_> =
                 (0..zones).map(|z| p.newest_start(z).map(|t| at.saturating_sub(t))).collect();
-            (p.seen(at), newest)
+            (p.zone_observations(at), newest)
         });
         let seat = self.budgets.seat();
         self.call(|z, now, out| {
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -16,11 +16,11 @@
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until, Signal};
 use threadward_faults::{Process, Relay, Start};
-use threadward_gossip::public;
+use threadward_gossip::public_key;
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::State;
 use threadward_zones::wire::Body;
-use threadward_zones::{wire, Author, Seen};
+use threadward_zones::{wire, Author, ZoneObservation};
 
 type Ex = &'static LocalExecutor<'static>;
 
@@ -137,7 +137,7 @@
         std::fs::write(file("key".into()), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
         let mut peers = String::new();
         for (i, at) in talk.iter().enumerate() {
-            let key = URL_SAFE_NO_PAD.encode(public(&secret(i)));
+            let key = URL_SAFE_NO_PAD.encode(public_key(&secret(i)));
             peers += &format!(
                 "[[gossip.peer]]\nname = \"n{i}\"\naddress = \"{at}\"\nkeys = [\"{key}\"]\nseed = true\n"
             );
@@ -402,7 +402,7 @@
         m.finalize().into_bytes().into()
     };
     let domain = b"threadward-zones-1";
-    let (a, b) = (public(&secret(from)), public(&secret(to)));
+    let (a, b) = (public_key(&secret(from)), public_key(&secret(to)));
     let theirs = VerifyingKey::from_bytes(&b).unwrap().to_montgomery();
     let shared = theirs.mul_clamped(SigningKey::from_bytes(&secret(from)).to_scalar_bytes());
     let key = of(domain, &[&shared.to_bytes(), &a.min(b), &a.max(b)]);
@@ -419,7 +419,7 @@
 
     /// Sends a message in the name of a place, and more behind it.
     fn send(&self, to: usize, name: usize, body: &Body, more: &[u8]) {
-        let mut bytes = wire::write(Author { place: name as u16, life: 9 }, body, now());
+        let mut bytes = wire::write(Author { index: name as u16, incarnation: 9 }, body, now());
         bytes.extend(more);
         bytes.extend(mac(LIAR, to, &bytes));
         self.socket.send_to(&bytes, self.at[to]).unwrap();
@@ -434,7 +434,7 @@
             };
             let right = mac(p, LIAR, &buf[..n]) == buf[n..n + 16];
             if let Some((by, _)) = wire::read(&buf[..n], now()).filter(|_| right && p < PROXIES) {
-                self.lives[p] = by.life;
+                self.lives[p] = by.incarnation;
             }
         }
         let mut map = Map::new(ZONES.len(), now());
@@ -443,8 +443,16 @@
         self.seq += 1;
         // Who sees every zone fail is cut off itself: one is left out now and then.
         let zones = (0..ZONES.len() as u16).filter(|z| self.seq % 8 != u32::from(*z));
-        let seen: Vec<Seen> = zones
-            .map(|zone| Seen { zone, tried: 99, failed: 99, members: 2, bad: 2, load: 99, busy: 0 })
+        let seen: Vec<ZoneObservation> = zones
+            .map(|zone| ZoneObservation {
+                zone,
+                attempts: 99,
+                failed: 99,
+                members: 2,
+                bad_members: 2,
+                load: 99,
+                mean_use: 0,
+            })
             .collect();
         for p in 0..PROXIES {
             let (seq, to, epoch, hash) = (self.seq, self.lives[p], map.epoch, map.hash());
--- a/zones/src/adoption.rs
+++ b/zones/src/adoption.rs
@@ -59,7 +59,7 @@
         for (epoch, confirmed_by) in due {
             for i in 0..self.settings.voters.len() {
                 let to = self.settings.voters[i];
-                if confirmed_by >> i & 1 == 0 && to != self.settings.me.place {
+                if confirmed_by >> i & 1 == 0 && to != self.settings.me.index {
                     self.send(to, &Body::Query { epoch }, out);
                 }
             }
@@ -74,7 +74,7 @@
         t.confirmed_by |= bit;
         let (bits, map) = (t.confirmed_by, t.map.clone());
         let accepted = self.voter.as_ref().filter(|v| v.accepted.epoch == epoch && v.accepted.hash() == hash);
-        let own = accepted.and(self.voter_bit(self.settings.me.place)).unwrap_or(0);
+        let own = accepted.and(self.voter_bit(self.settings.me.index)).unwrap_or(0);
         if self.majority(bits | own) {
             self.adopt(map);
             self.pass_on(out);
@@ -87,10 +87,10 @@
     /// die before all of them know the map.
     fn pass_on(&mut self, out: &mut Outgoing) {
         let voters = self.settings.voters.len();
-        let Some(own) = self.settings.voters.iter().position(|v| *v == self.settings.me.place) else {
+        let Some(own) = self.settings.voters.iter().position(|v| *v == self.settings.me.index) else {
             return;
         };
-        let me = self.settings.me.place;
+        let me = self.settings.me.index;
         for to in (own as u16..self.settings.proxies).step_by(voters).filter(|p| *p != me) {
             self.send(to, &Body::Announce { map: self.map.clone() }, out);
         }
--- a/zones/src/decider.rs
+++ b/zones/src/decider.rs
@@ -7,7 +7,7 @@
 use crate::judge::{Reports, ZoneHealth, LIVENESS_TIMEOUT, REPORT_VALIDITY};
 use crate::map::{Epoch, Map};
 use crate::state::{self, Context, State, Status};
-use crate::{Author, Counters, Kind, Seen, Settings, RESEND_INTERVAL};
+use crate::{Author, Counters, Kind, Settings, ZoneObservation, RESEND_INTERVAL};
 use nickelgate::Micros;
 use std::collections::BTreeMap;
 use std::mem::discriminant;
@@ -172,13 +172,13 @@
         to_incarnation: u64,
         map: (u64, u64),
         own_zone: u16,
-        observed: Vec<Seen>,
+        observed: Vec<ZoneObservation>,
     ) -> bool {
-        if to_incarnation != me.life {
-            self.following_others.insert(by.place, (now, map.0));
+        if to_incarnation != me.incarnation {
+            self.following_others.insert(by.index, (now, map.0));
             return false;
         }
-        self.following_others.remove(&by.place);
+        self.following_others.remove(&by.index);
         self.reports.record(now, by, seq, map, own_zone, observed)
     }
 
@@ -195,7 +195,7 @@
         map: Map,
     ) {
         let stuck = self.proposal.as_ref().is_none_or(|p| now >= p.began + PROPOSAL_STUCK_AFTER);
-        let prepared = Epoch { number: self.number, incarnation: me.life };
+        let prepared = Epoch { number: self.number, incarnation: me.incarnation };
         let implausible =
             promised_epoch.number.max(map.epoch.number) > self.number.saturating_add(MAX_NUMBER_JUMP);
         match &mut self.phase {
@@ -266,7 +266,7 @@
             let forgotten =
                 voters_in(promised) == all || voters_in(promised) * 2 > all && now >= *began + 2 * s.lease;
             if voters_in(remembering) * 2 > all || forgotten {
-                let epoch = Epoch { number: self.number, incarnation: s.me.life };
+                let epoch = Epoch { number: self.number, incarnation: s.me.incarnation };
                 let map = Map { epoch, zones: latest.zones.clone() };
                 self.proposal = Some(Proposal { map, accepted_by: 0, began: now, next_send: now });
                 self.phase = Phase::Leading;
@@ -283,7 +283,7 @@
         }
         // Nothing is evaluated before a majority accepted this decider's first map, the one from which it
         // continues.
-        if self.proposal.is_none() && map.epoch.incarnation == s.me.life && now >= self.next_due {
+        if self.proposal.is_none() && map.epoch.incarnation == s.me.incarnation && now >= self.next_due {
             self.next_due = now + RESEND_INTERVAL;
             self.evaluate_zones(now, s, map, counters);
         }
@@ -387,7 +387,7 @@
         }
         if changed {
             self.number = self.number.max(map.epoch.number) + 1;
-            let epoch = Epoch { number: self.number, incarnation: s.me.life };
+            let epoch = Epoch { number: self.number, incarnation: s.me.incarnation };
             self.proposal =
                 Some(Proposal { map: Map { epoch, zones }, accepted_by: 0, began: now, next_send: now });
         }
--- a/zones/src/instance.rs
+++ b/zones/src/instance.rs
@@ -6,7 +6,7 @@
 use crate::state::{self, State, Status, RETURN_STEPS};
 use crate::voter::Voter;
 use crate::wire::{self, Body};
-use crate::{check, Author, Counters, Seen, Settings, Use, MAX_ZONES, STARTUP_WAIT};
+use crate::{check, Author, Counters, Settings, ZoneObservation, ZoneUse, MAX_ZONES, STARTUP_WAIT};
 use nickelgate::Micros;
 
 /// The current state of the election, as this proxy sees it. The election is that of the shared budgets.
@@ -45,7 +45,7 @@
     pub(crate) unconfirmed_maps: Vec<UnconfirmedMap>,
     pub(crate) voter: Option<Voter>,
     pub(crate) decider: Decider,
-    pub(crate) observed: Vec<Seen>,
+    pub(crate) observed: Vec<ZoneObservation>,
     pub(crate) report_seq: u32,
     pub(crate) next_report: Micros,
     started: Micros,
@@ -62,11 +62,11 @@
     /// Returns one line that says what is wrong with the settings.
     ///
     /// ```
-    /// use threadward_zones::{Author, Kind, Settings, Use, Zone, Zones};
+    /// use threadward_zones::{Author, Kind, Settings, ZoneUse, Zone, Zones};
     /// let parent =
     ///     |other| Zone { kind: Kind::Parent, region: other, warm_up: 20_000_000, fallbacks: vec![other] };
     /// let s = Settings {
-    ///     me: Author { place: 0, life: 7 },
+    ///     me: Author { index: 0, incarnation: 7 },
     ///     proxies: 3,
     ///     voters: vec![0, 1, 2],
     ///     own_zone: 0,
@@ -74,13 +74,13 @@
     ///     zones: vec![parent(1), parent(0)],
     /// };
     /// let z = Zones::new(0, s.clone()).unwrap();
-    /// assert_eq!(z.usage(1), Use::All, "every zone is in service until a majority says otherwise");
+    /// assert_eq!(z.usage(1), ZoneUse::Normal, "every zone is in service until a majority says otherwise");
     /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "two voters, an even number");
     /// ```
     pub fn new(now: Micros, settings: Settings) -> Result<Zones, String> {
         check(&settings)?;
         let map = Map::new(settings.zones.len(), now);
-        let votes = settings.voters.contains(&settings.me.place);
+        let votes = settings.voters.contains(&settings.me.index);
         let voter = votes.then(|| Voter {
             accepted: map.clone(),
             promised_epoch: Epoch::default(),
@@ -118,22 +118,22 @@
     }
 
     /// Returns how this proxy may use a zone now.
-    pub fn usage(&self, zone: u16) -> Use {
-        let Some(s) = self.map.zones.get(usize::from(zone)) else { return Use::All };
+    pub fn usage(&self, zone: u16) -> ZoneUse {
+        let Some(s) = self.map.zones.get(usize::from(zone)) else { return ZoneUse::Normal };
         match s.state {
-            State::In => Use::All,
-            State::Suspect => Use::Doubted,
-            State::Leaving | State::Out => Use::None,
-            State::Probing if s.is_prober(self.settings.me.place) => {
+            State::In => ZoneUse::Normal,
+            State::Suspect => ZoneUse::Suspected,
+            State::Leaving | State::Out => ZoneUse::Unused,
+            State::Probing if s.is_prober(self.settings.me.index) => {
                 if s.probers_permille <= state::SMALL_PROBER_SHARE {
-                    Use::Tried
+                    ZoneUse::Trial
                 } else {
-                    Use::Part(0)
+                    ZoneUse::Ramping(0)
                 }
             }
-            State::Probing => Use::None,
+            State::Probing => ZoneUse::Unused,
             State::Returning => {
-                Use::Part(u16::from(s.step.saturating_sub(1)) * 1000 / u16::from(RETURN_STEPS))
+                ZoneUse::Ramping(u16::from(s.step.saturating_sub(1)) * 1000 / u16::from(RETURN_STEPS))
             }
         }
     }
@@ -144,7 +144,7 @@
         let own = self.map.zones.get(usize::from(self.settings.own_zone));
         own.map_or(0, |s| match s.state {
             State::Leaving | State::Out => s.refused_permille,
-            State::Probing if !s.is_prober(self.settings.me.place) => s.refused_permille,
+            State::Probing if !s.is_prober(self.settings.me.index) => s.refused_permille,
             // What a returning zone cannot take yet is refused by the planner's own budgets for cold members.
             _ => 0,
         })
@@ -157,9 +157,9 @@
 
     /// Stores what this proxy's own attempts showed of each zone in the last two seconds. If a zone begins to
     /// fail, or stops failing, the next report is due at once.
-    pub fn observe(&mut self, now: Micros, observed: Vec<Seen>) {
+    pub fn observe(&mut self, now: Micros, observed: Vec<ZoneObservation>) {
         self.now = self.now.max(now);
-        let fails = |all: &[Seen], z: u16| all.iter().any(|s| s.zone == z && s.fails());
+        let fails = |all: &[ZoneObservation], z: u16| all.iter().any(|s| s.zone == z && s.is_failing());
         let changed = observed.iter().any(|s| fails(&observed, s.zone) != fails(&self.observed, s.zone));
         self.observed = observed;
         self.observed.truncate(MAX_ZONES);
@@ -185,26 +185,34 @@
     ///
     /// ```
     /// use threadward_zones::{
-    ///     Author, ElectionView, Kind, Seen, Settings, Use, Zone, Zones, RESEND_INTERVAL,
+    ///     Author, ElectionView, Kind, ZoneObservation, Settings, ZoneUse, Zone, Zones, RESEND_INTERVAL,
     /// };
     /// let zone = |region, other| Zone { kind: Kind::Parent, region, warm_up: 0, fallbacks: vec![other] };
     /// let zones = vec![zone(0, 1), zone(1, 0)];
-    /// let me = |place| Author { place, life: 7 + u64::from(place) };
-    /// let new = |place| {
+    /// let me = |index| Author { index, incarnation: 7 + u64::from(index) };
+    /// let new = |index| {
     ///     let (voters, zones) = (vec![0], zones.clone());
-    ///     let own_zone = place % 2;
-    ///     let s = Settings { me: me(place), proxies: 3, voters, own_zone, lease: 1_000_000, zones };
+    ///     let own_zone = index % 2;
+    ///     let s = Settings { me: me(index), proxies: 3, voters, own_zone, lease: 1_000_000, zones };
     ///     Zones::new(0, s).unwrap()
     /// };
     /// let mut all: Vec<Zones> = (0..3).map(new).collect();
     /// assert!(!all[1].ready(0), "it waits for the map");
-    /// let seen = |zone, failed, bad| Seen { zone, tried: 9, failed, members: 2, bad, load: 9, busy: 60 };
+    /// let observed = |zone, failed, bad_members| ZoneObservation {
+    ///     zone,
+    ///     attempts: 9,
+    ///     failed,
+    ///     members: 2,
+    ///     bad_members,
+    ///     load: 9,
+    ///     mean_use: 60,
+    /// };
     /// for n in 0..9 {
     ///     let now = n * RESEND_INTERVAL;
     ///     for from in 0..3 {
     ///         let election = |p| ElectionView { is_decider: p == 0, promised_to: Some(me(0)), decider: 0 };
     ///         let mut out = Vec::new();
-    ///         all[from].observe(now, vec![seen(0, 9, 2), seen(1, 0, 0)]);
+    ///         all[from].observe(now, vec![observed(0, 9, 2), observed(1, 0, 0)]);
     ///         all[from].tick(now, election(from), &mut out);
     ///         let mut in_flight: Vec<_> = out.into_iter().map(|(to, bytes)| (from, to, bytes)).collect();
     ///         while let Some((from, to, bytes)) = in_flight.pop() {
@@ -214,7 +222,7 @@
     ///         }
     ///     }
     /// }
-    /// assert!(all.iter().all(|z| z.usage(0) == Use::None && z.usage(1) == Use::All), "all proxies left it");
+    /// assert!(all.iter().all(|z| z.usage(0) == ZoneUse::Unused && z.usage(1) == ZoneUse::Normal), "all proxies left it");
     /// assert!(all[1].ready(0) && all[1].take_moves().iter().all(|m| m.zone == 0));
     /// ```
     pub fn tick(&mut self, now: Micros, election: ElectionView, out: &mut Outgoing) {
@@ -240,7 +248,7 @@
         self.now = self.now.max(now);
         self.update_election(election);
         let known = |a: &Author| {
-            a.place == from && a.place < self.settings.proxies && a.place != self.settings.me.place
+            a.index == from && a.index < self.settings.proxies && a.index != self.settings.me.index
         };
         match wire::read(bytes, self.now).filter(|(a, _)| known(a)) {
             Some((by, body)) if self.matches_settings(&body) => self.handle(by, body, out),
@@ -253,7 +261,7 @@
     fn update_election(&mut self, election: ElectionView) {
         let changed =
             election.is_decider != self.election.is_decider || election.decider != self.election.decider;
-        if changed && (election.is_decider || election.decider != self.settings.me.place) {
+        if changed && (election.is_decider || election.decider != self.settings.me.index) {
             self.next_report = self.next_report.min(self.now);
         }
         self.election = election;
@@ -297,15 +305,15 @@
                     observed,
                 );
                 self.counters.outdated += u64::from(!is_new);
-                self.announce_to_outdated(Some(by.place), out);
+                self.announce_to_outdated(Some(by.index), out);
             }
             Body::Prepare { number } => {
                 if let Some((promised_epoch, no_map_since_start, map)) = self.prepare(by, number) {
-                    self.send(by.place, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
+                    self.send(by.index, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
                 }
             }
             Body::Promise { promised_epoch, no_map_since_start, map } => {
-                if let Some(bit) = self.voter_bit(by.place).filter(|_| self.election.is_decider) {
+                if let Some(bit) = self.voter_bit(by.index).filter(|_| self.election.is_decider) {
                     self.decider.handle_promise(
                         self.now,
                         self.settings.me,
@@ -320,30 +328,30 @@
             Body::Propose { map } => {
                 let proposed = map.epoch.number;
                 if let Some(epoch) = self.accept(by, map) {
-                    self.send(by.place, &Body::Accepted { epoch }, out);
+                    self.send(by.index, &Body::Accepted { epoch }, out);
                 } else if let Some((promised_epoch, no_map_since_start, map)) = self.prepare(by, 0) {
                     // The proposer is the elected decider, but an earlier promise rules its proposal out: it
                     // has to prepare again with a larger number.
                     if promised_epoch.number >= proposed {
-                        self.send(by.place, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
+                        self.send(by.index, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
                     }
                 }
             }
             Body::Accepted { epoch } => {
-                if let Some(bit) = self.voter_bit(by.place) {
+                if let Some(bit) = self.voter_bit(by.index) {
                     self.decider.handle_accepted(epoch, bit);
                     self.decide(out);
                 }
             }
-            Body::Announce { map } => self.handle_announcement(by.place, map, out),
+            Body::Announce { map } => self.handle_announcement(by.index, map, out),
             Body::Query { epoch } => {
                 let accepted = self.voter.as_ref().map(|v| (v.accepted.epoch, v.accepted.hash()));
                 if let Some((e, hash)) = accepted.filter(|(e, _)| e.number >= epoch.number) {
-                    self.send(by.place, &Body::Confirm { epoch: e, hash }, out);
+                    self.send(by.index, &Body::Confirm { epoch: e, hash }, out);
                 }
             }
             Body::Confirm { epoch, hash } => {
-                if let Some(bit) = self.voter_bit(by.place) {
+                if let Some(bit) = self.voter_bit(by.index) {
                     self.handle_confirmation(epoch, hash, bit, out);
                 }
             }
--- a/zones/src/judge.rs
+++ b/zones/src/judge.rs
@@ -6,7 +6,7 @@
 use nickelgate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use threadward_budgets::wire::Author;
-use threadward_core::zoned::Seen;
+use threadward_core::zoned::ZoneObservation;
 
 /// Age after which a report no longer counts as evidence. Reports arrive every
 /// [`crate::DEGRADED_REPORT_INTERVAL`] while anything is wrong.
@@ -36,14 +36,14 @@
     /// The zone in which the proxy runs.
     pub own_zone: u16,
     /// What its own attempts showed of each zone.
-    pub observed: Vec<Seen>,
+    pub observed: Vec<ZoneObservation>,
 }
 
 impl LatestReport {
     /// Returns whether the proxy tried more than one zone and all of them fail: it is cut off itself.
     fn is_cut_off(&self) -> bool {
-        self.observed.iter().filter(|s| s.tried > 0).count() > 1
-            && self.observed.iter().filter(|s| s.tried > 0).all(Seen::fails)
+        self.observed.iter().filter(|s| s.attempts > 0).count() > 1
+            && self.observed.iter().filter(|s| s.attempts > 0).all(ZoneObservation::is_failing)
     }
 }
 
@@ -88,11 +88,11 @@
         seq: u32,
         map: (u64, u64),
         own_zone: u16,
-        observed: Vec<Seen>,
+        observed: Vec<ZoneObservation>,
     ) -> bool {
         let (map_number, map_hash) = map;
         let report = LatestReport {
-            incarnation: by.life,
+            incarnation: by.incarnation,
             former_incarnations: [0; REMEMBERED_INCARNATIONS],
             seq,
             received_at: now,
@@ -101,18 +101,18 @@
             own_zone,
             observed,
         };
-        match self.0.get_mut(&by.place) {
+        match self.0.get_mut(&by.index) {
             None => {
-                self.0.insert(by.place, report);
+                self.0.insert(by.index, report);
             }
-            Some(h) if h.incarnation == by.life => {
+            Some(h) if h.incarnation == by.incarnation => {
                 if seq.wrapping_sub(h.seq) as i32 <= 0 {
                     return false;
                 }
                 *h = LatestReport { former_incarnations: h.former_incarnations, ..report };
             }
             Some(h) => {
-                if h.former_incarnations.contains(&by.life) {
+                if h.former_incarnations.contains(&by.incarnation) {
                     return false;
                 }
                 let mut former_incarnations = h.former_incarnations;
@@ -134,22 +134,31 @@
     ///
     /// ```
     /// use threadward_zones::judge::{Reports, ZoneHealth, REPORT_VALIDITY};
-    /// use threadward_zones::{Author, Seen};
+    /// use threadward_zones::{Author, ZoneObservation};
     /// let mut r = Reports::default();
-    /// let seen = |zone, bad| Seen { zone, tried: 8, failed: bad * 2, members: 4, bad, load: 8, busy: 0 };
-    /// let mut report =
-    ///     |place: u16, observed| r.record(0, Author { place, life: 1 }, 1, (0, 0), place % 2, observed);
-    /// report(0, vec![seen(0, 4), seen(1, 0)]);
-    /// report(1, vec![seen(0, 3), seen(1, 0)]);
-    /// report(2, vec![seen(0, 1), seen(1, 0)]);
-    /// report(3, vec![seen(0, 4), seen(1, 4)]);
+    /// let observation = |zone, bad_members| ZoneObservation {
+    ///     zone,
+    ///     attempts: 8,
+    ///     failed: bad_members * 2,
+    ///     members: 4,
+    ///     bad_members,
+    ///     load: 8,
+    ///     mean_use: 0,
+    /// };
+    /// let mut report = |index: u16, observed| {
+    ///     r.record(0, Author { index, incarnation: 1 }, 1, (0, 0), index % 2, observed)
+    /// };
+    /// report(0, vec![observation(0, 4), observation(1, 0)]);
+    /// report(1, vec![observation(0, 3), observation(1, 0)]);
+    /// report(2, vec![observation(0, 1), observation(1, 0)]);
+    /// report(3, vec![observation(0, 4), observation(1, 4)]);
     /// assert_eq!(
     ///     r.health(0, 0, None),
     ///     ZoneHealth::Failing(2, 3),
     ///     "one failing member is no failing zone, and the last proxy is cut off"
     /// );
     /// assert_eq!(r.health(0, 1, None), ZoneHealth::Healthy(0, 3));
-    /// assert_eq!(r.health(0, 0, Some(&|place| place == 2)), ZoneHealth::Healthy(0, 1), "one prober alone");
+    /// assert_eq!(r.health(0, 0, Some(&|index| index == 2)), ZoneHealth::Healthy(0, 1), "one prober alone");
     /// assert_eq!(r.health(REPORT_VALIDITY, 0, None), ZoneHealth::Unknown, "the reports are too old");
     /// ```
     pub fn health(&self, now: Micros, zone: u16, by: Option<&dyn Fn(u16) -> bool>) -> ZoneHealth {
@@ -157,13 +166,13 @@
         let (mut failing_from, mut tried_from) = (BTreeSet::new(), BTreeSet::new());
         let selected = |p: u16| by.is_none_or(|drawn| drawn(p));
         for (_, h) in self.0.iter().filter(|(p, h)| now < h.received_at + REPORT_VALIDITY && selected(**p)) {
-            let Some(s) = h.observed.iter().find(|s| s.zone == zone && s.tried > 0) else { continue };
+            let Some(s) = h.observed.iter().find(|s| s.zone == zone && s.attempts > 0) else { continue };
             if h.is_cut_off() {
                 continue;
             }
             witnesses += 1;
             tried_from.insert(h.own_zone);
-            if s.fails() {
+            if s.is_failing() {
                 failing += 1;
                 failing_from.insert(h.own_zone);
             }
@@ -192,9 +201,9 @@
         let (mut load, mut load_with_utilization, mut weighted_utilization) = (0u32, 0u64, 0u64);
         for s in live_reports.filter(|s| s.zone == zone) {
             load = load.saturating_add(u32::from(s.load));
-            if s.busy > 0 {
+            if s.mean_use > 0 {
                 load_with_utilization += u64::from(s.load);
-                weighted_utilization += u64::from(s.load) * u64::from(s.busy);
+                weighted_utilization += u64::from(s.load) * u64::from(s.mean_use);
             }
         }
         let capacity = (weighted_utilization > 0).then(|| {
--- a/zones/src/lib.rs
+++ b/zones/src/lib.rs
@@ -28,7 +28,7 @@
 pub use settings::{check, Kind, Settings, Zone};
 pub use tally::Counters;
 pub use threadward_budgets::wire::Author;
-pub use threadward_core::zoned::{Seen, Use};
+pub use threadward_core::zoned::{ZoneObservation, ZoneUse};
 
 /// Largest number of zones in the settings. A map of this many zones fits into one Ethernet datagram.
 pub const MAX_ZONES: usize = 40;
--- a/zones/src/reporting.rs
+++ b/zones/src/reporting.rs
@@ -3,14 +3,14 @@
 use crate::instance::Zones;
 use crate::state::State;
 use crate::wire::Body;
-use crate::{Outgoing, Seen, DEGRADED_REPORT_INTERVAL, HEALTHY_REPORT_INTERVAL};
+use crate::{Outgoing, ZoneObservation, DEGRADED_REPORT_INTERVAL, HEALTHY_REPORT_INTERVAL};
 
 impl Zones {
     /// Reports to the decider what this proxy's own attempts showed and which map it acts on, and schedules
     /// the next report.
     pub(crate) fn report(&mut self, out: &mut Outgoing) {
-        let degraded =
-            self.map.zones.iter().any(|z| z.state != State::In) || self.observed.iter().any(Seen::fails);
+        let degraded = self.map.zones.iter().any(|z| z.state != State::In)
+            || self.observed.iter().any(ZoneObservation::is_failing);
         self.next_report =
             self.now + if degraded { DEGRADED_REPORT_INTERVAL } else { HEALTHY_REPORT_INTERVAL };
         self.report_seq = self.report_seq.wrapping_add(1);
@@ -23,12 +23,12 @@
                 me,
                 me,
                 seq,
-                me.life,
+                me.incarnation,
                 (map_number, map_hash),
                 own_zone,
                 observed,
             );
-        } else if self.election.decider != me.place {
+        } else if self.election.decider != me.index {
             let to_incarnation = self.map.epoch.incarnation;
             self.send(
                 self.election.decider,
@@ -45,10 +45,10 @@
         if !self.election.is_decider {
             return;
         }
-        let own_bit = self.voter_bit(self.settings.me.place);
+        let own_bit = self.voter_bit(self.settings.me.index);
         for request in self.decider.run(self.now, &self.settings, &self.map, &mut self.counters) {
             match request {
-                VoterRequest::Prepare(to, number) if to == self.settings.me.place => {
+                VoterRequest::Prepare(to, number) if to == self.settings.me.index => {
                     if let (Some((promised_epoch, no_map_since_start, map)), Some(bit)) =
                         (self.prepare(self.settings.me, number), own_bit)
                     {
@@ -63,7 +63,7 @@
                     }
                 }
                 VoterRequest::Prepare(to, number) => self.send(to, &Body::Prepare { number }, out),
-                VoterRequest::Propose(to, map) if to == self.settings.me.place => {
+                VoterRequest::Propose(to, map) if to == self.settings.me.index => {
                     if let (Some(epoch), Some(bit)) = (self.accept(self.settings.me, map), own_bit) {
                         self.decider.handle_accepted(epoch, bit);
                     }
@@ -82,10 +82,10 @@
     /// Announces the map to the proxies that act on another one, to each at most once in
     /// [`crate::RESEND_INTERVAL`]. `only` restricts this to a proxy that has just reported.
     pub(crate) fn announce_to_outdated(&mut self, only: Option<u16>, out: &mut Outgoing) {
-        if !self.decider.leads() || self.map.epoch.incarnation != self.settings.me.life {
+        if !self.decider.leads() || self.map.epoch.incarnation != self.settings.me.incarnation {
             return;
         }
-        for to in self.decider.take_outdated(self.now, &self.map, self.settings.me.place, only) {
+        for to in self.decider.take_outdated(self.now, &self.map, self.settings.me.index, only) {
             self.send(to, &Body::Announce { map: self.map.clone() }, out);
             // A voter that missed or forgot the map also gets it as a proposal, so that it can confirm the
             // map and pass it to the next decider.
--- a/zones/src/settings.rs
+++ b/zones/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance (the zones, the voters and the proxy's own identity) and their validation.
 use crate::{Author, MAX_ZONES};
 use nickelgate::Micros;
-use threadward_budgets::{MOST_PROXIES, MOST_VOTERS};
+use threadward_budgets::{MAX_PROXIES, MAX_VOTERS};
 
 /// What the members of a zone are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -61,18 +61,18 @@
     }
     let voters = &settings.voters;
     if voters.len().is_multiple_of(2)
-        || voters.len() > MOST_VOTERS
+        || voters.len() > MAX_VOTERS
         || voters.iter().any(|voter| *voter >= settings.proxies)
     {
         return Err(format!(
-            "{} voters: must be an odd number of proxies, {MOST_VOTERS} at most",
+            "{} voters: must be an odd number of proxies, {MAX_VOTERS} at most",
             voters.len()
         ));
     }
-    if usize::from(settings.proxies) > MOST_PROXIES || settings.me.place >= settings.proxies {
+    if usize::from(settings.proxies) > MAX_PROXIES || settings.me.index >= settings.proxies {
         return Err(format!(
-            "proxy index {} of {} proxies: {MOST_PROXIES} proxies at most",
-            settings.me.place, settings.proxies
+            "proxy index {} of {} proxies: {MAX_PROXIES} proxies at most",
+            settings.me.index, settings.proxies
         ));
     }
     Ok(())
--- a/zones/src/voter.rs
+++ b/zones/src/voter.rs
@@ -37,7 +37,7 @@
     pub(crate) fn prepare(&mut self, by: Author, number: u64) -> Option<(Epoch, bool, Map)> {
         let v = self.voter.as_mut().filter(|_| self.election.promised_to == Some(by))?;
         if number >= v.promised_epoch.number.max(v.accepted.epoch.number).saturating_add(2) {
-            v.promised_epoch = Epoch { number, incarnation: by.life };
+            v.promised_epoch = Epoch { number, incarnation: by.incarnation };
         }
         Some((v.promised_epoch.max(v.accepted.epoch), v.no_map_since_start, v.accepted.clone()))
     }
@@ -46,7 +46,7 @@
     /// incarnation that this voter is promised to in the election, and the map has to be the one accepted
     /// last, or have a larger number than that and not be ruled out by a promise.
     pub(crate) fn accept(&mut self, by: Author, map: Map) -> Option<Epoch> {
-        let promised = self.election.promised_to == Some(by) && map.epoch.incarnation == by.life;
+        let promised = self.election.promised_to == Some(by) && map.epoch.incarnation == by.incarnation;
         let v = self.voter.as_mut()?;
         let (proposed, accepted, promised_epoch) = (map.epoch, v.accepted.epoch, v.promised_epoch);
         let allowed = proposed.number > promised_epoch.number || proposed == promised_epoch;
--- a/zones/src/wire.rs
+++ b/zones/src/wire.rs
@@ -9,7 +9,7 @@
 use crate::MAX_ZONES;
 use nickelgate::Micros;
 use threadward_budgets::wire::Author;
-use threadward_core::zoned::Seen;
+use threadward_core::zoned::ZoneObservation;
 
 /// The first byte of a report. The other messages follow up to 39; the messages of shared budgets begin with
 /// 1 to 7.
@@ -33,7 +33,7 @@
         map_number: u64,
         map_hash: u64,
         own_zone: u16,
-        observed: Vec<Seen>,
+        observed: Vec<ZoneObservation>,
     },
     /// A new decider asks a voter for the map that it accepted last, and to accept no map below this number
     /// from anybody else.
@@ -64,7 +64,7 @@
 /// use threadward_zones::map::Map;
 /// use threadward_zones::wire::{is_zones_message, read, write, Body};
 /// use threadward_zones::Author;
-/// let by = Author { place: 1, life: 7 };
+/// let by = Author { index: 1, incarnation: 7 };
 /// let bytes = write(by, &Body::Announce { map: Map::new(2, 3_000_000) }, 5_000_000);
 /// assert!(is_zones_message(&bytes));
 /// let Some((from, Body::Announce { map })) = read(&bytes, 90_000_000) else { panic!("no map was read") };
@@ -74,18 +74,18 @@
 /// ```
 pub fn write(from: Author, body: &Body, now: Micros) -> Vec<u8> {
     let mut out = vec![FIRST_KIND];
-    out.extend(from.place.to_be_bytes());
-    out.extend(from.life.to_be_bytes());
+    out.extend(from.index.to_be_bytes());
+    out.extend(from.incarnation.to_be_bytes());
     out[0] += match body {
         Body::Report { seq, to_incarnation, map_number, map_hash, own_zone, observed } => {
             out.extend(seq.to_be_bytes());
             [to_incarnation, map_number, map_hash].iter().for_each(|n| out.extend(n.to_be_bytes()));
             out.extend(own_zone.to_be_bytes());
             for s in observed.iter().take(MAX_ZONES) {
-                [s.zone, s.tried, s.failed, s.members, s.bad, s.load]
+                [s.zone, s.attempts, s.failed, s.members, s.bad_members, s.load]
                     .iter()
                     .for_each(|n| out.extend(n.to_be_bytes()));
-                out.push(s.busy);
+                out.push(s.mean_use);
             }
             0
         }
@@ -129,7 +129,7 @@
 pub fn read(bytes: &[u8], now: Micros) -> Option<(Author, Body)> {
     let mut r = Reader(bytes);
     let kind = r.read_u8()?.checked_sub(FIRST_KIND)?;
-    let from = Author { place: r.read_u16()?, life: r.read_u64()? };
+    let from = Author { index: r.read_u16()?, incarnation: r.read_u64()? };
     let body = match kind {
         0 => {
             let (seq, to_incarnation, map_number, map_hash, own_zone) =
@@ -139,18 +139,19 @@
             well_formed.then_some(())?;
             let mut observed = Vec::new();
             while !r.0.is_empty() {
-                let s = Seen {
+                let s = ZoneObservation {
                     zone: r.read_u16()?,
-                    tried: r.read_u16()?,
+                    attempts: r.read_u16()?,
                     failed: r.read_u16()?,
                     members: r.read_u16()?,
-                    bad: r.read_u16()?,
+                    bad_members: r.read_u16()?,
                     load: r.read_u16()?,
-                    busy: r.read_u8()?,
+                    mean_use: r.read_u8()?,
                 };
                 // Each zone may appear once, in order: a zone that appears twice would count twice.
-                let in_order = observed.last().is_none_or(|last: &Seen| last.zone < s.zone);
-                let consistent = s.failed <= s.tried && s.bad <= s.members && s.members <= MAX_ZONE_MEMBERS;
+                let in_order = observed.last().is_none_or(|last: &ZoneObservation| last.zone < s.zone);
+                let consistent =
+                    s.failed <= s.attempts && s.bad_members <= s.members && s.members <= MAX_ZONE_MEMBERS;
                 (in_order && consistent).then(|| observed.push(s))?;
             }
             Body::Report { seq, to_incarnation, map_number, map_hash, own_zone, observed }
--- a/zones/tests/fleet/mod.rs
+++ b/zones/tests/fleet/mod.rs
@@ -4,7 +4,7 @@
 //! The instances learn nothing but the messages that they receive and the results of their own attempts.
 use std::collections::{BTreeMap, VecDeque};
 use threadward_budgets::{Budgets, Settings as BudgetSettings};
-use threadward_zones::{wire, ElectionView, Kind, Seen, Settings, Use, Zone, Zones};
+use threadward_zones::{wire, ElectionView, Kind, Settings, Zone, ZoneObservation, ZoneUse, Zones};
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -29,7 +29,7 @@
     /// Whether two proxies reach each other.
     pub linked: Box<dyn Fn(u16, u16) -> bool>,
     /// The utilization that the members of a zone report, in 255ths.
-    pub busy: u8,
+    pub mean_use: u8,
     /// The part of the messages that is lost, in thousandths. Above 0, messages are also duplicated and
     /// delayed.
     pub loss_permille: u64,
@@ -53,7 +53,7 @@
             zones,
             fails_for: Box::new(|_, _| false),
             linked: Box::new(|_, _| true),
-            busy: 80,
+            mean_use: 80,
             loss_permille: 0,
             in_flight: BTreeMap::new(),
             messages_sent: 0,
@@ -63,14 +63,14 @@
         f
     }
 
-    fn start(&mut self, place: u16, proxies: u16) -> Proxy {
+    fn start(&mut self, index: u16, proxies: u16) -> Proxy {
         let entropy: Vec<u8> = (0..32).map(|_| self.random(256) as u8).collect();
         let (voters, lease) = (vec![0, 1, 2], S);
         let budget_settings =
-            BudgetSettings { place, proxies, voters: voters.clone(), wholes: vec![100], lease };
+            BudgetSettings { index, proxies, voters: voters.clone(), totals: vec![100], lease };
         let budgets = Budgets::new(self.now, budget_settings, entropy.try_into().unwrap()).unwrap();
-        let (me, stands) = (budgets.me(), place % self.zones.len() as u16);
-        let s = Settings { me, proxies, voters, own_zone: stands, lease, zones: self.zones.clone() };
+        let (me, own_zone) = (budgets.identity(), index % self.zones.len() as u16);
+        let s = Settings { me, proxies, voters, own_zone, lease, zones: self.zones.clone() };
         let samples = vec![VecDeque::new(); self.zones.len()];
         Proxy { zones: Zones::new(self.now, s).unwrap(), budgets, up: true, samples }
     }
@@ -89,7 +89,7 @@
 
     /// Returns the proxy that considers itself the decider now.
     pub fn decider(&self) -> Option<u16> {
-        let decides = |p: &Proxy| p.up && p.budgets.grants(self.now);
+        let decides = |p: &Proxy| p.up && p.budgets.is_coordinator(self.now);
         self.all.iter().position(decides).map(|p| p as u16)
     }
 
@@ -109,9 +109,9 @@
 
     fn election(&self, p: u16) -> ElectionView {
         let b = &self.all[usize::from(p)].budgets;
-        let is_decider = b.grants(self.now);
-        let decider = if is_decider { p } else { b.grantor() };
-        ElectionView { is_decider, promised_to: b.promised(self.now), decider }
+        let is_decider = b.is_coordinator(self.now);
+        let decider = if is_decider { p } else { b.coordinator() };
+        ElectionView { is_decider, promised_to: b.promised_to(self.now), decider }
     }
 
     /// Advances the time by one step: delivers messages, passes on the results of attempts and does what is
@@ -149,22 +149,30 @@
     /// Adds a sample of a proxy's attempts at every zone and passes the sums of the last two seconds to its
     /// instance.
     fn observe_attempts(&mut self, i: u16) {
-        let (now, busy) = (self.now, self.busy);
+        let (now, mean_use) = (self.now, self.mean_use);
         let p = &mut self.all[usize::from(i)];
         let mut observed = Vec::new();
         for z in 0..self.zones.len() as u16 {
-            let tried = match p.zones.usage(z) {
-                Use::All | Use::Doubted | Use::Tried => ATTEMPTS_PER_SAMPLE,
-                Use::Part(n) => (ATTEMPTS_PER_SAMPLE * n / 1000).max(1),
-                Use::None => 0,
+            let attempts = match p.zones.usage(z) {
+                ZoneUse::Normal | ZoneUse::Suspected | ZoneUse::Trial => ATTEMPTS_PER_SAMPLE,
+                ZoneUse::Ramping(n) => (ATTEMPTS_PER_SAMPLE * n / 1000).max(1),
+                ZoneUse::Unused => 0,
             };
             let fails = (self.fails_for)(i, z);
             let samples = &mut p.samples[usize::from(z)];
-            samples.push_back((tried, if fails { tried } else { 0 }));
+            samples.push_back((attempts, if fails { attempts } else { 0 }));
             samples.drain(..samples.len().saturating_sub(20));
-            let (tried, failed) = samples.iter().fold((0, 0), |(t, f), (a, b)| (t + a, f + b));
-            let bad = if failed * 2 > tried { 4 } else { 0 };
-            observed.push(Seen { zone: z, tried, failed, members: 4, bad, load: tried, busy });
+            let (attempts, failed) = samples.iter().fold((0, 0), |(t, f), (a, b)| (t + a, f + b));
+            let bad_members = if failed * 2 > attempts { 4 } else { 0 };
+            observed.push(ZoneObservation {
+                zone: z,
+                attempts,
+                failed,
+                members: 4,
+                bad_members,
+                load: attempts,
+                mean_use,
+            });
         }
         p.zones.observe(now, observed);
     }
@@ -202,7 +210,12 @@
                 .iter()
                 .map(|z| (z.state, z.step, z.failing_proxies, z.trying_proxies, z.failed_returns))
                 .collect();
-            format!("{} {:?} {all:?} {:?}\n", m.epoch.number, p.zones.counters, p.budgets.grants(self.now))
+            format!(
+                "{} {:?} {all:?} {:?}\n",
+                m.epoch.number,
+                p.zones.counters,
+                p.budgets.is_coordinator(self.now)
+            )
         };
         self.all.iter().filter(|p| p.up).map(one).collect()
     }
--- a/zones/tests/life.rs
+++ b/zones/tests/life.rs
@@ -114,7 +114,7 @@
     f.run(8 * S);
     // A voter that is not the decider.
     let by = (0..3).find(|p| f.decider() != Some(*p)).unwrap();
-    let (mut map, liar) = (f.all[0].zones.map().clone(), f.all[usize::from(by)].budgets.me());
+    let (mut map, liar) = (f.all[0].zones.map().clone(), f.all[usize::from(by)].budgets.identity());
     map.epoch.number += 1 << 40;
     map.zones.iter_mut().for_each(|z| z.state = State::Out);
     let (epoch, hash) = (map.epoch, map.hash());
@@ -160,7 +160,7 @@
 #[test]
 fn the_guard_keeps_a_zone_whose_load_fits_nowhere() {
     let mut f = Fleet::new(8, 9, parents(3, 8 * S));
-    f.busy = 150;
+    f.mean_use = 150;
     f.run(8 * S);
     // A third of the proxies still reaches the second zone.
     f.fails_for = Box::new(|p, z| z == 0 || z == 1 && p % 3 != 0);
--- a/zones/tests/model.rs
+++ b/zones/tests/model.rs
@@ -12,7 +12,7 @@
 use threadward_zones::state::Why;
 use threadward_zones::wire::{self, Body};
 use threadward_zones::{
-    Author, Counters, ElectionView, Kind, Seen, Settings, Use, Zone, Zones, RESEND_INTERVAL,
+    Author, Counters, ElectionView, Kind, Settings, Zone, ZoneObservation, ZoneUse, Zones, RESEND_INTERVAL,
 };
 
 const N: usize = 3;
@@ -83,12 +83,12 @@
     let zone = |kind, region: u16, fallbacks| Zone { kind, region, warm_up: 0, fallbacks };
     let zones =
         vec![zone(Kind::Parent, 0, vec![1]), zone(Kind::Parent, 1, vec![0]), zone(Kind::Location, 2, vec![])];
-    Settings { me, proxies: N as u16, voters: vec![0, 1, 2], own_zone: me.place % 2, lease: 1_000_000, zones }
+    Settings { me, proxies: N as u16, voters: vec![0, 1, 2], own_zone: me.index % 2, lease: 1_000_000, zones }
 }
 
 impl Fleet {
     fn author(&self, i: usize) -> Author {
-        Author { place: i as u16, life: self.incarnations[i] }
+        Author { index: i as u16, incarnation: self.incarnations[i] }
     }
 
     fn election(&self, i: usize) -> ElectionView {
@@ -124,8 +124,16 @@
     fn tick(&mut self, i: usize, span: u64, fails: bool) {
         self.clocks[i] += span;
         let (now, mut out) = (self.clocks[i], Vec::new());
-        let failing = |zone| Seen { zone, tried: 9, failed: 9, members: 2, bad: 2, load: 9, busy: 60 };
-        let healthy = |zone| Seen { failed: 0, bad: 0, ..failing(zone) };
+        let failing = |zone| ZoneObservation {
+            zone,
+            attempts: 9,
+            failed: 9,
+            members: 2,
+            bad_members: 2,
+            load: 9,
+            mean_use: 60,
+        };
+        let healthy = |zone| ZoneObservation { failed: 0, bad_members: 0, ..failing(zone) };
         // Both parent zones fail for all proxies, the location does not.
         let parent = |zone| if fails { failing(zone) } else { healthy(zone) };
         let observed = vec![parent(0), parent(1), healthy(2)];
@@ -158,7 +166,9 @@
         let accepted = self.accepted_by.get(&(epoch, hash)).map_or(0, |bits| bits.count_ones());
         let known = self.acted_on.entry(epoch.number).or_insert((hash, map.clone())).0;
         let usage_within_step = (0..2).all(|z| match self.all[i].usage(z) {
-            Use::Part(share) => share <= u16::from(map.zones[usize::from(z)].step.saturating_sub(1)) * 125,
+            ZoneUse::Ramping(share) => {
+                share <= u16::from(map.zones[usize::from(z)].step.saturating_sub(1)) * 125
+            }
             _ => true,
         });
         let own = epoch.incarnation == self.incarnations[i] && self.decider == Some(i);
@@ -209,7 +219,7 @@
     fn init_states(&self) -> Vec<Fleet> {
         let incarnations = [10, 20, 30];
         let new = |i: usize| {
-            Zones::new(1_000_000, settings(Author { place: i as u16, life: incarnations[i] }))
+            Zones::new(1_000_000, settings(Author { index: i as u16, incarnation: incarnations[i] }))
                 .expect("settings")
         };
         let mut f = Fleet {
@@ -217,7 +227,7 @@
             incarnations,
             clocks: [1_000_000; N],
             in_flight: BTreeSet::new(),
-            promised_to: [Some(Author { place: 0, life: 10 }); N],
+            promised_to: [Some(Author { index: 0, incarnation: 10 }); N],
             decider: Some(0),
             ticks: self.ticks,
             elections: self.elections,
--- a/zones/tests/wire.rs
+++ b/zones/tests/wire.rs
@@ -3,7 +3,7 @@
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::{State, Status};
 use threadward_zones::wire::{self, Body};
-use threadward_zones::{Author, ElectionView, Kind, Seen, Settings, Zone, Zones, MAX_ZONES};
+use threadward_zones::{Author, ElectionView, Kind, Settings, Zone, ZoneObservation, Zones, MAX_ZONES};
 
 const NOW: u64 = 100_000_000;
 
@@ -39,7 +39,7 @@
     #[test]
     fn messages_are_decoded_as_they_were_encoded(map in maps(), number: u64, no_map_since_start: bool, n in 0..=MAX_ZONES as u16) {
         let epoch = map.epoch;
-        let one = |zone| Seen { zone, tried: 9, failed: 3, members: 4, bad: 1, load: 9, busy: 7 };
+        let one = |zone| ZoneObservation { zone, attempts: 9, failed: 3, members: 4, bad_members: 1, load: 9, mean_use: 7 };
         let report = Body::Report { seq: 1, to_incarnation: number, map_number: 2, map_hash: 3, own_zone: 4, observed: (0..n).map(one).collect() };
         let all = [
             report,
@@ -51,7 +51,7 @@
             Body::Query { epoch },
             Body::Confirm { epoch, hash: number },
         ];
-        let from = Author { place: 3, life: number };
+        let from = Author { index: 3, incarnation: number };
         for body in all {
             let bytes = wire::write(from, &body, NOW);
             prop_assert!(wire::is_zones_message(&bytes) && bytes.len() <= wire::MAX_MESSAGE_BYTES);
@@ -74,7 +74,7 @@
 /// Returns the instance of proxy 0 of 3, with this number of zones.
 fn instance(zones: usize) -> Zones {
     let zone = Zone { kind: Kind::Parent, region: 0, warm_up: 0, fallbacks: vec![] };
-    let (me, zones) = (Author { place: 0, life: 7 }, vec![zone; zones]);
+    let (me, zones) = (Author { index: 0, incarnation: 7 }, vec![zone; zones]);
     let s = Settings { me, proxies: 3, voters: vec![0, 1, 2], own_zone: 0, lease: 1_000_000, zones };
     Zones::new(0, s).unwrap()
 }
@@ -84,8 +84,16 @@
 /// and dropped.
 #[test]
 fn invalid_messages_are_counted_and_dropped() {
-    let by = Author { place: 1, life: 9 };
-    let observation = |zone, failed, bad| Seen { zone, tried: 5, failed, members: 4, bad, load: 5, busy: 0 };
+    let by = Author { index: 1, incarnation: 9 };
+    let observation = |zone, failed, bad_members| ZoneObservation {
+        zone,
+        attempts: 5,
+        failed,
+        members: 4,
+        bad_members,
+        load: 5,
+        mean_use: 0,
+    };
     let report = |observed| Body::Report {
         seq: 1,
         to_incarnation: 7,
