--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -1,36 +1,38 @@
-//! The envelope of a message between processes of a tree: which group and seat it is for, and which process
-//! sent it. A message of the group's [`threadward_budgets::wire`] follows unchanged.
+//! The envelope of a message between processes of the tree. It names the group and seat that the message is
+//! for and the process that sent it. A message in the format of [`threadward_budgets::wire`] follows
+//! unchanged.
 use crate::topology::Level;
 use threadward_budgets::wire;
 
-/// First byte of every frame. Messages of plain budgets begin with 1 to 7, those on zones with 32 to 39.
+/// The first byte of every frame. Messages of budgets without a tree begin with 1 to 7, those of zones with
+/// 32 to 39.
 pub const FRAME_KIND: u8 = 8;
-/// Bytes before the group's message.
+/// The number of bytes before the group's message.
 pub const HEADER_BYTES: usize = 9;
-/// The longest frame, without its authentication code.
+/// The length of the longest frame, without its authentication code.
 pub const MAX_FRAME_BYTES: usize = HEADER_BYTES + wire::MAX_MESSAGE_BYTES;
-/// Times that a frame may be passed on.
+/// How often a frame may be forwarded.
 pub const MAX_HOPS: u8 = 3;
 
-/// A message of a group, on its way to whoever speaks for a seat.
+/// A message of a group, addressed to the process that represents a seat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// Level of the group.
+    /// The level of the group.
     pub level: Level,
-    /// Index of the group at its level.
+    /// The index of the group at its level.
     pub group: u16,
-    /// The seat that is addressed.
+    /// The addressed seat.
     pub seat: u16,
-    /// Times that it was passed on.
+    /// How often it was forwarded.
     pub hops: u8,
-    /// Place of the process that sent it first: answers go there.
+    /// The index of the process that first sent it. Answers go there.
     pub origin: u16,
     /// The group's message.
     pub message: &'a [u8],
 }
 
 impl<'a> Frame<'a> {
-    /// The bytes of this frame.
+    /// Encodes this frame.
     ///
     /// ```
     /// use threadward_control::frame::Frame;
@@ -54,7 +56,7 @@
         bytes
     }
 
-    /// Reads a frame; nothing where a field is out of its bounds or the message is missing or too long.
+    /// Decodes a frame. Returns `None` if a field is out of bounds or the message is missing or too long.
     pub fn decode(bytes: &'a [u8]) -> Option<Frame<'a>> {
         let (header, message) = bytes.split_first_chunk::<HEADER_BYTES>()?;
         let [kind, level, group_high, group_low, seat_high, seat_low, hops, origin_high, origin_low] =
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,10 +1,11 @@
-//! Divides shared budgets down a tree of sites, regions and the fleet, so that no process talks to more than
-//! a few dozen others.
+//! Divides shared budgets among all proxies along a tree of sites, regions and the fleet, so that no process
+//! talks to more than a few dozen others.
 //!
-//! Every level is a group that runs a [`threadward_budgets::Budgets`] instance with seats as members: the
-//! proxies of a site, the sites of a region (each by the process that leads it now), the regions of the
-//! fleet. `docs/control.md` says why what all use never sums to more than the whole at any level. No input or
-//! output, no clock, no threads.
+//! Each level consists of groups, and each group runs a [`threadward_budgets::Budgets`] instance whose
+//! members are called seats: the proxies of a site, the sites of a region (each represented by the process
+//! that leads it now), or the regions of the fleet. `docs/control.md` explains why the use of all proxies
+//! never sums to more than the total at any level. The crate does no input or output, reads no clock and
+//! starts no threads.
 #![forbid(unsafe_code)]
 
 mod division;
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -1,4 +1,5 @@
-//! What the operators' file says of shared budgets in a fleet with sites and regions.
+//! The settings of shared budgets in a fleet with sites and regions, as the operators' file gives them, and
+//! their validation.
 use crate::topology::Topology;
 use nickelgate::Micros;
 use std::fmt;
@@ -6,64 +7,64 @@
 use std::sync::Arc;
 use threadward_budgets::MAX_BUDGETS;
 
-/// Units of one budget.
-const WHOLES: RangeInclusive<u32> = 1..=1_000_000;
-/// Lease time of the lowest level.
-const LEASES: RangeInclusive<Micros> = 200_000..=60_000_000;
+/// Allowed totals of one budget, in units.
+const TOTAL_UNITS: RangeInclusive<u32> = 1..=1_000_000;
+/// Allowed lease times of the lowest level.
+const LEASE_TIMES: RangeInclusive<Micros> = 200_000..=60_000_000;
 
-/// Who shares a budget.
+/// Which proxies share a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// One whole for all proxies: fills toward the origin, repeats.
+    /// All proxies share one total: fills from the origin, retries.
     Fleet,
-    /// Each region has the whole for itself: probes and cold allowance of its own caches.
+    /// Each region has the total for itself: probes of its own caches and the allowance for cold ones.
     Region,
 }
 
 /// A budget that proxies share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedBudget {
-    /// The whole, in units.
+    /// The total, in units.
     pub total_units: u32,
     /// Who shares it.
     pub scope: Scope,
 }
 
-/// Settings of one proxy.
+/// The settings of one proxy.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The own place among the proxies of the file, from 0.
+    /// This proxy's index among the proxies of the file, from 0.
     pub proxy_index: u16,
-    /// Sites and regions of all proxies.
+    /// The sites and regions of all proxies.
     pub topology: Arc<Topology>,
     /// The budgets, in the order of the file.
     pub budgets: Vec<SharedBudget>,
-    /// Lease time of a site's group; those of the levels above are multiples of it.
+    /// The lease time of a site's group. Those of the levels above are multiples of it.
     pub lease: Micros,
 }
 
-/// Why settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// The own place is none of the file.
+    /// The index is not that of a proxy in the file.
     UnknownProxy {
-        /// The own place.
+        /// The index of this proxy.
         proxy_index: u16,
-        /// Proxies in the file.
+        /// The number of proxies in the file.
         proxies: usize,
     },
-    /// No budget or too many.
+    /// There is no budget, or there are too many.
     BudgetCount(usize),
-    /// A whole out of range.
+    /// The total of a budget is out of range.
     TotalOutOfRange {
-        /// Index of the budget.
+        /// The index of the budget.
         budget: usize,
-        /// Its whole.
+        /// Its total, in units.
         total_units: u32,
     },
-    /// A lease time out of range.
+    /// The lease time is out of range.
     Lease(Micros),
-    /// A group's instance refused what follows from the settings.
+    /// The instance of a group rejected the settings that follow from these.
     Group(String),
 }
 
@@ -71,18 +72,21 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SettingsError::UnknownProxy { proxy_index, proxies } => {
-                write!(formatter, "the own place is {proxy_index}, but the file names {proxies} proxies")
+                write!(
+                    formatter,
+                    "the index of this proxy is {proxy_index}, but the file names {proxies} proxies"
+                )
             }
             SettingsError::BudgetCount(count) => {
                 write!(formatter, "{count} budgets; this version takes 1 to {MAX_BUDGETS}")
             }
             SettingsError::TotalOutOfRange { budget, total_units } => {
-                let (least, most) = (WHOLES.start(), WHOLES.end());
-                write!(formatter, "budget {budget} has {total_units} units; it takes {least} to {most}")
+                let (min, max) = (TOTAL_UNITS.start(), TOTAL_UNITS.end());
+                write!(formatter, "budget {budget} has {total_units} units; it takes {min} to {max}")
             }
             SettingsError::Lease(lease) => {
-                let (least, most) = (LEASES.start() / 1000, LEASES.end() / 1000);
-                write!(formatter, "'lease_ms' is {}; it takes {least} to {most}", lease / 1000)
+                let (min, max) = (LEASE_TIMES.start() / 1000, LEASE_TIMES.end() / 1000);
+                write!(formatter, "'lease_ms' is {}; it takes {min} to {max}", lease / 1000)
             }
             SettingsError::Group(cause) => write!(formatter, "budgets of a group: {cause}"),
         }
@@ -92,10 +96,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether these can be used.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first thing that is wrong with them.
+    /// Returns the first problem that is found.
     pub fn check(&self) -> Result<(), SettingsError> {
         let proxies = self.topology.proxies();
         if usize::from(self.proxy_index) >= proxies {
@@ -105,11 +109,11 @@
             return Err(SettingsError::BudgetCount(self.budgets.len()));
         }
         for (budget, shared) in self.budgets.iter().enumerate() {
-            if !WHOLES.contains(&shared.total_units) {
+            if !TOTAL_UNITS.contains(&shared.total_units) {
                 return Err(SettingsError::TotalOutOfRange { budget, total_units: shared.total_units });
             }
         }
-        if !LEASES.contains(&self.lease) {
+        if !LEASE_TIMES.contains(&self.lease) {
             return Err(SettingsError::Lease(self.lease));
         }
         Ok(())
--- a/control/src/shared.rs
+++ b/control/src/shared.rs
@@ -1,54 +1,55 @@
-//! What the plain division and the tree have in common, so that a caller treats both alike.
+//! The interface that the division among a flat list of proxies and the division along the tree have in
+//! common.
 use nickelgate::Micros;
 use threadward_budgets::{Budgets, Outbox};
 
-/// Times that an instance became leader of a group, by level.
+/// How often an instance became leader of a group, by level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Elections {
-    /// Of its site.
+    /// Elections as leader of its site.
     pub site: u64,
-    /// Of its region.
+    /// Elections as leader of its region.
     pub region: u64,
-    /// Of the fleet.
+    /// Elections as leader of the fleet.
     pub fleet: u64,
 }
 
-/// What was counted since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Bytes of the messages that were given out to be sent.
+    /// Bytes of the messages that were handed to the caller to be sent.
     pub sent_bytes: u64,
-    /// Messages that could not be read.
+    /// Messages that could not be decoded.
     pub malformed: u64,
-    /// Leases of this proxy that ran out without a new one.
+    /// Leases of this proxy that expired before a new one arrived.
     pub lapsed: u64,
-    /// Times that this proxy became leader.
+    /// Elections that this proxy won.
     pub elected: Elections,
-    /// Messages passed on to the leader that they were meant for.
+    /// Messages that were forwarded to the leader that they were meant for.
     pub forwarded: u64,
-    /// Messages for a seat that this proxy does not speak for, with nobody to pass them to.
+    /// Messages for a seat that this proxy does not represent and that could not be forwarded.
     pub dropped: u64,
 }
 
-/// Shares of budgets that many proxies spend together.
+/// A proxy's shares of budgets that many proxies spend together.
 pub trait SharedBudgets {
-    /// What this proxy may use of a budget now, in units. Ask at every use.
+    /// Returns how many units of a budget this proxy may use now. Has to be called at every use.
     fn share(&mut self, now: Micros, budget: usize) -> u32;
-    /// What this proxy would use of a budget, in units.
-    fn want(&mut self, budget: usize, units: u32);
-    /// Whether a lease lasts now.
-    fn leased(&self, now: Micros) -> bool;
-    /// Whether this process divides the whole of the fleet now.
+    /// Sets how many units of a budget this proxy would use.
+    fn set_demand(&mut self, budget: usize, units: u32);
+    /// Returns whether this proxy holds a lease now.
+    fn has_lease(&self, now: Micros) -> bool;
+    /// Returns whether this process divides the budgets of the whole fleet now.
     fn leads_fleet(&self, now: Micros) -> bool;
-    /// When [`SharedBudgets::tick`] has something to do next.
+    /// Returns when [`SharedBudgets::tick`] has something to do next.
     fn next_due(&self) -> Micros;
-    /// Carries out what is due by now.
+    /// Does what is due by now and appends the messages to send to `out`.
     fn tick(&mut self, now: Micros, out: &mut Outbox);
-    /// A message came in from a proxy of the file; who that is has been checked.
+    /// Handles a message from a proxy of the file. The caller has authenticated the sender.
     fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox);
-    /// Ends by will: nothing is used from here on.
+    /// Leaves the division on purpose: this proxy uses nothing from now on.
     fn leave(&mut self, out: &mut Outbox);
-    /// What was counted since the start.
+    /// Returns the counts since the start.
     fn counters(&self) -> Counters;
 }
 
@@ -56,10 +57,10 @@
     fn share(&mut self, now: Micros, budget: usize) -> u32 {
         Budgets::share(self, now, budget)
     }
-    fn want(&mut self, budget: usize, units: u32) {
+    fn set_demand(&mut self, budget: usize, units: u32) {
         Budgets::set_demand(self, budget, units);
     }
-    fn leased(&self, now: Micros) -> bool {
+    fn has_lease(&self, now: Micros) -> bool {
         Budgets::has_lease(self, now)
     }
     fn leads_fleet(&self, now: Micros) -> bool {
--- a/control/src/speakers.rs
+++ b/control/src/speakers.rs
@@ -1,28 +1,29 @@
-//! Which process speaks for each seat of a group, as learned from its messages.
+//! Tracks which process represents each seat of a group, as learned from its messages.
 use nickelgate::Micros;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
+/// The process that represents a seat.
 struct Speaker {
-    place: u16,
+    proxy_index: u16,
     until: Micros,
 }
 
-/// The processes last heard from, by seat. Bounded by the seats of the group, since the caller checks that a
-/// process stands behind the seat it speaks for.
+/// The processes that last sent a message for each seat. The map is bounded by the seats of the group,
+/// because the caller checks that a process belongs to the seat that it represents.
 #[derive(Clone, Debug, Default)]
 pub struct Speakers {
     by_seat: BTreeMap<u16, Speaker>,
 }
 
 impl Speakers {
-    /// A process spoke for a seat; it is remembered for so long.
-    pub fn heard(&mut self, now: Micros, seat: u16, place: u16, remembered: Micros) {
-        self.by_seat.insert(seat, Speaker { place, until: now + remembered });
+    /// Records that a process sent a message for a seat. It is remembered for `remembered` microseconds.
+    pub fn record(&mut self, now: Micros, seat: u16, proxy_index: u16, remembered: Micros) {
+        self.by_seat.insert(seat, Speaker { proxy_index, until: now + remembered });
     }
 
-    /// The place of the process that speaks for a seat, if it was heard lately.
-    pub fn place_of(&self, now: Micros, seat: u16) -> Option<u16> {
-        self.by_seat.get(&seat).filter(|speaker| now < speaker.until).map(|speaker| speaker.place)
+    /// Returns the index of the process that represents a seat, if it sent a message recently.
+    pub fn process_of(&self, now: Micros, seat: u16) -> Option<u16> {
+        self.by_seat.get(&seat).filter(|speaker| now < speaker.until).map(|speaker| speaker.proxy_index)
     }
 }
--- a/control/src/topology.rs
+++ b/control/src/topology.rs
@@ -1,48 +1,48 @@
-//! Which proxies form a site and which sites form a region. Built once from the operators' file and shared by
-//! reference, so that the state of one proxy does not grow with the fleet.
+//! The topology of the fleet: which proxies form a site and which sites form a region. It is built once from
+//! the operators' file and shared by reference, so that the state of one proxy does not grow with the fleet.
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Proxies that a file may name.
+/// The largest number of proxies in a file.
 pub const MAX_PROXIES: usize = 20_000;
-/// Members of one group: proxies of a site, sites of a region or regions of the fleet.
+/// The largest number of members of one group: proxies of a site, sites of a region or regions of the fleet.
 pub const MAX_GROUP_MEMBERS: usize = threadward_budgets::MAX_PROXIES;
-/// Voters of a group at most.
+/// The largest number of voters of a group.
 const MAX_VOTERS: usize = 5;
 
-/// Where one proxy stands, by the names in the operators' file.
+/// The location of one proxy, by the names in the operators' file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location<'a> {
-    /// Name of the region.
+    /// The name of the region.
     pub region: &'a str,
-    /// Name of the site, unique in the whole fleet.
+    /// The name of the site, unique in the whole fleet.
     pub site: &'a str,
 }
 
-/// Why a list of locations is no topology.
+/// The reason why a list of locations is not a valid topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TopologyError {
-    /// No proxy or more than [`MAX_PROXIES`].
+    /// The list has no proxy or more than [`MAX_PROXIES`].
     ProxyCount(usize),
-    /// A proxy without a region or site.
+    /// A proxy has no region or no site.
     Unnamed {
-        /// Index of the proxy in the file.
+        /// The index of the proxy in the file.
         proxy_index: usize,
     },
-    /// A site stands in two regions.
+    /// A site is listed in two regions.
     SiteInTwoRegions {
-        /// Name of the site.
+        /// The name of the site.
         site: String,
-        /// The region in which it was named first.
+        /// The region in which it was listed first.
         first: String,
-        /// The other one.
+        /// The other region.
         second: String,
     },
     /// A group has more than [`MAX_GROUP_MEMBERS`] members.
     GroupTooLarge {
-        /// Which group, with its name.
+        /// A description of the group that contains its name.
         group: String,
-        /// How many members it has.
+        /// The number of its members.
         members: usize,
     },
 }
@@ -71,43 +71,46 @@
 /// A level of the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Level {
-    /// A group of the proxies of one site.
+    /// Groups of the proxies of one site.
     Site,
-    /// A group of the sites of one region.
+    /// Groups of the sites of one region.
     Region,
-    /// The group of all regions.
+    /// The single group of all regions.
     Fleet,
 }
 
-/// Proxies of one site.
+/// One site.
 #[derive(Clone, Debug)]
 struct Site {
     region: u16,
-    /// Index among the sites of its region.
+    /// Its index among the sites of its region.
     seat: u16,
-    /// Places of its proxies, in the order of the file.
+    /// The indices of its proxies, in the order of the file.
     proxies: Vec<u16>,
 }
 
-/// Sites of one region.
+/// One region.
 #[derive(Clone, Debug)]
 struct Region {
-    /// Indices into the list of sites.
+    /// Indices into the list of all sites.
     sites: Vec<u16>,
-    /// Places of all its proxies.
+    /// The indices of all its proxies.
     proxies: Vec<u16>,
 }
 
-/// Position of one proxy.
+/// The position of one proxy.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     site: u16,
-    /// Index among the proxies of its site.
+    /// Its index among the proxies of its site.
     seat: u16,
 }
 
 /// The groups of all levels.
 ///
+/// Members of a group are called seats: a seat is a proxy of a site, a site of a region, or a region of the
+/// fleet.
+///
 /// ```
 /// use threadward_control::{Level, Location, Topology};
 ///
@@ -129,42 +132,42 @@
 }
 
 impl Topology {
-    /// The groups that follow from where each proxy stands, in the order of the file.
+    /// Builds the groups from the location of each proxy, in the order of the file.
     ///
     /// # Errors
-    /// The first thing that is wrong with the list.
+    /// Returns the first problem that is found in the list.
     pub fn new(locations: &[Location<'_>]) -> Result<Topology, TopologyError> {
         if !(1..=MAX_PROXIES).contains(&locations.len()) {
             return Err(TopologyError::ProxyCount(locations.len()));
         }
         let mut builder = Builder::default();
-        for (place, location) in locations.iter().enumerate() {
-            builder.add(place, *location)?;
+        for (proxy_index, location) in locations.iter().enumerate() {
+            builder.add(proxy_index, *location)?;
         }
         builder.finish()
     }
 
-    /// Number of proxies.
+    /// Returns the number of proxies.
     pub fn proxies(&self) -> usize {
         self.positions.len()
     }
 
-    /// Number of sites.
+    /// Returns the number of sites.
     pub fn sites(&self) -> usize {
         self.sites.len()
     }
 
-    /// Number of regions.
+    /// Returns the number of regions.
     pub fn regions(&self) -> usize {
         self.regions.len()
     }
 
-    /// The group of a proxy at a level: the index of its site or region, 0 for the fleet.
+    /// Returns the group of a proxy at a level: the index of its site or region, 0 for the fleet.
     ///
     /// # Panics
-    /// If the place is not in the file.
-    pub fn group_of(&self, place: u16, level: Level) -> u16 {
-        let site = self.positions[usize::from(place)].site;
+    /// Panics if no proxy in the file has this index.
+    pub fn group_of(&self, proxy_index: u16, level: Level) -> u16 {
+        let site = self.positions[usize::from(proxy_index)].site;
         match level {
             Level::Site => site,
             Level::Region => self.sites[usize::from(site)].region,
@@ -172,12 +175,13 @@
         }
     }
 
-    /// The member of its group at a level that stands for a proxy: itself, its site or its region.
+    /// Returns the seat that represents a proxy in its group at a level: the proxy itself, its site or its
+    /// region.
     ///
     /// # Panics
-    /// If the place is not in the file.
-    pub fn seat_of(&self, place: u16, level: Level) -> u16 {
-        let position = self.positions[usize::from(place)];
+    /// Panics if no proxy in the file has this index.
+    pub fn seat_of(&self, proxy_index: u16, level: Level) -> u16 {
+        let position = self.positions[usize::from(proxy_index)];
         let site = &self.sites[usize::from(position.site)];
         match level {
             Level::Site => position.seat,
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Members of a group; 0 for one that does not exist.
+    /// Returns the number of members of a group, 0 for a group that does not exist.
     pub fn members(&self, level: Level, group: u16) -> u16 {
         let count = match level {
             Level::Site => self.sites.get(usize::from(group)).map_or(0, |site| site.proxies.len()),
@@ -197,7 +201,7 @@
         u16::try_from(count).unwrap_or(u16::MAX)
     }
 
-    /// Places of the proxies that stand behind a seat of a group; none where there is no such seat.
+    /// Returns the indices of the proxies that belong to a seat of a group; empty if there is no such seat.
     pub fn proxies_of_seat(&self, level: Level, group: u16, seat: u16) -> &[u16] {
         let (group, seat) = (usize::from(group), usize::from(seat));
         let proxies = match level {
@@ -211,21 +215,21 @@
         proxies.unwrap_or_default()
     }
 
-    /// Weight of a seat: the number of proxies behind it.
+    /// Returns the weight of a seat: the number of proxies that belong to it.
     pub fn weight_of_seat(&self, level: Level, group: u16, seat: u16) -> u64 {
         self.proxies_of_seat(level, group, seat).len() as u64
     }
 
-    /// Seats that vote in a group: the first 1, 3 or 5.
+    /// Returns the seats that vote in a group: the first 1, 3 or 5.
     pub fn voters(&self, level: Level, group: u16) -> Vec<u16> {
         let members = self.members(level, group);
-        let most = MAX_VOTERS.min(usize::from(members)) as u16;
-        let odd = if most.is_multiple_of(2) { most.saturating_sub(1) } else { most };
+        let max_voters = MAX_VOTERS.min(usize::from(members)) as u16;
+        let odd = if max_voters.is_multiple_of(2) { max_voters.saturating_sub(1) } else { max_voters };
         (0..odd).collect()
     }
 }
 
-/// Collects sites and regions by name.
+/// Collects the sites and regions by name while the list is read.
 #[derive(Default)]
 struct Builder<'a> {
     positions: Vec<Position>,
@@ -238,26 +242,26 @@
 }
 
 impl<'a> Builder<'a> {
-    fn add(&mut self, place: usize, location: Location<'a>) -> Result<(), TopologyError> {
+    fn add(&mut self, proxy_index: usize, location: Location<'a>) -> Result<(), TopologyError> {
         if location.region.is_empty() || location.site.is_empty() {
-            return Err(TopologyError::Unnamed { proxy_index: place });
+            return Err(TopologyError::Unnamed { proxy_index });
         }
         let region = self.region(location.region);
         let site = self.site(location.site, region);
-        let found = self.sites[usize::from(site)].region;
-        if found != region {
+        let listed_region = self.sites[usize::from(site)].region;
+        if listed_region != region {
             return Err(TopologyError::SiteInTwoRegions {
                 site: location.site.to_owned(),
-                first: self.region_names[usize::from(found)].to_owned(),
+                first: self.region_names[usize::from(listed_region)].to_owned(),
                 second: location.region.to_owned(),
             });
         }
-        // Bounded by MAX_PROXIES, which fits.
-        let place = place as u16;
+        // The index is less than MAX_PROXIES, which fits into 16 bits.
+        let proxy_index = proxy_index as u16;
         let members = &mut self.sites[usize::from(site)].proxies;
         self.positions.push(Position { site, seat: members.len() as u16 });
-        members.push(place);
-        self.regions[usize::from(region)].proxies.push(place);
+        members.push(proxy_index);
+        self.regions[usize::from(region)].proxies.push(proxy_index);
         Ok(())
     }
 
--- a/control/src/tree.rs
+++ b/control/src/tree.rs
@@ -1,4 +1,4 @@
-//! One proxy's part in the groups of its site, its region and the fleet.
+//! One proxy's membership in the groups of its site, its region and the fleet.
 use crate::frame::{Frame, MAX_HOPS};
 use crate::member::Member;
 use crate::settings::{Scope, Settings, SettingsError};
@@ -9,15 +9,16 @@
 use rand_core::{RngCore, SeedableRng};
 use threadward_budgets::{wire, Outbox};
 
-/// Where an answer goes: the process that asked, for its seat.
+/// The destination of an answer: the process that sent the request, and the seat that it represents.
 #[derive(Clone, Copy, Debug)]
 struct ReplyTo {
     seat: u16,
-    place: u16,
+    proxy_index: u16,
 }
 
-/// One proxy's part in the tree: a member of its site's group and, while it leads one, of the group above. It does
-/// nothing by itself: the caller brings the time and messages, and sends what it is given.
+/// One proxy's membership in the tree: it is a member of its site's group and, while it leads a group, of the
+/// group above. It does nothing by itself: the caller passes in the time and the messages, and sends the
+/// messages that it gets back.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -25,7 +26,7 @@
 ///     ControlTree, Level, Location, Scope, Settings, SharedBudget, SharedBudgets, Topology,
 /// };
 ///
-/// // A fleet of one elects itself at each level and sends nothing.
+/// // The only proxy of a fleet elects itself at each level and sends nothing.
 /// let settings = Settings {
 ///     proxy_index: 0,
 ///     topology: Arc::new(Topology::new(&[Location { region: "north", site: "ams" }])?),
@@ -33,7 +34,7 @@
 ///     lease: 1_000_000,
 /// };
 /// let mut tree = ControlTree::new(0, settings, [7; 32])?;
-/// tree.want(0, 100);
+/// tree.set_demand(0, 100);
 /// let mut out = Vec::new();
 /// while tree.next_due() < 30_000_000 {
 ///     tree.tick(tree.next_due(), &mut out);
@@ -45,24 +46,25 @@
 pub struct ControlTree {
     settings: Settings,
     rng: ChaCha8Rng,
-    /// The clock only goes forward.
+    /// The latest time that was passed in. It never goes back.
     now: Micros,
     site: Member,
-    /// While this process leads its site.
+    /// The membership in the region's group, while this process leads its site.
     region: Option<Member>,
-    /// While it leads its region, where a budget is the fleet's.
+    /// The membership in the fleet's group, while this process leads its region and any budget is shared by
+    /// the fleet.
     fleet: Option<Member>,
-    /// It ended by will and leads nothing any more.
+    /// Whether this process left the division on purpose. It then leads no group any more.
     left: bool,
-    /// What is not counted by the present instances.
+    /// Counts that are not in the counters of the current instances.
     counters: Counters,
 }
 
 impl ControlTree {
-    /// `entropy` has to differ with every start.
+    /// Creates the membership. `entropy` has to differ with every start.
     ///
     /// # Errors
-    /// What is wrong with the settings.
+    /// Returns what is wrong with the settings.
     pub fn new(now: Micros, settings: Settings, entropy: [u8; 32]) -> Result<ControlTree, SettingsError> {
         settings.check()?;
         let mut rng = ChaCha8Rng::from_seed(entropy);
@@ -79,23 +81,24 @@
         })
     }
 
-    /// What this proxy may use of a budget now, in units: its floor, and its lease while that lasts. Ask at every use: a
-    /// process that was stopped finds its lease over here. A budget that is not in the settings has 0.
+    /// Returns how many units of a budget this proxy may use now: its floor, plus its lease while that lasts.
+    /// Has to be called at every use: a process that was suspended learns here that its lease has expired.
+    /// Returns 0 for a budget that is not in the settings.
     pub fn share(&mut self, now: Micros, budget: usize) -> u32 {
         self.site.instance.share(now, budget)
     }
 
-    /// What this proxy would use of a budget, in units.
-    pub fn want(&mut self, budget: usize, units: u32) {
+    /// Sets how many units of a budget this proxy would use.
+    pub fn set_demand(&mut self, budget: usize, units: u32) {
         self.site.instance.set_demand(budget, units);
     }
 
-    /// Whether a lease lasts now.
-    pub fn leased(&self, now: Micros) -> bool {
+    /// Returns whether this proxy holds a lease now.
+    pub fn has_lease(&self, now: Micros) -> bool {
         self.site.instance.has_lease(now)
     }
 
-    /// Whether this process leads its group of that level now.
+    /// Returns whether this process leads its group at a level now.
     pub fn leads(&self, now: Micros, level: Level) -> bool {
         let now = self.now.max(now);
         let site = self.leading_term(now);
@@ -111,31 +114,31 @@
         }
     }
 
-    /// When [`ControlTree::tick`] has something to do next.
+    /// Returns when [`ControlTree::tick`] has something to do next.
     pub fn next_due(&self) -> Micros {
         let upper = [&self.region, &self.fleet].into_iter().flatten();
         let upper = upper.map(|member| member.instance.next_due());
         upper.fold(self.site.instance.next_due(), Micros::min)
     }
 
-    /// Carries out what is due by now.
+    /// Does what is due by now and appends the frames to send to `out`.
     pub fn tick(&mut self, now: Micros, out: &mut Outbox) {
-        self.settle(now);
+        self.synchronize(now);
         for level in [Level::Fleet, Level::Region, Level::Site] {
             let (now, mut messages) = (self.now, Outbox::new());
             if let Some(member) = self.member_mut(level) {
                 member.instance.tick(now, &mut messages);
             }
             self.send(level, messages, None, out);
-            self.settle(now);
+            self.synchronize(now);
         }
     }
 
-    /// A frame came in from a proxy of the file; who that is has been checked. One that cannot be read is counted and
-    /// changes nothing.
+    /// Handles a frame from a proxy of the file. The caller has authenticated the sender. A frame that cannot
+    /// be decoded is counted and changes nothing.
     pub fn receive(&mut self, now: Micros, message: &[u8], out: &mut Outbox) {
-        self.settle(now);
-        let Some(frame) = Frame::decode(message).filter(|frame| self.is_sound(frame)) else {
+        self.synchronize(now);
+        let Some(frame) = Frame::decode(message).filter(|frame| self.is_valid(frame)) else {
             self.counters.malformed += 1;
             return;
         };
@@ -146,23 +149,24 @@
             self.counters.dropped += 1;
         } else if self.member_mut(frame.level).is_some() {
             self.deliver(&frame, out);
-            self.settle(now);
+            self.synchronize(now);
         } else {
             self.forward(frame, out);
         }
     }
 
-    /// Ends by will: nothing is used or led from here on. What was handed on runs out by itself, so the groups above are
-    /// told nothing: their leaders count this process's leases until they are over.
+    /// Leaves the division on purpose: this process uses and leads nothing from now on. The groups above are
+    /// not told, because the leases that were granted further down expire by themselves: the leaders above
+    /// count this process's leases until they end.
     pub fn leave(&mut self, out: &mut Outbox) {
         self.left = true;
         let mut messages = Outbox::new();
         self.site.instance.leave(&mut messages);
         self.send(Level::Site, messages, None, out);
-        self.settle(self.now);
+        self.synchronize(self.now);
     }
 
-    /// What was counted since the start.
+    /// Returns the counts since the start.
     pub fn counters(&self) -> Counters {
         let mut counters = self.counters;
         count(&mut counters, &self.site);
@@ -170,6 +174,7 @@
         counters
     }
 
+    /// Returns the current term in which this process leads its site, or `None` if it does not or has left.
     fn leading_term(&self, now: Micros) -> Option<u64> {
         self.site.leading_term(now).filter(|_| !self.left)
     }
@@ -182,23 +187,24 @@
         }
     }
 
-    /// Brings all levels in step: before an instance acts, so that nothing is done on a leadership or lease that is
-    /// over, and after, so that its result reaches the others.
-    fn settle(&mut self, now: Micros) {
+    /// Brings all levels up to date. It is called before an instance acts, so that nothing is done on an
+    /// expired leadership or lease, and after it, so that the result reaches the other levels.
+    fn synchronize(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        self.follow_leadership();
-        self.flow_down();
-        self.flow_up();
+        self.update_memberships();
+        self.pass_leases_down();
+        self.pass_demand_up();
     }
 
-    /// A member of an upper group lives exactly as long as the term of leadership below: it is dropped when that ends, and
-    /// one that begins has a life of its own and abstains from voting at first, as after a restart.
-    fn follow_leadership(&mut self) {
+    /// Begins and drops the memberships in the upper groups. Each lasts exactly as long as the term of
+    /// leadership in the group below: it is dropped when that ends, and one that begins has an incarnation of
+    /// its own and does not vote at first, as after a restart.
+    fn update_memberships(&mut self) {
         let site_term = self.leading_term(self.now);
         if self.region.as_ref().map(|region| region.term) != site_term {
             self.drop_upper(Level::Fleet);
             self.drop_upper(Level::Region);
-            self.site.draw_own();
+            self.site.supply_own_pools();
             self.region = site_term.and_then(|term| self.begin(Level::Region, term));
         }
         let region_term = self.region.as_ref().and_then(|region| region.leading_term(self.now));
@@ -206,18 +212,21 @@
             return;
         }
         self.drop_upper(Level::Fleet);
-        self.region.iter_mut().for_each(Member::draw_own);
+        self.region.iter_mut().for_each(Member::supply_own_pools);
         if self.settings.budgets.iter().any(|budget| budget.scope == Scope::Fleet) {
             self.fleet = region_term.and_then(|term| self.begin(Level::Fleet, term));
         }
     }
 
+    /// Creates a membership in an upper group.
     fn begin(&mut self, level: Level, term: u64) -> Option<Member> {
         let entropy = draw_entropy(&mut self.rng);
-        // The settings were checked at the start, and those of the site's group stood it.
+        // This cannot fail: the settings were checked at the start, and the instance of the site's group
+        // accepted them.
         Member::new(self.now, &self.settings, level, term, entropy).ok()
     }
 
+    /// Drops the membership in an upper group and keeps its counts.
     fn drop_upper(&mut self, level: Level) {
         let dropped = match level {
             Level::Site => None,
@@ -227,30 +236,33 @@
         dropped.iter().for_each(|member| count(&mut self.counters, member));
     }
 
-    /// What is held from above becomes what is divided below, from the top down.
-    fn flow_down(&mut self) {
+    /// Passes the leases down: the units that are held from the group above become available in the group
+    /// below, from the top down.
+    fn pass_leases_down(&mut self) {
         if let (Some(region), Some(fleet)) = (&mut self.region, &mut self.fleet) {
-            region.draw_supply(self.now, &mut fleet.instance);
+            region.supply_with_lease(self.now, &mut fleet.instance);
         }
         if let Some(region) = &mut self.region {
-            self.site.draw_supply(self.now, &mut region.instance);
+            self.site.supply_with_lease(self.now, &mut region.instance);
         }
     }
 
-    /// What is wanted below is asked for above, from the bottom up.
-    fn flow_up(&mut self) {
+    /// Passes the demand up: the demand of the group below is requested from the group above, from the bottom
+    /// up.
+    fn pass_demand_up(&mut self) {
         for (budget, shared) in self.settings.budgets.iter().enumerate() {
-            let bounded = |wanted: u64| u32::try_from(wanted).unwrap_or(u32::MAX).min(shared.total_units);
+            let clamped = |demand: u64| u32::try_from(demand).unwrap_or(u32::MAX).min(shared.total_units);
             let Some(region) = &mut self.region else { return };
-            region.instance.set_demand(budget, bounded(self.site.instance.total_demand(budget)));
+            region.instance.set_demand(budget, clamped(self.site.instance.total_demand(budget)));
             if let Some(fleet) = self.fleet.as_mut().filter(|_| shared.scope == Scope::Fleet) {
-                fleet.instance.set_demand(budget, bounded(region.instance.total_demand(budget)));
+                fleet.instance.set_demand(budget, clamped(region.instance.total_demand(budget)));
             }
         }
     }
 
-    /// Whether the seat that a frame is for exists, and its origin stands behind the seat that its message speaks for.
-    fn is_sound(&self, frame: &Frame) -> bool {
+    /// Returns whether the seat that a frame is addressed to exists and its origin belongs to the seat that
+    /// is the author of its message.
+    fn is_valid(&self, frame: &Frame) -> bool {
         let topology = &self.settings.topology;
         usize::from(frame.origin) < topology.proxies()
             && frame.seat < topology.members(frame.level, frame.group)
@@ -258,30 +270,31 @@
             && wire::author_index(frame.message) == Some(topology.seat_of(frame.origin, frame.level))
     }
 
+    /// Passes the message of a frame to the instance that it is addressed to, and sends the answers.
     fn deliver(&mut self, frame: &Frame, out: &mut Outbox) {
         let (now, mut messages) = (self.now, Outbox::new());
         let seat = self.settings.topology.seat_of(frame.origin, frame.level);
         if let Some(member) = self.member_mut(frame.level) {
-            member.speakers.heard(now, seat, frame.origin, member.lease);
+            member.speakers.record(now, seat, frame.origin, member.lease);
             member.instance.receive(now, frame.message, &mut messages);
         }
-        self.send(frame.level, messages, Some(ReplyTo { seat, place: frame.origin }), out);
+        self.send(frame.level, messages, Some(ReplyTo { seat, proxy_index: frame.origin }), out);
     }
 
-    /// Passes a frame on to the leader that this process knows of.
+    /// Forwards a frame to the leader that this process knows of, or counts it as dropped.
     fn forward(&mut self, frame: Frame, out: &mut Outbox) {
-        let next = self.next_hop(frame.level).filter(|place| *place != self.settings.proxy_index);
+        let next = self.next_hop(frame.level).filter(|proxy_index| *proxy_index != self.settings.proxy_index);
 
-        match next.filter(|place| *place != frame.origin && frame.hops < MAX_HOPS) {
-            Some(place) => {
+        match next.filter(|proxy_index| *proxy_index != frame.origin && frame.hops < MAX_HOPS) {
+            Some(proxy_index) => {
                 self.counters.forwarded += 1;
-                self.emit(place, &Frame { hops: frame.hops + 1, ..frame }, out);
+                self.emit(proxy_index, &Frame { hops: frame.hops + 1, ..frame }, out);
             }
             None => self.counters.dropped += 1,
         }
     }
 
-    /// The process that knows more of who speaks for the own seat at a level.
+    /// Returns the process that is more likely to know who represents this proxy's seat at a level.
     fn next_hop(&mut self, level: Level) -> Option<u16> {
         let region_leader = self.region.as_ref().map(|region| region.instance.coordinator());
         match region_leader.filter(|_| level == Level::Fleet) {
@@ -290,11 +303,12 @@
         }
     }
 
-    /// The process that speaks for a seat of the own group at a level, or one that stands behind that seat.
+    /// Returns the process that represents a seat of this proxy's group at a level, or, if that is unknown, a
+    /// random one that belongs to the seat.
     fn speaker(&mut self, level: Level, seat: u16) -> Option<u16> {
         let now = self.now;
         let member = self.member_mut(level)?;
-        let (group, known) = (member.group, member.speakers.place_of(now, seat));
+        let (group, known) = (member.group, member.speakers.process_of(now, seat));
         if level != Level::Site && known.is_some() {
             return known;
         }
@@ -307,21 +321,25 @@
         }
     }
 
+    /// Sends messages of a group to the processes that represent the addressed seats. `reply` names the
+    /// process whose request is being handled: an answer to its seat goes to that process.
     fn send(&mut self, level: Level, messages: Outbox, reply: Option<ReplyTo>, out: &mut Outbox) {
         let group = self.settings.topology.group_of(self.settings.proxy_index, level);
 
         for (seat, message) in messages {
-            let asker = reply.filter(|asker| asker.seat == seat).map(|asker| asker.place);
-            let Some(place) = asker.or_else(|| self.speaker(level, seat)) else { continue };
+            let requester =
+                reply.filter(|requester| requester.seat == seat).map(|requester| requester.proxy_index);
+            let Some(proxy_index) = requester.or_else(|| self.speaker(level, seat)) else { continue };
             let origin = self.settings.proxy_index;
-            self.emit(place, &Frame { level, group, seat, hops: 0, origin, message: &message }, out);
+            self.emit(proxy_index, &Frame { level, group, seat, hops: 0, origin, message: &message }, out);
         }
     }
 
-    fn emit(&mut self, place: u16, frame: &Frame, out: &mut Outbox) {
+    /// Encodes a frame, counts its bytes and appends it to `out`.
+    fn emit(&mut self, proxy_index: u16, frame: &Frame, out: &mut Outbox) {
         let bytes = frame.encode();
         self.counters.sent_bytes += bytes.len() as u64;
-        out.push((place, bytes));
+        out.push((proxy_index, bytes));
     }
 }
 
@@ -329,11 +347,11 @@
     fn share(&mut self, now: Micros, budget: usize) -> u32 {
         ControlTree::share(self, now, budget)
     }
-    fn want(&mut self, budget: usize, units: u32) {
-        ControlTree::want(self, budget, units);
+    fn set_demand(&mut self, budget: usize, units: u32) {
+        ControlTree::set_demand(self, budget, units);
     }
-    fn leased(&self, now: Micros) -> bool {
-        ControlTree::leased(self, now)
+    fn has_lease(&self, now: Micros) -> bool {
+        ControlTree::has_lease(self, now)
     }
     fn leads_fleet(&self, now: Micros) -> bool {
         self.leads(now, Level::Fleet)
@@ -361,6 +379,7 @@
     entropy
 }
 
+/// Adds the counts of one member to the counters.
 fn count(counters: &mut Counters, member: &Member) {
     let tally = member.instance.counters;
     counters.malformed += tally.malformed;
--- a/lab/src/budget_simulation.rs
+++ b/lab/src/budget_simulation.rs
@@ -167,7 +167,7 @@
         let mut entropy = [0; 32];
         self.rng.fill_bytes(&mut entropy);
         let mut b = (self.factory)(i as u16, self.clock(i), entropy);
-        self.wants.iter().enumerate().for_each(|(budget, n)| b.want(budget, *n));
+        self.wants.iter().enumerate().for_each(|(budget, n)| b.set_demand(budget, *n));
         let p = &mut self.proxies[i];
         (p.instance, p.start, p.armed, p.paused) = (Some(b), p.start + 1, Micros::MAX, 0);
         self.call(i, |b, now, out| b.tick(now, out));
@@ -199,7 +199,7 @@
     /// What one proxy wants of a budget from here on.
     pub fn want(&mut self, i: usize, budget: usize, units: u32) {
         if let Some(b) = &mut self.proxies[i].instance {
-            b.want(budget, units);
+            b.set_demand(budget, units);
         }
     }
 
--- a/lab/src/scale/builds.rs
+++ b/lab/src/scale/builds.rs
@@ -181,6 +181,6 @@
         lease: LEASE,
     };
     let mut tree = ControlTree::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"));
-    budgets.iter().enumerate().for_each(|(budget, shared)| tree.want(budget, shared.total_units));
+    budgets.iter().enumerate().for_each(|(budget, shared)| tree.set_demand(budget, shared.total_units));
     TreeProxy::new(tree)
 }
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -161,7 +161,7 @@
 
     /// Says what this proxy would use of a budget, in units.
     fn want(&self, budget: usize, units: u32) {
-        self.instance.borrow_mut().shared_mut().want(budget, units);
+        self.instance.borrow_mut().shared_mut().set_demand(budget, units);
     }
 
     /// One call of the instance, and what it wants sent.
@@ -228,7 +228,7 @@
                 net::log(if held { &leadership.begins } else { &leadership.ends });
             }
         }
-        let leased = instance.shared().leased(uptime());
+        let leased = instance.shared().has_lease(uptime());
         if self.was_leased.replace(leased) != leased {
             net::log(if leased {
                 "budgets: a share is leased"
