--- a/control/src/speakers.rs
+++ b/control/src/speakers.rs
@@ -2,8 +2,8 @@
 use nickelgate::Micros;
 use std::collections::BTreeMap;
 
+/// The process that represents a seat, and until when it is remembered.
 #[derive(Clone, Copy, Debug)]
-/// The process that represents a seat.
 struct Speaker {
     proxy_index: u16,
     until: Micros,
--- a/control/tests/topology.rs
+++ b/control/tests/topology.rs
@@ -6,8 +6,7 @@
     Location { region, site }
 }
 
-/// Guards against an unusable file that is accepted, or rejected with a message of several lines, which would
-/// break the log.
+/// Guards against an unusable file that is accepted, or rejected with a message of more than one line.
 #[test]
 fn invalid_topologies_are_rejected_in_one_line() {
     let too_many_proxies = vec![at("north", "ams"); MAX_PROXIES + 1];
--- a/zones/src/state.rs
+++ b/zones/src/state.rs
@@ -36,7 +36,7 @@
 /// Shortest duration of a return, also for a zone whose settings give no time to warm up.
 pub const MIN_RETURN_TIME: Micros = 2_000_000;
 
-/// Smallest number of proxies that probe a zone, as far as there are that many.
+/// Smallest number of proxies that probe a zone, if that many are live.
 pub const MIN_PROBERS: u32 = 4;
 /// In a large fleet, the largest part of the proxies that probe a zone, in thousandths. These probers send as
 /// if the zone were warm: all of them together send less than members that have just started can bear under
