--- a/budgets/src/grant.rs
+++ b/budgets/src/grant.rs
@@ -1,26 +1,28 @@
-//! The grantor's ledger: what each holder may still be using, and what it is granted next. It owns the sum. It must
-//! never count less than what a holder may use, nor grant beyond its authority.
+//! The coordinator's ledger: what each holder may still be using, and what it is granted next. It never
+//! counts less than what a holder may use, and never grants beyond the end of the coordinator's authority.
 //!
-//! **What a question costs.** It changes the grants of one holder, at most six. What counts of each budget is kept as a
-//! sum: the holder's old part is taken off and its new one added. A queue of one entry a holder says whose grants run
-//! out next; each grant runs out once, so that over time no more holders are looked at than questions came. (After a
-//! silence one question ends all that ran out meanwhile.) The division is one descent of a tree
-//! ([`crate::fair_share`]). No step grows with the number of holders beyond its logarithm.
+//! **Cost of a request.** A request changes the grants of one holder, at most six. For each budget the
+//! ledger keeps the sum of what counts as granted: the holder's old contribution is subtracted and its new
+//! one added. A queue with one entry per holder says whose grants run out next. Each grant runs out once, so
+//! over time no more holders are visited than requests were received, although one request after a silence
+//! ends all grants that ran out meanwhile. The division is one descent of a tree ([`crate::fair_share`]). No
+//! step grows faster than the logarithm of the number of holders.
 //!
-//! **Why no sum passes the pool.** A grant is no more than the pool less what counts of all others, the former lives of
-//! the asker among them; of the asker's own life the largest grant counts. So after an answer the sum is at most the
-//! pool, or what it was before where that was more: where a pool shrank below what is granted. This holds whatever the
-//! division says.
+//! **Why no sum exceeds the pool.** A grant is at most the pool minus what counts for all others, earlier
+//! incarnations of the requester included; for the requester's own incarnation its largest grant counts. So
+//! after an answer the sum is at most the pool, or what it was before where that was more, which happens if a
+//! pool shrank below what is granted. This holds whatever the division computes.
 use crate::fair_share::{Allocation, FairShare, HolderState};
 use crate::wire::Author;
 use crate::{Amounts, Terms};
 use nickelgate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Grants of one holder that may count at once: with as many out it gets no other until one is acknowledged or over.
-const MOST_OUT: usize = 6;
-/// A time that is always past: the holder is looked at with the next question.
-const AT_ONCE: Micros = 0;
+/// Largest number of outstanding grants of one holder. It gets no further one until one is acknowledged or
+/// has ended.
+const MAX_OUTSTANDING_GRANTS: usize = 6;
+/// A due time in the past: the holder is visited at the next request.
+const DUE_IMMEDIATELY: Micros = 0;
 
 /// A grant that may still be used.
 #[derive(Clone, Debug)]
@@ -34,56 +36,58 @@
 #[derive(Clone, Debug, Default)]
 struct Holder {
     incarnation: u64,
-    /// The newest question of that life.
+    /// The newest request of that incarnation.
     request_id: u32,
-    heard: Micros,
+    last_request_at: Micros,
     outstanding: Vec<Outstanding>,
-    /// Of each budget.
-    states: Vec<HolderState>,
-    /// Its entry in the queue: when it has to be looked at.
+    /// Its part in the division of each budget.
+    division_states: Vec<HolderState>,
+    /// Its key in [`Ledger::due_queue`]: when it must be visited next.
     due: Micros,
 }
 
 impl Holder {
-    /// The largest grant of one life.
-    fn largest(&self, budget: usize, incarnation: u64) -> u32 {
-        let of_life = self.outstanding.iter().filter(|grant| grant.incarnation == incarnation);
-        of_life.map(|grant| units(&grant.share, budget)).max().unwrap_or(0)
+    /// Returns the largest outstanding grant of one incarnation.
+    fn largest_grant(&self, budget: usize, incarnation: u64) -> u32 {
+        let of_incarnation = self.outstanding.iter().filter(|grant| grant.incarnation == incarnation);
+        of_incarnation.map(|grant| units(&grant.share, budget)).max().unwrap_or(0)
     }
 
-    /// What its lives may be using, but for one: of each the largest grant that counts.
-    fn counted(&self, budget: usize, but: Option<u64>) -> u32 {
+    /// Returns what its incarnations may be using, without `except`: the sum of the largest outstanding
+    /// grant of each.
+    fn units_in_use(&self, budget: usize, except: Option<u64>) -> u32 {
         let mut sum = 0;
         for (at, grant) in self.outstanding.iter().enumerate() {
-            let life_is_counted =
+            let counted_before =
                 self.outstanding[..at].iter().any(|other| other.incarnation == grant.incarnation);
-            if Some(grant.incarnation) != but && !life_is_counted {
-                sum += self.largest(budget, grant.incarnation);
+            if Some(grant.incarnation) != except && !counted_before {
+                sum += self.largest_grant(budget, grant.incarnation);
             }
         }
         sum
     }
 
-    /// When its next grant runs out; without one, when it is forgotten.
+    /// Returns when its next grant runs out or, without a grant, when it may be forgotten.
     fn next_due(&self, terms: &Terms) -> Micros {
         let ends = self.outstanding.iter().map(|grant| grant.until);
-        ends.min().unwrap_or(self.heard + terms.lease)
+        ends.min().unwrap_or(self.last_request_at + terms.lease)
     }
 
-    fn is_over(&self, now: Micros, terms: &Terms) -> bool {
-        self.outstanding.is_empty() && now >= self.heard + terms.lease
+    fn can_be_forgotten(&self, now: Micros, terms: &Terms) -> bool {
+        self.outstanding.is_empty() && now >= self.last_request_at + terms.lease
     }
 
-    /// Whether this question or a newer one of that life was heard before.
-    fn has_heard(&self, request: &Request) -> bool {
+    /// Returns whether this request or a newer one of the same incarnation was received before.
+    fn is_outdated(&self, request: &Request) -> bool {
         let newer = request.request_id.wrapping_sub(self.request_id) as i32 > 0;
-        self.incarnation == request.by.incarnation && !newer && self.heard > 0
+        self.incarnation == request.by.incarnation && !newer && self.last_request_at > 0
     }
 
-    /// Takes a question in. The holder uses the grant that it names or a later one: the earlier ones are over.
-    fn hear(&mut self, now: Micros, request: &Request) {
+    /// Records a request. The holder uses the grant that it names or a later one, so earlier grants are
+    /// removed.
+    fn record_request(&mut self, now: Micros, request: &Request) {
         let Request { by, request_id, held_request, .. } = *request;
-        (self.incarnation, self.request_id, self.heard) = (by.incarnation, request_id, now);
+        (self.incarnation, self.request_id, self.last_request_at) = (by.incarnation, request_id, now);
         let counts = |grant: &Outstanding| held_request.wrapping_sub(grant.request_id) as i32 <= 0;
         self.outstanding.retain(|grant| grant.incarnation != by.incarnation || counts(grant));
     }
@@ -93,39 +97,40 @@
     amounts.get(budget).copied().unwrap_or(0)
 }
 
-/// A holder's question.
+/// A holder's request for a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Who asks.
+    /// The holder that sent it.
     pub by: Author,
-    /// The number of the question, higher with each question of one life.
+    /// Number of the request; it increases with each request of one incarnation.
     pub request_id: u32,
-    /// The question that brought the grant that the holder uses.
+    /// Number of the request whose grant the holder uses.
     pub held_request: u32,
-    /// What the holder would use of each budget, in units.
+    /// What the holder would use of each budget beyond its floor, in units.
     pub demands: &'a [u32],
 }
 
-/// What may be handed on.
+/// What the coordinator may divide.
 #[derive(Clone, Copy, Debug)]
 pub struct Supply<'a> {
-    /// Units of each budget. They may change from question to question, also to less than is granted: nothing more is
-    /// granted then until enough has ended.
+    /// Units of each budget. They may change between requests, also to less than is granted already: nothing
+    /// more is granted then until enough grants have ended.
     pub pools: &'a [u32],
-    /// Until when, already limited to the authority.
+    /// Until when the supply lasts, no later than the end of the coordinator's authority.
     pub until: Micros,
 }
 
-/// The answer to a holder's question.
+/// The answer to a holder's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// How long the share lasts, from when the question was sent.
+    /// How long the share lasts, counted from when the request was sent.
     pub duration: Micros,
     /// Units of each budget.
     pub share: Amounts,
 }
 
-/// The ledger of one authority. A new authority begins with an empty one, as all grants of others are over by then.
+/// The ledger of one coordinator's term. A new coordinator begins with an empty ledger, since all grants of
+/// its predecessors have ended by then.
 ///
 /// ```
 /// use threadward_budgets::{grant::{Ledger, Request, Supply}, wire::Author, Terms};
@@ -139,32 +144,33 @@
 ///     ledger.answer(now, &request, &supply, &terms).map(|grant| grant.share[0])
 /// };
 /// assert_eq!(ask(first, 600_000, 1, 0), Some(10), "nobody else has asked");
-/// assert_eq!(ask(second, 700_000, 1, 0), Some(0), "all of it is out");
+/// assert_eq!(ask(second, 700_000, 1, 0), Some(0), "all of it is granted");
 /// assert_eq!(ask(first, 800_000, 2, 1), Some(5), "an even part");
 /// assert_eq!(ask(second, 900_000, 2, 1), Some(0), "the first may still use its earlier grant");
-/// assert_eq!(ask(first, 910_000, 3, 2), Some(5), "now it says that it does not");
+/// assert_eq!(ask(first, 910_000, 3, 2), Some(5), "now it reports that it does not");
 /// assert_eq!(ask(second, 920_000, 3, 2), Some(5));
-/// assert_eq!(ask(second, 920_000, 3, 2), None, "an old question");
+/// assert_eq!(ask(second, 920_000, 3, 2), None, "an outdated request");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// Its first holders do not take what those get that are yet to ask: until then none gets more than an even part of
-    /// all in the file.
-    hears_until: Micros,
+    /// Until then no holder gets more than an even part among all proxies of the file, so that the first to
+    /// ask don't take the share of those that have yet to ask.
+    even_parts_until: Micros,
     holders: BTreeMap<u16, Holder>,
-    /// When each holder has to be looked at, the soonest first.
-    dues: BTreeSet<(Micros, u16)>,
+    /// When each holder must be visited, the soonest first.
+    due_queue: BTreeSet<(Micros, u16)>,
     /// The division of each budget.
     divisions: Vec<FairShare>,
 }
 
 impl Ledger {
-    /// The ledger of an authority that begins now.
+    /// Creates the ledger of a coordinator whose authority begins now.
     pub fn new(now: Micros, terms: &Terms) -> Ledger {
-        Ledger { hears_until: now + terms.lease / 2, ..Ledger::default() }
+        Ledger { even_parts_until: now + terms.lease / 2, ..Ledger::default() }
     }
 
-    /// Answers a holder's question. Nothing for one that was overtaken, or of a holder with too many grants out.
+    /// Records a holder's request and returns the grant that answers it. Returns `None` for a request that
+    /// was overtaken by a newer one, and for a holder with too many outstanding grants.
     pub fn answer(
         &mut self,
         now: Micros,
@@ -174,7 +180,7 @@
     ) -> Option<Grant> {
         self.expire(now, terms);
         let known = self.holders.get(&request.by.index);
-        if known.is_some_and(|holder| holder.has_heard(request)) {
+        if known.is_some_and(|holder| holder.is_outdated(request)) {
             return None;
         }
         let index = request.by.index;
@@ -182,39 +188,40 @@
             self.divisions.resize_with(supply.pools.len(), FairShare::default);
         }
         let mut holder = self.holders.remove(&index).unwrap_or_default();
-        holder.states.resize_with(self.divisions.len(), HolderState::default);
-        holder.hear(now, request);
-        let grant = self.divide(now, request, supply, terms, &mut holder);
+        holder.division_states.resize_with(self.divisions.len(), HolderState::default);
+        holder.record_request(now, request);
+        let grant = self.grant_fair_share(now, request, supply, terms, &mut holder);
         let due = holder.next_due(terms);
-        self.put(index, holder, due);
+        self.reinsert(index, holder, due);
         grant
     }
 
-    /// One has left by will and uses nothing any more.
+    /// Records that an incarnation has left on purpose and uses nothing any more.
     pub fn record_leave(&mut self, by: Author) {
         let Some(mut holder) = self.holders.remove(&by.index) else { return };
         holder.outstanding.retain(|grant| grant.incarnation != by.incarnation);
-        self.recount(by.index, &mut holder);
+        self.update_sums(by.index, &mut holder);
         if holder.incarnation == by.incarnation {
             self.clear_demand(by.index, &mut holder);
         }
-        self.put(by.index, holder, AT_ONCE);
+        self.reinsert(by.index, holder, DUE_IMMEDIATELY);
     }
 
-    /// Units of a budget that holders may still be using now: the sum of what counts of each holder.
+    /// Returns the units of a budget that holders may still be using now. Ends grants that have run out.
     pub fn granted(&mut self, now: Micros, budget: usize, terms: &Terms) -> u32 {
         self.expire(now, terms);
         let sum = self.divisions.get(budget).map_or(0, FairShare::granted);
         u32::try_from(sum).unwrap_or(u32::MAX)
     }
 
-    /// The sum of the newest wants of the holders that are known.
+    /// Returns the sum of the newest demands of the known holders.
     pub fn total_demand(&self, budget: usize) -> u64 {
         self.divisions.get(budget).map_or(0, FairShare::total_demand)
     }
 
-    /// Divides what is free; nothing for a holder with too many grants out.
-    fn divide(
+    /// Grants the holder its fair share as far as it is free, and records the grant. Returns `None` for a
+    /// holder with too many outstanding grants.
+    fn grant_fair_share(
         &mut self,
         now: Micros,
         request: &Request,
@@ -223,18 +230,22 @@
         holder: &mut Holder,
     ) -> Option<Grant> {
         let by = request.by;
-        self.recount(by.index, holder);
-        let parts = self.allocations(request, supply, holder);
-        if holder.outstanding.len() >= MOST_OUT {
+        self.update_sums(by.index, holder);
+        let allocations = self.compute_allocations(request, supply, holder);
+        if holder.outstanding.len() >= MAX_OUTSTANDING_GRANTS {
             return None;
         }
         let mut share = Amounts::new();
-        for (budget, (part, pool)) in parts.iter().zip(supply.pools).enumerate() {
-            let most =
-                if now < self.hears_until { pool / u32::from(terms.proxies.max(1)) } else { part.units };
-            let given = part.units.min(most).min(self.free(budget, *pool, by.incarnation, holder));
-            if part.has_extra && given == part.units {
-                self.divisions[budget].record_extra_unit(by.index, &mut holder.states[budget]);
+        for (budget, (allocation, pool)) in allocations.iter().zip(supply.pools).enumerate() {
+            let limit = if now < self.even_parts_until {
+                pool / u32::from(terms.proxies.max(1))
+            } else {
+                allocation.units
+            };
+            let given =
+                allocation.units.min(limit).min(self.free_units(budget, *pool, by.incarnation, holder));
+            if allocation.has_extra && given == allocation.units {
+                self.divisions[budget].record_extra_unit(by.index, &mut holder.division_states[budget]);
             }
             share.push(given);
         }
@@ -247,65 +258,71 @@
             until,
             share: share.clone(),
         });
-        self.recount(by.index, holder);
+        self.update_sums(by.index, holder);
         Some(Grant { duration, share })
     }
 
-    /// The holder's fair part of each budget, whether it is free or not.
-    fn allocations(&mut self, request: &Request, supply: &Supply, holder: &mut Holder) -> Vec<Allocation> {
-        let mut parts = Vec::new();
+    /// Records the holder's demands and returns its fair share of each budget, whether it is free or not.
+    fn compute_allocations(
+        &mut self,
+        request: &Request,
+        supply: &Supply,
+        holder: &mut Holder,
+    ) -> Vec<Allocation> {
+        let mut allocations = Vec::new();
         for (budget, pool) in supply.pools.iter().enumerate() {
             let demand = units(request.demands, budget);
-            let state = &mut holder.states[budget];
-            parts.push(self.divisions[budget].allocate(request.by.index, state, demand, *pool));
+            let state = &mut holder.division_states[budget];
+            allocations.push(self.divisions[budget].allocate(request.by.index, state, demand, *pool));
         }
-        parts
+        allocations
     }
 
-    /// What is left of a pool by all others, the holder's other lives among them.
-    fn free(&self, budget: usize, pool: u32, incarnation: u64, holder: &Holder) -> u32 {
-        let own = holder.states[budget].granted() - holder.counted(budget, Some(incarnation));
+    /// Returns what all others, the holder's other incarnations among them, leave of a pool.
+    fn free_units(&self, budget: usize, pool: u32, incarnation: u64, holder: &Holder) -> u32 {
+        let own = holder.division_states[budget].granted() - holder.units_in_use(budget, Some(incarnation));
         let others = self.divisions[budget].granted() - u64::from(own);
         u64::from(pool).saturating_sub(others) as u32
     }
 
-    /// Brings the sums up to date with the holder's grants.
-    fn recount(&mut self, index: u16, holder: &mut Holder) {
-        for budget in 0..holder.states.len() {
-            let counted = holder.counted(budget, None);
-            self.divisions[budget].set_granted(index, &mut holder.states[budget], counted);
+    /// Updates the sums of granted units to the holder's outstanding grants.
+    fn update_sums(&mut self, index: u16, holder: &mut Holder) {
+        for budget in 0..holder.division_states.len() {
+            let in_use = holder.units_in_use(budget, None);
+            self.divisions[budget].set_granted(index, &mut holder.division_states[budget], in_use);
         }
     }
 
     fn clear_demand(&mut self, index: u16, holder: &mut Holder) {
-        for (division, state) in self.divisions.iter_mut().zip(&mut holder.states) {
+        for (division, state) in self.divisions.iter_mut().zip(&mut holder.division_states) {
             division.clear_demand(index, state);
         }
     }
 
-    /// Puts a holder back that was taken out, to be looked at when it is due.
-    fn put(&mut self, index: u16, mut holder: Holder, due: Micros) {
-        self.dues.remove(&(holder.due, index));
+    /// Puts back a holder that was taken out of the map, and schedules its next visit.
+    fn reinsert(&mut self, index: u16, mut holder: Holder, due: Micros) {
+        self.due_queue.remove(&(holder.due, index));
         holder.due = due;
-        self.dues.insert((due, index));
+        self.due_queue.insert((due, index));
         self.holders.insert(index, holder);
     }
 
-    /// Ends what has run out by now, and forgets holders of whom nothing is left.
+    /// Ends the grants that have run out by now, and forgets holders without grants that have been silent for
+    /// a lease time.
     fn expire(&mut self, now: Micros, terms: &Terms) {
-        while let Some((due, index)) = self.dues.first().copied() {
+        while let Some((due, index)) = self.due_queue.first().copied() {
             if now < due {
                 return;
             }
-            self.dues.remove(&(due, index));
+            self.due_queue.remove(&(due, index));
             let Some(mut holder) = self.holders.remove(&index) else { continue };
             holder.outstanding.retain(|grant| now < grant.until);
-            self.recount(index, &mut holder);
-            if holder.is_over(now, terms) {
+            self.update_sums(index, &mut holder);
+            if holder.can_be_forgotten(now, terms) {
                 self.clear_demand(index, &mut holder);
             } else {
                 let due = holder.next_due(terms);
-                self.put(index, holder, due);
+                self.reinsert(index, holder, due);
             }
         }
     }
--- a/budgets/src/holder.rs
+++ b/budgets/src/holder.rs
@@ -1,17 +1,17 @@
-//! The holder's side of leases: which questions are out, which grant is in use, and, of a member that hands its share on
-//! to others, which newer grant waits until what was handed on fits into it.
+//! The holder's side of leases: the requests that were sent, the grant in use, and, for a member that
+//! delegates its share, the newer grant that waits until what was delegated fits into it.
 //!
-//! A holder names the grant that it uses in its next question; earlier grants are then no longer counted by the leader.
-//! One that uses its share itself takes a newer grant at once. A *relay* has handed its share on in leases that end
-//! before its own, so it takes a newer grant only when those fit into the newer one ([`Holder::adopt_pending`]); until then it
-//! may hand on no more than the smaller of the two.
+//! A holder names the grant that it uses in its next request; the coordinator then stops counting earlier
+//! grants. A holder that uses its share itself adopts a newer grant at once. A *relay* has delegated its
+//! share in leases that end before its own, so it adopts a newer grant only when those fit into the newer one
+//! ([`Holder::adopt_pending`]). Until then it may delegate no more than the smaller of the two.
 use crate::{Amounts, Terms};
 use nickelgate::Micros;
 
-/// Questions whose time of sending is kept.
-const KEPT: usize = 8;
+/// Number of the newest requests whose time of sending and demands are kept.
+const KEPT_REQUESTS: usize = 8;
 
-/// A grant as its holder sees it.
+/// A grant with its end on the holder's clock.
 #[derive(Clone, Debug, Default)]
 struct Lease {
     request_id: u32,
@@ -19,9 +19,9 @@
     share: Amounts,
 }
 
-/// A question that was sent.
+/// A request that was sent.
 #[derive(Clone, Debug, Default)]
-struct Asked {
+struct SentRequest {
     request_id: u32,
     at: Micros,
     demands: Amounts,
@@ -30,37 +30,37 @@
 /// A grant as it was received.
 #[derive(Clone, Debug)]
 pub struct ReceivedGrant {
-    /// The question that it answers.
+    /// The request that it answers.
     pub request_id: u32,
-    /// How long it lasts, from when that question was sent.
+    /// How long it lasts, counted from when that request was sent.
     pub duration: Micros,
     /// Units of each budget.
     pub share: Amounts,
 }
 
-/// What became of a grant that was received.
+/// What a holder did with a grant that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// It answers no question that is out, or an older one than the grant in use.
+    /// It answers no request that is remembered, or one no newer than the grant in use or pending.
     Ignored,
-    /// It is in use, and gives no less of any budget than what was in use.
+    /// It is in use and gives no less of any budget than the grant before it.
     Used,
-    /// It is in use and smaller: the leader should learn so soon.
+    /// It is in use and gives less of some budget: the coordinator should learn so soon.
     Shrunk,
     /// It waits for [`Holder::adopt_pending`].
     Pending,
 }
 
-/// What a relay may hand on of its lease.
+/// What a relay may delegate of its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Divisible {
     /// Units of each budget.
     pub share: Amounts,
-    /// Everything handed on has to end by then.
+    /// Every delegated lease must end by then.
     pub until: Micros,
 }
 
-/// Leases of one member of a group.
+/// The leases of one member of a group.
 ///
 /// ```
 /// use threadward_budgets::holder::{Holder, ReceivedGrant, GrantOutcome};
@@ -72,12 +72,13 @@
 /// let grant = ReceivedGrant { request_id, duration: 900_000, share: vec![8] };
 /// assert_eq!(relay.receive(5_000, grant, &terms), GrantOutcome::Pending);
 /// relay.adopt_pending(5_000, &[0], &[0]);
-/// assert_eq!((relay.request_in_use(), relay.divisible(5_000).map(|held| held.share)), (request_id, Some(vec![8])));
-/// // A smaller one waits while 8 are handed on; nothing beyond it may be handed on meanwhile.
+/// let divisible = |relay: &Holder, now| relay.divisible(now).map(|held| held.share);
+/// assert_eq!((relay.request_in_use(), divisible(&relay, 5_000)), (request_id, Some(vec![8])));
+/// // A smaller grant waits while 8 units are delegated; meanwhile no more than its 3 may be delegated.
 /// let later = relay.record_request(100_000, &[8]);
 /// relay.receive(101_000, ReceivedGrant { request_id: later, duration: 900_000, share: vec![3] }, &terms);
 /// relay.adopt_pending(101_000, &[8], &[0]);
-/// assert_eq!((relay.request_in_use(), relay.divisible(101_000).map(|held| held.share)), (request_id, Some(vec![3])));
+/// assert_eq!((relay.request_in_use(), divisible(&relay, 101_000)), (request_id, Some(vec![3])));
 /// relay.adopt_pending(200_000, &[3], &[0]);
 /// assert_eq!(relay.request_in_use(), later);
 /// ```
@@ -86,56 +87,57 @@
     relays: bool,
     lease: Lease,
     pending: Option<Lease>,
-    asked: [Asked; KEPT],
-    request_id: u32,
+    sent_requests: [SentRequest; KEPT_REQUESTS],
+    /// Number of the newest request.
+    last_request_id: u32,
 }
 
 impl Holder {
-    /// One that uses its share itself.
+    /// Creates a holder that uses its share itself.
     pub fn consumer() -> Holder {
         Holder::default()
     }
 
-    /// One that hands its share on.
+    /// Creates a holder that delegates its share.
     pub fn relay() -> Holder {
         Holder { relays: true, ..Holder::default() }
     }
 
-    /// Whether it hands its share on.
+    /// Returns whether it delegates its share.
     pub fn relays(&self) -> bool {
         self.relays
     }
 
-    /// The next question: its number.
+    /// Remembers a new request and returns its number.
     pub fn record_request(&mut self, now: Micros, demands: &[u32]) -> u32 {
-        self.request_id = self.request_id.wrapping_add(1);
-        let asked = Asked { request_id: self.request_id, at: now, demands: demands.to_vec() };
-        self.asked[self.request_id as usize % KEPT] = asked;
-        self.request_id
+        self.last_request_id = self.last_request_id.wrapping_add(1);
+        let sent = SentRequest { request_id: self.last_request_id, at: now, demands: demands.to_vec() };
+        self.sent_requests[self.last_request_id as usize % KEPT_REQUESTS] = sent;
+        self.last_request_id
     }
 
-    /// What the newest question wanted of a budget.
+    /// Returns what the newest request demanded of a budget.
     pub fn last_demand(&self, budget: usize) -> u32 {
-        let newest = &self.asked[self.request_id as usize % KEPT];
+        let newest = &self.sent_requests[self.last_request_id as usize % KEPT_REQUESTS];
         newest.demands.get(budget).copied().unwrap_or(0)
     }
 
-    /// When the newest question was sent.
+    /// Returns when the newest request was sent.
     pub fn last_request_at(&self) -> Micros {
-        self.asked[self.request_id as usize % KEPT].at
+        self.sent_requests[self.last_request_id as usize % KEPT_REQUESTS].at
     }
 
-    /// The question that brought the grant in use: earlier grants are given up.
+    /// Returns the number of the request whose grant is in use. Earlier grants are no longer used.
     pub fn request_in_use(&self) -> u32 {
         self.lease.request_id
     }
 
-    /// Whether a lease lasts now.
+    /// Returns whether a lease is valid now.
     pub fn has_lease(&self, now: Micros) -> bool {
         now < self.lease.until
     }
 
-    /// Units of a budget that the lease in use gives now.
+    /// Returns the units of a budget that the lease gives now.
     pub fn share(&self, now: Micros, budget: usize) -> u32 {
         if self.has_lease(now) {
             self.lease.share.get(budget).copied().unwrap_or(0)
@@ -144,17 +146,17 @@
         }
     }
 
-    /// A grant came in. It never gives more than was asked for, nor for longer than a lease time.
+    /// Takes in a grant and returns what became of it. It is limited to what was demanded and to one lease
+    /// time, even if the coordinator grants more.
     pub fn receive(&mut self, now: Micros, grant: ReceivedGrant, terms: &Terms) -> GrantOutcome {
-        let asked = &self.asked[grant.request_id as usize % KEPT];
+        let sent = &self.sent_requests[grant.request_id as usize % KEPT_REQUESTS];
         let newest = self.pending.as_ref().map_or(self.lease.request_id, |pending| pending.request_id);
         let newer = grant.request_id.wrapping_sub(newest) as i32 > 0;
-        if asked.request_id != grant.request_id || !newer || grant.share.len() != asked.demands.len() {
+        if sent.request_id != grant.request_id || !newer || grant.share.len() != sent.demands.len() {
             return GrantOutcome::Ignored;
         }
-        let until = asked.at + terms.shortened(grant.duration.min(terms.lease));
-        let share =
-            grant.share.iter().zip(&asked.demands).map(|(given, demand)| *given.min(demand)).collect();
+        let until = sent.at + terms.shortened(grant.duration.min(terms.lease));
+        let share = grant.share.iter().zip(&sent.demands).map(|(given, demand)| *given.min(demand)).collect();
         let lease = Lease { request_id: grant.request_id, until, share };
         if self.relays {
             self.pending = Some(lease);
@@ -164,8 +166,8 @@
     }
 
     fn replace(&mut self, now: Micros, lease: Lease) -> GrantOutcome {
-        let mut both = self.lease.share.iter().zip(&lease.share);
-        let shrunk = self.has_lease(now) && both.any(|(old, new)| new < old);
+        let mut changes = self.lease.share.iter().zip(&lease.share);
+        let shrunk = self.has_lease(now) && changes.any(|(old, new)| new < old);
         self.lease = lease;
         if shrunk {
             GrantOutcome::Shrunk
@@ -174,17 +176,18 @@
         }
     }
 
-    /// Takes the pending grant into use if what is handed on (of each budget, all leases that still count) fits into it
-    /// and what belongs to the relay for good. What was handed on may last as long as the lease in use: a grant that ends
-    /// earlier is taken only if all of it fits into what is the relay's own.
-    pub fn adopt_pending(&mut self, now: Micros, handed_on: &[u32], own: &[u32]) -> GrantOutcome {
+    /// Puts the pending grant into use if what is delegated (for each budget, the sum of all leases that
+    /// still count) fits into it and `own`, the relay's own units; otherwise it stays pending, and one that
+    /// has run out is dropped. Returns what became of it. Delegated leases may last as long as the lease in
+    /// use, so a grant that ends earlier is adopted only if all of them fit into `own`.
+    pub fn adopt_pending(&mut self, now: Micros, delegated: &[u32], own: &[u32]) -> GrantOutcome {
         let Some(pending) = self.pending.take() else { return GrantOutcome::Ignored };
         if now >= pending.until {
             return GrantOutcome::Ignored;
         }
         let fits = |budget: usize, extra: u32| {
             let own = own.get(budget).copied().unwrap_or(0);
-            handed_on.get(budget).copied().unwrap_or(0) <= own.saturating_add(extra)
+            delegated.get(budget).copied().unwrap_or(0) <= own.saturating_add(extra)
         };
         let fits_pending = pending.share.iter().enumerate().all(|(budget, extra)| fits(budget, *extra));
         let fits_own = (0..pending.share.len()).all(|budget| fits(budget, 0));
@@ -196,7 +199,7 @@
         GrantOutcome::Pending
     }
 
-    /// What may be handed on now; nothing where no lease lasts.
+    /// Returns what may be delegated now, or `None` without a valid lease.
     pub fn divisible(&self, now: Micros) -> Option<Divisible> {
         if !self.has_lease(now) {
             return None;
@@ -210,7 +213,7 @@
         Some(Divisible { share, until: self.lease.until })
     }
 
-    /// Ends a lease that has run out: whether it gave anything.
+    /// Clears a lease that has run out and returns whether it gave anything.
     pub fn expire(&mut self, now: Micros) -> bool {
         if self.lease.until == 0 || now < self.lease.until {
             return false;
@@ -219,7 +222,7 @@
         self.lease.share.iter().any(|units| *units > 0)
     }
 
-    /// Nothing is used from here on.
+    /// Drops the lease in use and the pending grant.
     pub fn drop_leases(&mut self) {
         self.lease.until = 0;
         self.pending = None;
--- a/budgets/src/seal.rs
+++ b/budgets/src/seal.rs
@@ -7,7 +7,8 @@
 /// Hashed before every message, so that a code made for another purpose never verifies here.
 const DOMAIN: &[u8] = b"threadward-budgets-1";
 
-/// The code covers the recipient: a message that was meant for another proxy does not verify.
+/// Starts the message authentication code. It covers the recipient, so that a message for another proxy
+/// doesn't verify.
 fn code(key: &[u8; 32], to: u16, message: &[u8]) -> Option<Hmac<Sha256>> {
     let mut code = Hmac::<Sha256>::new_from_slice(key).ok()?;
     code.update(DOMAIN);
@@ -16,7 +17,7 @@
     Some(code)
 }
 
-/// The message with its code behind it. `None` cannot occur with a key of 32 bytes.
+/// Returns the message followed by its authentication code. `None` cannot occur with a key of 32 bytes.
 ///
 /// ```
 /// use threadward_budgets::seal::{open, seal, TAG_BYTES};
@@ -34,7 +35,7 @@
     Some([message, &tag[..TAG_BYTES]].concat())
 }
 
-/// The message without its code, if the code is right for this recipient and key.
+/// Returns the message without its authentication code, if the code is valid for this recipient and key.
 pub fn open<'a>(key: &[u8; 32], me: u16, datagram: &'a [u8]) -> Option<&'a [u8]> {
     let (message, tag) = datagram.split_at_checked(datagram.len().checked_sub(TAG_BYTES)?)?;
     code(key, me, message)?.verify_truncated_left(tag).ok()?;
--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -1,40 +1,44 @@
-//! The seven kinds of message, as bytes. It owns their form and its bounds. It must never judge what a message says; it
-//! allocates no more than a message's own amounts, 8 at most.
+//! The seven kinds of message between proxies, encoded as bytes, and their bounds. Parsing checks the form of
+//! a message only, not whether its content is plausible, and allocates no more than the message's own
+//! amounts, 8 at most.
 use crate::{Amounts, MAX_BUDGETS};
 
-/// The longest message, the MAC apart.
+/// Length of the longest message in bytes, without its MAC.
 pub const MAX_MESSAGE_BYTES: usize = 64;
 
-/// Who speaks: the place in the file, and a number drawn at the start of that process.
+/// The author of a message: a proxy, and a number drawn at each start of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Author {
-    /// The place in the file, from 0.
+    /// Index among the proxies of the file, or the seat in a group, from 0.
     pub index: u16,
-    /// Another one with every start.
+    /// Differs with every start.
     pub incarnation: u64,
 }
 
-/// What a message says. `request_id` is the asker's own count and `requester` its life; both come back with the answer.
+/// The content of a message. `request_id` is the requester's own count and `requester` its incarnation; the
+/// answer carries both back.
 #[allow(missing_docs)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// A candidate asks a voter for its promise.
+    /// A candidate asks a voter for its vote.
     VoteRequest { request_id: u32 },
-    /// A voter promises itself to that life; or names whom it is promised to.
+    /// A voter grants that request and incarnation its vote, or refuses; `to` is whom it is promised to.
     Vote { requester: u64, request_id: u32, granted: bool, to: u16 },
-    /// A holder asks for a share: what it wants, and which of its questions brought the grant that it uses.
+    /// A holder asks for a lease: what it demands, and the number of its request whose grant it uses.
     LeaseRequest { request_id: u32, held_request: u32, demands: Amounts },
-    /// The grantor answers that question of that life: a share for so many microseconds from when it was asked.
+    /// The coordinator answers that request of that incarnation with a share for `duration` microseconds,
+    /// counted from when the request was sent.
     Grant { requester: u64, request_id: u32, duration: u32, share: Amounts },
-    /// Not the grantor; the one that is, as far as it knows.
+    /// The recipient of a lease request is not the coordinator; `to` is the coordinator as far as it knows.
     Redirect { to: u16 },
-    /// A holder ends by will and uses nothing any more.
+    /// A holder leaves on purpose and uses nothing any more.
     Leave,
-    /// A candidate did not win: it counts no answer to that question or an earlier one, and its voters are free.
+    /// A candidate did not win: it counts no answer to that request or an earlier one, and releases its
+    /// voters.
     ReleaseVote { request_id: u32 },
 }
 
-/// The bytes of a message, at most [`MAX_MESSAGE_BYTES`] of them.
+/// Encodes a message in at most [`MAX_MESSAGE_BYTES`] bytes.
 ///
 /// ```
 /// use threadward_budgets::wire::{read, write, Author, Body, MAX_MESSAGE_BYTES};
@@ -46,7 +50,7 @@
 /// assert_eq!(read(&bytes), Some((from, body)));
 /// assert_eq!(read(&bytes[1..]), None);
 /// let leave = write(from, &Body::Leave);
-/// assert_eq!(read(&[&leave[..], &[0]].concat()), None, "a byte too many");
+/// assert_eq!(read(&[&leave[..], &[0]].concat()), None, "one byte too many");
 /// ```
 pub fn write(from: Author, body: &Body) -> Vec<u8> {
     let mut out = vec![0];
@@ -91,36 +95,46 @@
     out
 }
 
-/// Reads what [`write()`] wrote, whole: anything short, long or unknown is nothing.
+/// Decodes what [`write()`] encoded. Returns `None` for anything truncated, too long or unknown.
 pub fn read(bytes: &[u8]) -> Option<(Author, Body)> {
-    let mut r = Reader(bytes);
-    let kind = u8::from_be_bytes(r.take()?);
-    let from = Author { index: u16::from_be_bytes(r.take()?), incarnation: u64::from_be_bytes(r.take()?) };
+    let mut reader = Reader(bytes);
+    let kind = u8::from_be_bytes(reader.take()?);
+    let from =
+        Author { index: u16::from_be_bytes(reader.take()?), incarnation: u64::from_be_bytes(reader.take()?) };
     let body = match kind {
-        1 => Body::VoteRequest { request_id: r.number()? },
+        1 => Body::VoteRequest { request_id: reader.number()? },
         2 => {
-            let (requester, request_id) = (u64::from_be_bytes(r.take()?), r.number()?);
-            let granted = match u8::from_be_bytes(r.take()?) {
+            let (requester, request_id) = (u64::from_be_bytes(reader.take()?), reader.number()?);
+            let granted = match u8::from_be_bytes(reader.take()?) {
                 0 => false,
                 1 => true,
                 _ => return None,
             };
-            Body::Vote { requester, request_id, granted, to: u16::from_be_bytes(r.take()?) }
+            Body::Vote { requester, request_id, granted, to: u16::from_be_bytes(reader.take()?) }
         }
-        3 => Body::LeaseRequest { request_id: r.number()?, held_request: r.number()?, demands: r.amounts()? },
+        3 => Body::LeaseRequest {
+            request_id: reader.number()?,
+            held_request: reader.number()?,
+            demands: reader.amounts()?,
+        },
         4 => {
-            let requester = u64::from_be_bytes(r.take()?);
-            Body::Grant { requester, request_id: r.number()?, duration: r.number()?, share: r.amounts()? }
+            let requester = u64::from_be_bytes(reader.take()?);
+            Body::Grant {
+                requester,
+                request_id: reader.number()?,
+                duration: reader.number()?,
+                share: reader.amounts()?,
+            }
         }
-        5 => Body::Redirect { to: u16::from_be_bytes(r.take()?) },
+        5 => Body::Redirect { to: u16::from_be_bytes(reader.take()?) },
         6 => Body::Leave,
-        7 => Body::ReleaseVote { request_id: r.number()? },
+        7 => Body::ReleaseVote { request_id: reader.number()? },
         _ => return None,
     };
-    r.0.is_empty().then_some((from, body))
+    reader.0.is_empty().then_some((from, body))
 }
 
-/// The author's place that a message names, without reading the rest.
+/// Returns the author's index that a message names, without decoding the rest.
 ///
 /// ```
 /// use threadward_budgets::wire::{author_index, write, Author, Body};
@@ -144,7 +158,7 @@
     fn number(&mut self) -> Option<u32> {
         Some(u32::from_be_bytes(self.take()?))
     }
-    /// All that is left: 1 to 8 amounts.
+    /// Reads the rest of the message, which must be 1 to 8 amounts.
     fn amounts(&mut self) -> Option<Amounts> {
         let fits = self.0.len().is_multiple_of(4) && (1..=MAX_BUDGETS).contains(&(self.0.len() / 4));
         fits.then_some(())?;
--- a/budgets/tests/grant.rs
+++ b/budgets/tests/grant.rs
@@ -1,4 +1,4 @@
-//! The ledger of a grantor, question by question.
+//! Tests of the coordinator's ledger, request by request.
 use nickelgate::Micros;
 use threadward_budgets::grant::{Ledger, Request, Supply};
 use threadward_budgets::wire::Author;
@@ -10,7 +10,7 @@
     Terms { lease: LEASE, proxies, pools: vec![pool], floors: vec![0] }
 }
 
-/// Asks for one budget until nine lease times; the units granted.
+/// Sends a request for one budget, whose supply lasts for nine lease times; returns the units granted.
 fn ask(
     ledger: &mut Ledger,
     terms: &Terms,
@@ -25,42 +25,46 @@
 }
 
 #[test]
-fn two_holders_come_to_an_even_part_without_ever_using_more_than_the_pool() {
+fn two_holders_reach_even_shares_without_ever_exceeding_the_pool() {
     let terms = terms(2, 10);
     let mut ledger = Ledger::new(0, &terms);
     let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
     let mut ask = |by, now, numbers| ask(&mut ledger, &terms, now, by, numbers, 10);
     assert_eq!(ask(first, 600_000, (1, 0)), Some(10), "nobody else has asked");
-    assert_eq!(ask(second, 700_000, (1, 0)), Some(0), "all of it is out");
+    assert_eq!(ask(second, 700_000, (1, 0)), Some(0), "all of it is granted");
     assert_eq!(ask(first, 800_000, (2, 1)), Some(5), "an even part");
     assert_eq!(ask(second, 900_000, (2, 1)), Some(0), "the first may still use its earlier grant");
-    assert_eq!(ask(first, 910_000, (3, 2)), Some(5), "now it says that it does not");
+    assert_eq!(ask(first, 910_000, (3, 2)), Some(5), "now it reports that it does not");
     assert_eq!(ask(second, 920_000, (3, 2)), Some(5));
-    assert_eq!(ask(second, 920_000, (3, 2)), None, "an old question");
+    assert_eq!(ask(second, 920_000, (3, 2)), None, "an outdated request");
 }
 
-/// A former life that is stopped may still use its grant: whatever the present one asks and says that it holds, the
-/// grant counts until it runs out.
+/// Guards against a ledger that forgets a grant of an earlier incarnation. That process may be paused and
+/// still use its grant, so the grant counts until it runs out, whatever the present incarnation requests and
+/// says that it holds.
 #[test]
-fn many_questions_of_one_life_never_hide_the_grant_of_another() {
+fn many_requests_of_one_incarnation_never_hide_the_grant_of_another() {
     let terms = terms(1, 100);
     let mut ledger = Ledger::new(0, &terms);
     let (old, new) = (Author { index: 0, incarnation: 1 }, Author { index: 0, incarnation: 2 });
     assert_eq!(ask(&mut ledger, &terms, LEASE, old, (1, 0), 70), Some(70));
     for request_id in 1..20 {
-        // Answers are lost at first; then the newest is held.
+        // The answers are lost at first; later the newest grant is held.
         let held_request = if request_id < 12 { 0 } else { request_id - 1 };
         let now = LEASE + Micros::from(request_id);
         let got = ask(&mut ledger, &terms, now, new, (request_id, held_request), 100);
-        assert!(got.is_none_or(|n| n <= 30), "{got:?} beside 70 of the former life, question {request_id}");
+        assert!(
+            got.is_none_or(|n| n <= 30),
+            "{got:?} beside 70 of the earlier incarnation, request {request_id}"
+        );
     }
     assert!(ledger.granted(LEASE + 19, 0, &terms) >= 70);
     let got = ask(&mut ledger, &terms, 3 * LEASE, new, (20, 19), 100);
-    assert_eq!(got, Some(100), "it has run out by now");
+    assert_eq!(got, Some(100), "the earlier grant has run out by now");
 }
 
 #[test]
-fn a_pool_that_shrinks_below_what_is_out_grants_nothing_until_enough_has_ended() {
+fn a_pool_that_shrinks_below_what_is_granted_grants_nothing_until_enough_has_ended() {
     let terms = terms(2, 100);
     let mut ledger = Ledger::new(0, &terms);
     let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
@@ -79,20 +83,24 @@
 }
 
 #[test]
-fn one_that_left_wants_and_uses_nothing() {
+fn a_holder_that_left_demands_and_uses_nothing() {
     let terms = terms(2, 10);
     let mut ledger = Ledger::new(0, &terms);
     let (first, second) = (Author { index: 0, incarnation: 1 }, Author { index: 1, incarnation: 1 });
     assert_eq!(ask(&mut ledger, &terms, LEASE, first, (1, 0), 10), Some(10));
     ledger.record_leave(Author { index: 0, incarnation: 7 });
-    assert_eq!((ledger.granted(LEASE, 0, &terms), ledger.total_demand(0)), (10, 10), "not that life");
+    assert_eq!(
+        (ledger.granted(LEASE, 0, &terms), ledger.total_demand(0)),
+        (10, 10),
+        "another incarnation left"
+    );
     ledger.record_leave(first);
     assert_eq!((ledger.granted(LEASE, 0, &terms), ledger.total_demand(0)), (0, 0));
     assert_eq!(ask(&mut ledger, &terms, LEASE + 1, second, (1, 0), 10), Some(10));
 }
 
 #[test]
-fn all_places_that_a_file_can_name_get_an_even_part_and_the_units_over_are_used() {
+fn the_largest_number_of_holders_get_even_shares_and_all_leftover_units_are_used() {
     let proxies = u16::MAX;
     let terms = terms(proxies, 10 * u32::from(proxies) + 5);
     let mut ledger = Ledger::new(0, &terms);
--- a/budgets/tests/order_tree.rs
+++ b/budgets/tests/order_tree.rs
@@ -1,21 +1,23 @@
-//! The tree against a sorted set, and its depth: what a step costs, without a clock.
+//! Compares the tree with a sorted set, and checks its depth, which bounds the cost of an operation without a
+//! clock.
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeSet;
 use threadward_budgets::order_tree::{Key, OrderTree, Prefix};
 
-/// A child weighs at most three quarters of its parent, so that the depth is at most `log(n + 1)` to the base 4/3.
-fn most_depth(keys: usize) -> f64 {
+/// Returns the largest allowed depth: a child weighs at most three quarters of its parent, so the depth is at
+/// most `log(n + 1)` to the base 4/3.
+fn max_depth(keys: usize) -> f64 {
     ((keys + 1) as f64).ln() / (4.0f64 / 3.0).ln()
 }
 
 fn assert_shallow(tree: &OrderTree) {
     let (keys, depth) = (tree.total().count, tree.depth());
-    assert!(depth as f64 <= most_depth(keys), "{depth} levels of {keys} keys");
+    assert!(depth as f64 <= max_depth(keys), "{depth} levels of {keys} keys");
 }
 
 #[test]
-fn it_counts_and_sums_as_a_sorted_set_does() {
+fn counts_and_sums_equal_those_of_a_sorted_set() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut tree, mut set) = (OrderTree::default(), BTreeSet::new());
     for _ in 0..20_000 {
@@ -37,18 +39,18 @@
 }
 
 #[test]
-fn its_depth_grows_with_the_logarithm_of_its_size_alone() {
+fn depth_grows_only_with_the_logarithm_of_the_size() {
     for keys in [30u16, 300, 3_000, 6_800, u16::MAX] {
         let mut rng = ChaCha8Rng::seed_from_u64(2);
         let mut tree = OrderTree::default();
         let mut values = vec![0; usize::from(keys)];
         for index in 0..keys {
-            // Ascending, the worst order for a tree that does not balance.
+            // Ascending values are the worst order for a tree without balancing.
             values[usize::from(index)] = u64::from(index);
             tree.insert(Key { value: u64::from(index), index });
         }
         assert_shallow(&tree);
-        // Each is moved about four times; then all but an eighth are taken out.
+        // Each key is moved about four times; then all but an eighth are removed.
         for _ in 0..4 * u32::from(keys) {
             let index = (rng.next_u64() % u64::from(keys)) as u16;
             let value = &mut values[usize::from(index)];
--- a/budgets/tests/settings.rs
+++ b/budgets/tests/settings.rs
@@ -1,9 +1,10 @@
-//! What follows from the settings of budgets, and which are refused.
+//! Tests of what follows from the settings of budgets and of which settings are refused.
 use threadward_budgets::{check, Settings, Terms};
 
-/// Steps 1 and 2 of `docs/budgets.md`: whichever of two clocks is fast, the shorter end comes first.
+/// Guards steps 1 and 2 of the proof in `docs/budgets.md`: whichever of two clocks runs fast, the holder's
+/// end of a lease comes before the coordinator's.
 #[test]
-fn both_ends_of_a_lease_stay_apart() {
+fn a_lease_ends_at_the_holder_before_it_ends_at_the_coordinator() {
     for span in (0..60).map(|i| 200_000 + i * 997_331) {
         let t = Terms { lease: span, proxies: 1, pools: vec![], floors: vec![] };
         for (a, b) in [(0.99, 1.01), (1.01, 0.99), (1.0, 1.0)] {
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn settings_that_cannot_hold_are_refused() {
+fn invalid_settings_are_refused() {
     let good = Settings { index: 0, proxies: 5, voters: vec![0, 1, 2], totals: vec![10], lease: 1_000_000 };
     assert_eq!(check(&good), Ok(()));
     for bad in [
