--- a/core/src/probes.rs
+++ b/core/src/probes.rs
@@ -27,18 +27,18 @@
 ///
 /// ```
 /// use nickelgate::{Action, Addr, Entry, Event, ListForm, ReportColumns, Request, Settings};
-/// use threadward_core::probes::Watched;
+/// use threadward_core::probes::ProbingRouter;
 ///
-/// let columns = ReportColumns { x1: Some(0), ..ReportColumns::default() };
+/// let columns = ReportColumns { link_load: Some(0), ..ReportColumns::default() };
 /// let settings = Settings { probes: true, columns, ..Settings::default() };
 /// let addr = Addr { ip: [127, 0, 0, 1], port: 80 };
 /// let probes = |settings: Settings| {
-///     let (mut w, mut all) = (Watched::new(settings, 1), Vec::new());
+///     let (mut w, mut all) = (ProbingRouter::new(settings, 1), Vec::new());
 ///     let entries = vec![Entry { addr, ..Entry::default() }];
 ///     w.handle(1_000_000, Event::Members { form: ListForm::Full, entries }, &mut all);
 ///     for id in 0..100 {
 ///         let now = 1_000_000 + id * 10_000;
-///         w.handle(now, Event::Request(Request { id, due: now + 1_000_000, ..Request::default() }), &mut all);
+///         w.handle(now, Event::Request(Request { id, expires_at: now + 1_000_000, ..Request::default() }), &mut all);
 ///     }
 ///     all.iter().filter(|a| **a == Action::Probe(addr)).count()
 /// };
@@ -46,26 +46,27 @@
 /// assert_eq!(probes(settings.clone()), 1);
 /// assert_eq!(probes(Settings { reports_inline: true, ..settings }), 0, "load comes with the answers");
 /// ```
-pub struct Watched {
+pub struct ProbingRouter {
     router: Router,
     prober: Option<Prober>,
 }
 
-impl Watched {
+impl ProbingRouter {
     /// A router for these settings; it probes only where load is told in no other way.
-    pub fn new(settings: Settings, seed: u64) -> Watched {
-        let told = settings.columns.x1.is_some() && !settings.reports_inline;
+    pub fn new(settings: Settings, seed: u64) -> ProbingRouter {
+        let told = settings.columns.link_load.is_some() && !settings.reports_inline;
+
         let prober = (settings.probes && told).then(|| Prober::new(&settings));
-        Watched { router: Router::new(settings, seed), prober }
+        ProbingRouter { router: Router::new(settings, seed), prober }
     }
 
     /// From here on the pause between two probes of a cache is what this says at the moment.
-    pub fn paced(&mut self, pause: Pause) {
+    pub fn set_pause(&mut self, pause: Pause) {
         self.prober.iter_mut().for_each(|p| p.pause = Some(pause.clone()));
     }
 
     /// Whether caches are asked for their load at all.
-    pub fn probes(&self) -> bool {
+    pub fn is_probing(&self) -> bool {
         self.prober.is_some()
     }
 
@@ -90,14 +91,14 @@
     }
 }
 
-impl Deref for Watched {
+impl Deref for ProbingRouter {
     type Target = Router;
     fn deref(&self) -> &Router {
         &self.router
     }
 }
 
-impl DerefMut for Watched {
+impl DerefMut for ProbingRouter {
     fn deref_mut(&mut self) -> &mut Router {
         &mut self.router
     }
@@ -168,7 +169,7 @@
             asked.out = false;
         }
         let lost = matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset);
-        if report.n > 0 && !lost {
+        if report.count > 0 && !lost {
             self.last = Some((member, report, now));
         }
         Event::Probed { member, outcome: if lost { outcome } else { Outcome::Ok }, report }
@@ -176,7 +177,7 @@
 
     /// The last report again, its link less full, once it has stood for too long: an old one must not shed fills.
     fn aged(&mut self, now: Micros) -> Option<Event> {
-        let x1 = self.settings.columns.x1?;
+        let x1 = self.settings.columns.link_load?;
         let (member, report, at) = self.last.as_mut().filter(|(_, _, at)| now >= *at + HALVES)?;
         *report.values.get_mut(x1)? /= 2.0;
         *at = now;
@@ -199,7 +200,7 @@
         Settings {
             probes: on,
             reports_inline: inline,
-            columns: ReportColumns { cpu: Some(0), x1: Some(1), ..ReportColumns::default() },
+            columns: ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() },
             parent_kind: Some(1),
             origin_kind: Some(2),
             routers_by_zone: vec![2],
@@ -212,16 +213,16 @@
         Event::Members { form: ListForm::Full, entries: states.iter().map(entry).collect() }
     }
 
-    fn probed(w: &mut Watched, now: Micros) -> Vec<Addr> {
+    fn probed(w: &mut ProbingRouter, now: Micros) -> Vec<Addr> {
         let mut out = Vec::new();
         let due = now + 1_000 * MS;
-        w.handle(now, Event::Request(Request { id: now, due, ..Request::default() }), &mut out);
+        w.handle(now, Event::Request(Request { id: now, expires_at: due, ..Request::default() }), &mut out);
         out.iter().filter_map(|a| if let Action::Probe(a) = a { Some(*a) } else { None }).collect()
     }
 
     /// A minute of 100 requests a second at a site with two caches, one that drains, a parent and an origin.
     fn minute(on: bool, inline: bool) -> BTreeMap<Addr, Vec<Micros>> {
-        let mut w = Watched::new(settings(on, inline), 1);
+        let mut w = ProbingRouter::new(settings(on, inline), 1);
         let (ready, drains) = (Lifecycle::Ready, Lifecycle::Draining);
         let all = [(1, 0, ready), (2, 0, ready), (3, 0, drains), (4, 1, ready), (5, 2, ready)];
         w.handle(0, listed(&all), &mut Vec::new());
@@ -229,7 +230,7 @@
         for now in (0..60_000).step_by(10).map(|t| 1_000_000 + t * MS) {
             for a in probed(&mut w, now) {
                 seen.entry(a).or_default().push(now);
-                let report = Report { n: 2, values: [0.1, 0.5, 0.0, 0.0] };
+                let report = Report { count: 2, values: [0.1, 0.5, 0.0, 0.0] };
                 let ended = Event::Probed { member: a, outcome: Outcome::Ok, report };
                 w.handle(now, ended, &mut Vec::new());
             }
@@ -260,14 +261,14 @@
 
     #[test]
     fn a_cache_that_never_answers_takes_no_turn_from_the_others() {
-        let mut w = Watched::new(settings(true, false), 1);
+        let mut w = ProbingRouter::new(settings(true, false), 1);
         w.handle(0, listed(&[(1, 0, Lifecycle::Ready), (2, 0, Lifecycle::Ready)]), &mut Vec::new());
         let mut seen = [0, 0];
         for now in (0..20_000).step_by(10).map(|t| 1_000_000 + t * MS) {
             for a in probed(&mut w, now) {
                 seen[usize::from(a.ip[3] - 1)] += 1;
                 if a == at(2) {
-                    let report = Report { n: 2, ..Report::default() };
+                    let report = Report { count: 2, ..Report::default() };
                     w.handle(now, Event::Probed { member: a, outcome: Outcome::Ok, report }, &mut Vec::new());
                 }
             }
@@ -278,7 +279,7 @@
     #[test]
     fn only_silence_and_lost_connections_count_against_a_cache_and_old_reports_fade() {
         let mut p = Prober::new(&settings(true, false));
-        let report = Report { n: 2, values: [0.9, 4.0, 0.0, 0.0] };
+        let report = Report { count: 2, values: [0.9, 4.0, 0.0, 0.0] };
         let told = |e: Event| match e {
             Event::Probed { outcome, report, .. } => (outcome, report.values[1]),
             _ => unreachable!(),
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -13,7 +13,7 @@
 use threadward_control::frame::MAX_FRAME_BYTES;
 use threadward_control::{ControlTree, Level, SharedBudgets};
 use threadward_core::{Counter, Micros};
-use threadward_zones::Seat;
+use threadward_zones::ElectionView;
 
 /// The longest wait for what is due: a message may have brought it forward.
 const MAX_WAIT: Micros = 20_000;
@@ -147,7 +147,7 @@
             0 => Micros::MAX,
             units => (1_000_000 * PROBE).div_ceil(units.into()),
         });
-        let probed = self.node.plan(|p, _| p.pace_probes(pause));
+        let probed = self.node.plan(|p, _| p.set_probe_pause(pause));
         if !probed {
             net::log("budgets: no cache is probed here: this proxy takes no share");
         }
@@ -185,15 +185,15 @@
     }
 
     /// What the election of the one that divides for all says now.
-    pub fn seat(&self) -> Seat {
+    pub fn seat(&self) -> ElectionView {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
                 let decides = budgets.is_coordinator(now);
                 let decider = if decides { self.place } else { budgets.coordinator() };
-                Seat { decides, promised: budgets.promised_to(now), decider }
+                ElectionView { is_decider: decides, promised_to: budgets.promised_to(now), decider }
             }
-            Instance::Tree(_) => Seat { decides: false, promised: None, decider: self.place },
+            Instance::Tree(_) => ElectionView { is_decider: false, promised_to: None, decider: self.place },
         }
     }
 
@@ -212,7 +212,7 @@
     /// What this proxy sends to members that started lately is kept to its share.
     fn keep_cold(&self) {
         let share = self.share(COLD_MEMBERS);
-        let sends = self.node.plan(|p, now| p.keep_cold(now, share / COLD));
+        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
         self.want(COLD_MEMBERS, sends.saturating_mul(COLD));
     }
 
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -16,11 +16,11 @@
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until, Signal};
 use threadward_faults::{Process, Relay, Start};
-use threadward_gossip::public;
+use threadward_gossip::public_key;
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::State;
 use threadward_zones::wire::Body;
-use threadward_zones::{wire, Author, Seen};
+use threadward_zones::{wire, Author, ZoneObservation};
 
 type Ex = &'static LocalExecutor<'static>;
 
@@ -137,7 +137,7 @@
         std::fs::write(file("key".into()), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
         let mut peers = String::new();
         for (i, at) in talk.iter().enumerate() {
-            let key = URL_SAFE_NO_PAD.encode(public(&secret(i)));
+            let key = URL_SAFE_NO_PAD.encode(public_key(&secret(i)));
             peers += &format!(
                 "[[gossip.peer]]\nname = \"n{i}\"\naddress = \"{at}\"\nkeys = [\"{key}\"]\nseed = true\n"
             );
@@ -402,7 +402,7 @@
         m.finalize().into_bytes().into()
     };
     let domain = b"threadward-zones-1";
-    let (a, b) = (public(&secret(from)), public(&secret(to)));
+    let (a, b) = (public_key(&secret(from)), public_key(&secret(to)));
     let theirs = VerifyingKey::from_bytes(&b).unwrap().to_montgomery();
     let shared = theirs.mul_clamped(SigningKey::from_bytes(&secret(from)).to_scalar_bytes());
     let key = of(domain, &[&shared.to_bytes(), &a.min(b), &a.max(b)]);
@@ -438,19 +438,34 @@
             }
         }
         let mut map = Map::new(ZONES.len(), now());
-        map.epoch = Epoch { number: 1_000_000, life: 9 };
+        map.epoch = Epoch { number: 1_000_000, incarnation: 9 };
         map.zones.iter_mut().for_each(|z| z.state = State::Out);
         self.seq += 1;
         // Who sees every zone fail is cut off itself: one is left out now and then.
         let zones = (0..ZONES.len() as u16).filter(|z| self.seq % 8 != u32::from(*z));
-        let seen: Vec<Seen> = zones
-            .map(|zone| Seen { zone, tried: 99, failed: 99, members: 2, bad: 2, load: 99, busy: 0 })
+        let seen: Vec<ZoneObservation> = zones
+            .map(|zone| ZoneObservation {
+                zone,
+                attempts: 99,
+                failed: 99,
+                members: 2,
+                bad_members: 2,
+                load: 99,
+                mean_use: 0,
+            })
             .collect();
         for p in 0..PROXIES {
             let (seq, to, epoch, hash) = (self.seq, self.lives[p], map.epoch, map.hash());
-            let report = Body::Report { seq, to, epoch: 1, hash, place: WEST as u16, seen: seen.clone() };
-            let told = [Body::Tell { map: map.clone() }, Body::Propose { map: map.clone() }];
-            let vouched = [Body::Vouch { epoch, hash }, Body::Took { epoch }];
+            let report = Body::Report {
+                seq,
+                to_incarnation: to,
+                map_number: 1,
+                map_hash: hash,
+                own_zone: WEST as u16,
+                observed: seen.clone(),
+            };
+            let told = [Body::Announce { map: map.clone() }, Body::Propose { map: map.clone() }];
+            let vouched = [Body::Confirm { epoch, hash }, Body::Accepted { epoch }];
             let all = [[report.clone(), report], told, vouched].concat();
             all.iter().for_each(|body| self.send(p, LIAR, body, &[]));
         }
@@ -475,7 +490,7 @@
         }
         assert!(f.liar.lives.iter().any(|l| *l > 0), "it reported to the one that decides");
         // In another's name, and one that is too long.
-        let took = Body::Took { epoch: Epoch { number: 1, life: 9 } };
+        let took = Body::Accepted { epoch: Epoch { number: 1, incarnation: 9 } };
         for p in 0..PROXIES {
             f.liar.send(p, (p + 1) % PROXIES, &took, &[]);
             f.liar.send(p, LIAR, &took, &[0]);
