--- a/routes/src/lib.rs
+++ b/routes/src/lib.rs
@@ -1,24 +1,29 @@
-//! Routes: which requests get which time-outs, attempts and second copies. It owns what a route is, which one wins, what
-//! its terms come to for a class, and the rules that terms have to keep. It must never read a file or a clock, send
-//! anything, or decide on an attempt: its terms travel with the request and the module decides.
+//! Routes: operators' rules that say which requests get which timeouts, attempts and second parallel
+//! attempts. The crate defines routes, the look-up of the route that applies to a request, the terms that
+//! result for a class, and the checks that a route file must pass. It does no I/O, reads no clock and starts
+//! no attempts: the terms travel with the request and the router acts on them.
 //!
-//! **Which route wins.** The most specific one that matches, by the first of these in which two differ: a host over
-//! none; the longer path prefix; the longer prefix of the object; a part range, the narrower; groups, the fewer; the
-//! longer client network; a class over none. Two that match a request alike are a tie, which is refused at load.
+//! **Which route wins.** The most specific one that matches, by the first of these criteria in which two
+//! differ: a host over none; the longer path prefix; the longer object prefix; the narrower range of parts;
+//! the fewer groups; the longer client network; a class over none. Two routes that match a request with equal
+//! specificity are a tie, and a file with a tie is refused when it is loaded.
 //!
-//! **Its terms.** Field by field: what the route sets, else what its class sets, else the default, else nothing, and
-//! then the module's own figures stand alone. All spans are microseconds.
+//! **Effective terms.** Each field is taken from the route if it sets the field, else from the class, else
+//! from the default. A field that none of them sets stays unset, and the router uses its own value. All spans
+//! are microseconds.
 //!
 //! ```
 //! use threadward_routes::terms::Setting;
-//! use threadward_routes::{check, Location, Matches, Platform, Prefix, Request, Route, RouteConfig, Table, Terms};
+//! use threadward_routes::{check, Location, Matches, Platform, Prefix, Request};
+//! use threadward_routes::{Route, RouteConfig, Table, Terms};
 //!
 //! let at = |line| Location { file: "routes.toml".into(), line, column: 1 };
-//! let attempts = |value, line| Terms { attempts: Some(Setting { value, at: at(line) }), ..Terms::default() };
+//! let setting = |value, line| Some(Setting { value, at: at(line) });
+//! let attempts = |value, line| Terms { attempts: setting(value, line), ..Terms::default() };
 //! let route = |name: &str, line, matches, terms| Route { name: name.into(), at: at(line), matches, terms };
 //! let video = Matches { class: Some(0), ..Matches::default() };
 //! let hot = Matches { object: Prefix::parse("7f3").unwrap(), ..Matches::default() };
-//! let mut sheet = RouteConfig {
+//! let mut config = RouteConfig {
 //!     default: attempts(2, 1),
 //!     classes: vec![Terms::default()],
 //!     routes: vec![route("video", 5, video, Terms::default()), route("hot", 9, hot, attempts(3, 10))],
@@ -26,24 +31,25 @@
 //! let class = nickelgate::Class { deadline: 4_000_000, ..Default::default() };
 //! let settings = nickelgate::Settings { classes: vec![class], max_attempts: 3, ..Default::default() };
 //! let platform = Platform { settings, classes: vec!["video".into()], connect: 400_000 };
-//! assert!(check(&sheet, &platform).is_empty());
+//! assert!(check(&config, &platform).is_empty());
 //!
-//! // A longer prefix of the object goes before a class, wherever the routes stand in the file.
-//! let table = Table::new(&sheet.routes);
+//! // An object prefix is more specific than a class, whatever the order of the routes in the file.
+//! let table = Table::new(&config.routes);
 //! let client = "10.0.0.1".parse().unwrap();
 //! let mut r = Request { class: 0, group: 1, object: 0x7f30 << 48, part: 0, client, link: None };
 //! let attempts_of = |i: usize| {
-//!     let t = Terms::of(&[&sheet.routes[i].terms, &sheet.classes[0], &sheet.default]);
+//!     let t = Terms::of(&[&config.routes[i].terms, &config.classes[0], &config.default]);
 //!     t.attempts.map(|a| (a.value, a.at.line))
 //! };
 //! assert_eq!(table.find(&r).map(attempts_of), Some(Some((3, 10))));
 //! r.object = 0;
 //! assert_eq!(table.find(&r).map(attempts_of), Some(Some((2, 1))), "the route sets none, the default does");
 //!
-//! // A sheet that breaks a rule is refused, with the place.
-//! sheet.default = attempts(4, 1);
-//! let said = check(&sheet, &platform)[0].to_string();
-//! assert!(said.starts_with("routes.toml:1:1: the default: 4 attempts of 3 at most; the rule: "), "{said}");
+//! // A configuration that breaks a rule is refused, and the message names the location.
+//! config.default = attempts(4, 1);
+//! let message = check(&config, &platform)[0].to_string();
+//! let expected = "routes.toml:1:1: the default: 4 attempts of 3 at most; the rule: ";
+//! assert!(message.starts_with(expected), "{message}");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -62,19 +68,19 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// Routes that a file may hold.
+/// Largest number of routes in a file.
 pub const MAX_ROUTES: usize = 200_000;
-/// Networks and ranges of groups that one route may list.
+/// Largest number of networks, and of ranges of groups, that one route may list.
 pub const MAX_LIST_ENTRIES: usize = 64;
 
-/// Where something stands in a file.
+/// A location in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Location {
-    /// Its name, as operators gave it.
+    /// The file's name as the operators gave it.
     pub file: Rc<str>,
-    /// From 1.
+    /// Line, from 1.
     pub line: u32,
-    /// From 1.
+    /// Column, from 1.
     pub column: u32,
 }
 
@@ -84,39 +90,39 @@
     }
 }
 
-/// A prefix of an object's 64 bits, the first ones first.
+/// A prefix of an object's 64 bits, from the most significant bit on.
 ///
 /// ```
 /// use threadward_routes::Prefix;
 ///
 /// let p = Prefix::parse("7f3").unwrap();
 /// assert!(p.is_prefix_of(0x7f3a_0000_0000_0000) && !p.is_prefix_of(0x7f4a_0000_0000_0000));
-/// assert_eq!(p, Prefix::new(0x7f3f << 48, 12), "what lies beyond the length does not count");
+/// assert_eq!(p, Prefix::new(0x7f3f << 48, 12), "bits beyond the length are ignored");
 /// assert_eq!(Prefix::parse("7g"), None);
-/// assert!(Prefix::default().is_prefix_of(7), "of no length: all");
+/// assert!(Prefix::default().is_prefix_of(7), "the empty prefix matches every object");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Prefix {
-    /// The bits, from the highest on; those beyond the length are 0.
+    /// The bits, from the most significant on; those beyond the length are 0.
     pub bits: u64,
-    /// How many of them count, 0 to 64.
+    /// Length in bits, 0 to 64.
     pub len: u8,
 }
 
 impl Prefix {
-    /// Bits beyond the length are cleared.
+    /// Creates a prefix; bits beyond the length are cleared.
     pub fn new(bits: u64, len: u8) -> Prefix {
         let len = len.min(64);
         Prefix { bits: bits & mask(len), len }
     }
-    /// One in the hexadecimal digits that objects are written in, 1 to 16 of them.
+    /// Parses a prefix of 1 to 16 hexadecimal digits, as objects are written.
     pub fn parse(hex: &str) -> Option<Prefix> {
         let digits = hex.len();
         let fits = (1..=16).contains(&digits) && hex.bytes().all(|b| b.is_ascii_hexdigit());
         let bits = u64::from_str_radix(hex, 16).ok().filter(|_| fits)?;
         Some(Prefix::new(bits << (64 - 4 * digits), 4 * digits as u8))
     }
-    /// Whether an object begins with it.
+    /// Returns whether an object begins with this prefix.
     pub fn is_prefix_of(self, object: u64) -> bool {
         object & mask(self.len) == self.bits
     }
@@ -130,50 +136,51 @@
     }
 }
 
-/// What a route asks of a request. What is left out matches all.
+/// The conditions of a route. A condition that is left out matches every request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Matches {
-    /// Place of the class in the settings.
+    /// Index of the class in the settings.
     pub class: Option<u8>,
-    /// Ranges of groups; none: all.
+    /// Ranges of purge groups; an empty list matches all.
     pub groups: Vec<RangeInclusive<u16>>,
-    /// A prefix of the object; of no length: all.
+    /// A prefix of the object; the empty prefix matches all.
     pub object: Prefix,
-    /// Which parts of the object.
+    /// A range of parts of the object.
     pub part: Option<RangeInclusive<u32>>,
-    /// Clients' networks; none: all.
+    /// Networks of clients; an empty list matches all.
     pub clients: Vec<IpNet>,
-    /// The signed front only: the host, in lower case.
+    /// The host, in lower case. Only requests of the signed front have one.
     pub host: Option<Box<str>>,
-    /// The signed front only: a prefix of the path that ends at a step of it; empty: all, of both fronts.
+    /// A prefix of whole segments of the path, which only requests of the signed front have. An empty one
+    /// matches all requests of both fronts.
     pub path: Box<str>,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Letters, digits, - and _, 64 at most; no other route has it.
+    /// Unique name: at most 64 letters, digits, - and _.
     pub name: Rc<str>,
-    /// Where it stands.
+    /// Its location in the file.
     pub at: Location,
-    /// What it asks of a request.
+    /// The requests that it applies to.
     pub matches: Matches,
-    /// What it sets.
+    /// The terms that it sets.
     pub terms: Terms,
 }
 
-/// All that a file sets, checked for form and not yet for the rules.
+/// The content of a route file: parsed, but not yet checked against the [`Rule`]s.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteConfig {
-    /// What holds where neither route nor class sets it.
+    /// Terms for what neither the route nor the class sets.
     pub default: Terms,
-    /// By place of the class in the settings.
+    /// Terms of each class, in the order of the classes in the settings.
     pub classes: Vec<Terms>,
-    /// All routes, in the order of the file, which decides nothing.
+    /// All routes in the order of the file, which doesn't affect which route wins.
     pub routes: Vec<Route>,
 }
 
-/// Whether a path lies under a prefix, step by step.
+/// Returns whether a path lies under a prefix, compared by whole path segments.
 ///
 /// ```
 /// use threadward_routes::path_is_under;
@@ -190,7 +197,7 @@
     use super::*;
 
     #[test]
-    fn prefixes_and_paths_match_whole_steps() {
+    fn prefixes_match_leading_digits_and_paths_match_whole_segments() {
         let p = Prefix::parse("7f3").unwrap();
         assert!(p.is_prefix_of(0x7f3a_9c21_e0b4_d655) && !p.is_prefix_of(0x7f4a_9c21_e0b4_d655));
         assert_eq!(p.len, 12);
--- a/routes/src/table.rs
+++ b/routes/src/table.rs
@@ -1,10 +1,13 @@
-//! The index over routes. It owns the look-up: for a request the route that wins, in time that hardly grows with their
-//! number. It must never settle a tie by the order of the file: ties are refused before (`cover`).
+//! The index over routes: finds the route that wins for a request in time that hardly grows with the number
+//! of routes. The order of the file never decides a tie, because ties are refused before an index is built
+//! ([`crate::cover`]).
 //!
-//! Six levels in the order of specificity, each tried from its most specific entry to its least: host (hash), path
-//! (the request's path cut step by step, hash), object (hash for each prefix length that occurs), parts and groups
-//! (a short list, narrowest first), client network (hash for each length), class. The first hit in this order is the
-//! winner, so nothing is compared. The cost is the product of the lengths that occur on the way, not of the routes.
+//! The index has six levels in the order of specificity, and each is tried from its most specific entry to
+//! its least: host (hash map), path (the request's path is shortened segment by segment, hash map), object
+//! (hash map, once for each prefix length that occurs), parts and groups (a short list, narrowest first),
+//! client network (hash map, once for each length), class. The first hit in this order wins, so candidates
+//! needn't be compared. The cost is the product of the numbers of lengths that occur along the way, whatever
+//! the number of routes.
 use crate::{mask, path_is_under, Matches, Prefix, Route};
 use foldhash::fast::FixedState;
 use ipnet::IpNet;
@@ -12,24 +15,25 @@
 use std::net::IpAddr;
 use std::ops::RangeInclusive;
 
-/// What a route is looked up by.
+/// The properties of a request that routes match.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Place of the class in the settings.
+    /// Index of the class in the settings.
     pub class: u8,
     /// The object's purge group.
     pub group: u16,
-    /// The object.
+    /// The object's 64 bits.
     pub object: u64,
-    /// Which part of it.
+    /// The part of the object.
     pub part: u32,
     /// The client's address.
     pub client: IpAddr,
-    /// The signed front: its host and path; nothing: the platform's front, which has neither.
+    /// Host and path of a request of the signed front; `None` for the platform's front, whose requests have
+    /// neither.
     pub link: Option<(&'a str, &'a str)>,
 }
 
-/// How specific a route is for one of its networks: greater wins.
+/// How specific a route is, for one of its networks; the greater rank wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     host: bool,
@@ -41,10 +45,10 @@
     class: bool,
 }
 
-/// How many groups there are.
+/// Number of purge groups.
 pub const GROUPS: u16 = 256;
 
-/// Groups as a set of bits; no range at all: all of them.
+/// Returns ranges of groups as a bit set; an empty list stands for all groups.
 pub fn group_bitset(ranges: &[RangeInclusive<u16>]) -> [u64; 4] {
     if ranges.is_empty() {
         return [u64::MAX; 4];
@@ -56,14 +60,14 @@
     bits
 }
 
-/// The rank of a route, and of one of its networks where it lists any.
+/// Returns the rank of a route, for one of its networks if it lists any.
 pub fn rank(m: &Matches, net: Option<&IpNet>) -> Rank {
     let bits: u32 = group_bitset(&m.groups).iter().map(|b| b.count_ones()).sum();
     Rank {
         host: m.host.is_some(),
         path: m.path.trim_end_matches('/').len(),
         object: m.object.len,
-        // The narrower the greater; none at all is the least.
+        // A narrower range ranks higher; no range ranks lowest.
         part: m.part.as_ref().map_or(0, |p| u32::MAX - p.end().saturating_sub(*p.start())),
         groups: GROUPS - bits as u16,
         client: net.map_or(0, |n| n.prefix_len() + 1),
@@ -71,7 +75,7 @@
     }
 }
 
-/// Whether a route matches, taken by itself.
+/// Returns whether a route matches a request, regardless of other routes.
 pub fn matches(m: &Matches, r: &Request<'_>) -> bool {
     let link = match (&m.host, &*m.path, r.link) {
         (None, "", _) => true,
@@ -87,8 +91,8 @@
         && (m.clients.is_empty() || m.clients.iter().any(|n| n.contains(&r.client)))
 }
 
-/// Masked addresses of one length.
-fn cut(ip: IpAddr, len: u8) -> (bool, u128) {
+/// Returns the address family (true for IPv6) and the leading bits of an address, left-aligned.
+fn masked_address(ip: IpAddr, len: u8) -> (bool, u128) {
     let (v6, bits, width) = match ip {
         IpAddr::V4(a) => (false, u128::from(u32::from(a)) << 96, len.min(32)),
         IpAddr::V6(a) => (true, u128::from(a), len.min(128)),
@@ -96,40 +100,42 @@
     (v6, if width == 0 { 0 } else { bits & (u128::MAX << (128 - width)) })
 }
 
-/// The operators' file fills these and no client can, so the seed may be fixed.
+/// A map with a fixed hash seed. Only the operators' file adds keys and no client can, so collisions can't be
+/// provoked.
 type HashMap<K, V> = std::collections::HashMap<K, V, FixedState>;
 
-/// Says fast of most keys that they are not there: one bit for each, 16 for each key, in a space that stays in the
-/// processor's cache where the map itself does not.
+/// A Bloom filter with one hash: quickly rules out most keys that a map doesn't contain. Each key sets one
+/// bit, with at least 16 bits of space per key, so the filter stays in the processor's cache where the map
+/// itself doesn't.
 #[derive(Default)]
-struct Sieve {
+struct KeyFilter {
     bits: Vec<u64>,
     keys: Vec<u64>,
 }
 
-impl Sieve {
-    fn put(&mut self, hash: u64) {
+impl KeyFilter {
+    fn add(&mut self, hash: u64) {
         self.keys.push(hash);
         if self.keys.len() * 16 > self.bits.len() * 64 {
             self.bits = vec![0; self.keys.len().next_power_of_two()];
             for k in std::mem::take(&mut self.keys) {
-                self.mark(k);
+                self.set_bit(k);
                 self.keys.push(k);
             }
         } else {
-            self.mark(hash);
+            self.set_bit(hash);
         }
     }
-    fn place(&self, hash: u64) -> (usize, u64) {
-        let at = hash >> 20;
-        (at as usize >> 6 & (self.bits.len() - 1), 1 << (at & 63))
+    fn bit_of(&self, hash: u64) -> (usize, u64) {
+        let position = hash >> 20;
+        (position as usize >> 6 & (self.bits.len() - 1), 1 << (position & 63))
     }
-    fn mark(&mut self, hash: u64) {
-        let (word, bit) = self.place(hash);
+    fn set_bit(&mut self, hash: u64) {
+        let (word, bit) = self.bit_of(hash);
         self.bits[word] |= bit;
     }
-    fn may_hold(&self, hash: u64) -> bool {
-        let (word, bit) = self.place(hash);
+    fn may_contain(&self, hash: u64) -> bool {
+        let (word, bit) = self.bit_of(hash);
         self.bits[word] & bit != 0
     }
 }
@@ -138,11 +144,11 @@
     FixedState::default().hash_one(key)
 }
 
-/// Routes by class; the place of each in the sheet. Few classes: a list is as fast as any map.
+/// Indices of routes by class. With the few classes that occur, a list is as fast as any map.
 #[derive(Default)]
 struct ByClass {
     any: Option<u32>,
-    /// The first class stands here and the others elsewhere: mostly there is one.
+    /// The first class, kept outside the list because mostly there is only one.
     first: Option<(u8, u32)>,
     rest: Vec<(u8, u32)>,
 }
@@ -150,45 +156,46 @@
 #[derive(Default)]
 struct ByClient {
     any: Option<ByClass>,
-    /// Lengths that occur, longest first.
-    lens: Vec<(bool, u8, Sieve)>,
-    nets: HashMap<(bool, u8, u128), ByClass>,
+    /// Family (true for IPv6) and length of the networks that occur, longest first, with a filter for each.
+    network_lens: Vec<(bool, u8, KeyFilter)>,
+    networks: HashMap<(bool, u8, u128), ByClass>,
 }
 
-/// How narrow parts and groups are, and how specific network and class: greater is more.
+/// How narrow parts and groups are; greater is narrower.
 type NarrowRank = (u32, u16);
+/// How specific network and class are; greater is more specific.
 type ClientRank = (u8, bool);
 
-/// Routes that ask for the same parts and groups.
-struct Narrow {
+/// Routes with the same parts and groups.
+struct ByPartsAndGroups {
     part: Option<RangeInclusive<u32>>,
     groups: [u64; 4],
     rank: NarrowRank,
     clients: ByClient,
 }
 
-/// Routes that ask for the same prefix of the object.
+/// Routes with the same object prefix.
 #[derive(Default)]
-struct Spot {
-    /// With parts, groups or networks, the narrowest first; they come before those without.
-    narrow: Vec<Narrow>,
-    plain: ByClass,
+struct ObjectRoutes {
+    /// Routes with parts, groups or networks, the narrowest first; they win over those without.
+    narrow: Vec<ByPartsAndGroups>,
+    unrestricted: ByClass,
 }
 
 #[derive(Default)]
 struct ByObject {
-    /// Prefix lengths that occur, longest first.
-    lens: Vec<(u8, Sieve)>,
-    of: HashMap<Prefix, Spot>,
+    /// Prefix lengths that occur, longest first, with a filter for each.
+    prefix_lens: Vec<(u8, KeyFilter)>,
+    entries: HashMap<Prefix, ObjectRoutes>,
 }
 
 #[derive(Default)]
 struct ByPath {
     any: ByObject,
-    of: HashMap<Box<str>, ByObject>,
+    entries: HashMap<Box<str>, ByObject>,
 }
 
-/// All routes of a sheet, ready to be asked. They may not tie: [`crate::check()`] says so before.
+/// The index over all routes of a configuration. The routes must not tie, which [`crate::check()`] ensures.
 ///
 /// ```
 /// use threadward_routes::{table::find_by_scan, Location, Matches, Request, Route, Table, Terms};
@@ -205,16 +212,19 @@
 /// };
 /// let routes = [route("10.0.0.0/8", None), route("10.1.0.0/16", None), route("", Some("img.example"))];
 /// let table = Table::new(&routes);
-/// let at = |ip: &str, link| Request { class: 0, group: 0, object: 1, part: 0, client: ip.parse().unwrap(), link };
+/// let from = |ip: &str, link| {
+///     let client = ip.parse().unwrap();
+///     Request { class: 0, group: 0, object: 1, part: 0, client, link }
+/// };
 /// let link = Some(("IMG.example", "/a"));
 /// for (request, winner) in [
-///     (at("10.1.2.3", None), Some(1)),
-///     (at("10.2.2.3", None), Some(0)),
-///     (at("10.1.2.3", link), Some(2)),
-///     (at("192.0.2.1", None), None),
+///     (from("10.1.2.3", None), Some(1)),
+///     (from("10.2.2.3", None), Some(0)),
+///     (from("10.1.2.3", link), Some(2)),
+///     (from("192.0.2.1", None), None),
 /// ] {
 ///     assert_eq!(table.find(&request), winner);
-///     assert_eq!(find_by_scan(&routes, &request), winner, "the plain scan says the same");
+///     assert_eq!(find_by_scan(&routes, &request), winner, "the plain scan finds the same route");
 /// }
 /// ```
 #[derive(Default)]
@@ -225,81 +235,83 @@
 }
 
 impl Table {
-    /// Builds the index.
+    /// Builds the index over these routes.
     pub fn new(routes: &[Route]) -> Table {
         let mut t = Table { len: routes.len(), ..Table::default() };
         for (i, r) in routes.iter().enumerate() {
-            t.put(i, &r.matches);
+            t.insert(i, &r.matches);
         }
         t
     }
 
-    /// How many routes it holds.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Returns whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    fn put(&mut self, i: usize, m: &Matches) {
+    fn insert(&mut self, i: usize, m: &Matches) {
         let by_path = match &m.host {
             Some(h) => self.hosts.entry(h.to_ascii_lowercase().into()).or_default(),
             None => &mut self.any,
         };
         let path = m.path.trim_end_matches('/');
         let by_object =
-            if path.is_empty() { &mut by_path.any } else { by_path.of.entry(path.into()).or_default() };
-        if !by_object.lens.iter().any(|l| l.0 == m.object.len) {
-            by_object.lens.push((m.object.len, Sieve::default()));
-            by_object.lens.sort_by_key(|l| std::cmp::Reverse(l.0));
+            if path.is_empty() { &mut by_path.any } else { by_path.entries.entry(path.into()).or_default() };
+        if !by_object.prefix_lens.iter().any(|l| l.0 == m.object.len) {
+            by_object.prefix_lens.push((m.object.len, KeyFilter::default()));
+            by_object.prefix_lens.sort_by_key(|l| std::cmp::Reverse(l.0));
         }
-        if !by_object.of.contains_key(&m.object) {
-            let sieve = by_object.lens.iter_mut().find(|l| l.0 == m.object.len);
-            sieve.into_iter().for_each(|l| l.1.put(hash(&m.object.bits)));
+        if !by_object.entries.contains_key(&m.object) {
+            let filter = by_object.prefix_lens.iter_mut().find(|l| l.0 == m.object.len);
+            filter.into_iter().for_each(|l| l.1.add(hash(&m.object.bits)));
         }
-        let spot = by_object.of.entry(m.object).or_default();
+        let object_routes = by_object.entries.entry(m.object).or_default();
         if m.part.is_none() && m.groups.is_empty() && m.clients.is_empty() {
-            return spot.plain.put(i, m.class);
+            return object_routes.unrestricted.add(i, m.class);
         }
-        let narrow = &mut spot.narrow;
+        let narrow = &mut object_routes.narrow;
         let (groups, own) = (group_bitset(&m.groups), rank(m, None));
         let at = match narrow.iter().position(|n| n.part == m.part && n.groups == groups) {
             Some(at) => at,
             None => {
                 let rank = (own.part, own.groups);
                 let at = narrow.partition_point(|n| n.rank >= rank);
-                narrow
-                    .insert(at, Narrow { part: m.part.clone(), groups, rank, clients: ByClient::default() });
+                narrow.insert(
+                    at,
+                    ByPartsAndGroups { part: m.part.clone(), groups, rank, clients: ByClient::default() },
+                );
                 at
             }
         };
         let clients = &mut narrow[at].clients;
         if m.clients.is_empty() {
-            return clients.any.get_or_insert_default().put(i, m.class);
+            return clients.any.get_or_insert_default().add(i, m.class);
         }
         for net in &m.clients {
             let v6 = matches!(net, IpNet::V6(_));
             let len = net.prefix_len();
-            if !clients.lens.iter().any(|l| (l.0, l.1) == (v6, len)) {
-                clients.lens.push((v6, len, Sieve::default()));
-                clients.lens.sort_by_key(|l| std::cmp::Reverse(l.1));
+            if !clients.network_lens.iter().any(|l| (l.0, l.1) == (v6, len)) {
+                clients.network_lens.push((v6, len, KeyFilter::default()));
+                clients.network_lens.sort_by_key(|l| std::cmp::Reverse(l.1));
             }
-            let (_, bits) = cut(net.network(), len);
-            if !clients.nets.contains_key(&(v6, len, bits)) {
-                let sieve = clients.lens.iter_mut().find(|l| (l.0, l.1) == (v6, len));
-                sieve.into_iter().for_each(|l| l.2.put(hash(&bits)));
+            let (_, bits) = masked_address(net.network(), len);
+            if !clients.networks.contains_key(&(v6, len, bits)) {
+                let filter = clients.network_lens.iter_mut().find(|l| (l.0, l.1) == (v6, len));
+                filter.into_iter().for_each(|l| l.2.add(hash(&bits)));
             }
-            clients.nets.entry((v6, len, bits)).or_default().put(i, m.class);
+            clients.networks.entry((v6, len, bits)).or_default().add(i, m.class);
         }
     }
 
-    /// The place in the sheet of the route that wins; none matches: nothing.
+    /// Returns the index of the route that wins, or `None` if no route matches.
     pub fn find(&self, r: &Request<'_>) -> Option<usize> {
         let Some((host, path)) = r.link else { return self.any.any.find(r) };
-        // Hosts are kept in lower case; most come so.
+        // Hosts are stored in lower case, and most requests already use that.
         let own = match self.hosts.get(host) {
             None if host.bytes().any(|b| b.is_ascii_uppercase()) => {
                 self.hosts.get(&*host.to_ascii_lowercase())
@@ -313,8 +325,8 @@
 impl ByPath {
     fn find(&self, r: &Request<'_>, path: &str) -> Option<usize> {
         let mut prefix = path;
-        while !self.of.is_empty() && !prefix.is_empty() {
-            if let Some(found) = self.of.get(prefix).and_then(|o| o.find(r)) {
+        while !self.entries.is_empty() && !prefix.is_empty() {
+            if let Some(found) = self.entries.get(prefix).and_then(|o| o.find(r)) {
                 return Some(found);
             }
             prefix = prefix.rfind('/').map_or("", |at| &prefix[..at]);
@@ -325,19 +337,22 @@
 
 impl ByObject {
     fn find(&self, r: &Request<'_>) -> Option<usize> {
-        self.lens.iter().find_map(|(len, sieve)| {
+        self.prefix_lens.iter().find_map(|(len, filter)| {
             let key = Prefix { bits: r.object & mask(*len), len: *len };
-            if !sieve.may_hold(hash(&key.bits)) {
+            if !filter.may_contain(hash(&key.bits)) {
                 return None;
             }
-            let spot = self.of.get(&key)?;
-            spot.find(r).or_else(|| spot.plain.find(r.class).map(|(_, i)| i as usize))
+            let object_routes = self.entries.get(&key)?;
+            object_routes
+                .find(r)
+                .or_else(|| object_routes.unrestricted.find(r.class).map(|(_, i)| i as usize))
         })
     }
 }
 
-impl Spot {
-    /// The narrowest that matches; of those as narrow the one with the longer network, then with a class.
+impl ObjectRoutes {
+    /// Returns the narrowest route that matches; among equally narrow ones the one with the longer network,
+    /// then the one with a class.
     fn find(&self, r: &Request<'_>) -> Option<usize> {
         let mut best: Option<(NarrowRank, ClientRank, u32)> = None;
         for n in &self.narrow {
@@ -352,7 +367,7 @@
     }
 }
 
-impl Narrow {
+impl ByPartsAndGroups {
     fn find(&self, r: &Request<'_>) -> Option<(ClientRank, u32)> {
         let group = r.group < GROUPS && self.groups[usize::from(r.group / 64)] >> (r.group % 64) & 1 == 1;
         let part = self.part.as_ref().is_none_or(|p| p.contains(&r.part));
@@ -365,16 +380,16 @@
 }
 
 impl ByClient {
-    /// The route with the longest network, and how long it is (one more, so that none is 0), and whether it has a
-    /// class.
+    /// Returns the route with the longest matching network. Its rank is the network's length plus one (0
+    /// stands for no network) and whether it has a class.
     fn find(&self, r: &Request<'_>) -> Option<(ClientRank, u32)> {
         let v6 = r.client.is_ipv6();
-        let mut found = self.lens.iter().filter(|l| l.0 == v6).filter_map(|(_, len, sieve)| {
-            let bits = cut(r.client, *len).1;
-            if !sieve.may_hold(hash(&bits)) {
+        let mut found = self.network_lens.iter().filter(|l| l.0 == v6).filter_map(|(_, len, filter)| {
+            let bits = masked_address(r.client, *len).1;
+            if !filter.may_contain(hash(&bits)) {
                 return None;
             }
-            let (class, i) = self.nets.get(&(v6, *len, bits))?.find(r.class)?;
+            let (class, i) = self.networks.get(&(v6, *len, bits))?.find(r.class)?;
             Some(((len + 1, class), i))
         });
         let any = || self.any.as_ref()?.find(r.class).map(|(class, i)| ((0, class), i));
@@ -383,25 +398,25 @@
 }
 
 impl ByClass {
-    fn put(&mut self, i: usize, class: Option<u8>) {
+    fn add(&mut self, i: usize, class: Option<u8>) {
         match class {
             Some(c) if self.first.is_none() => self.first = Some((c, i as u32)),
             Some(c) => self.rest.push((c, i as u32)),
             None => self.any = Some(i as u32),
         }
     }
-    /// Whether it is one with a class, and its place.
+    /// Returns the index of the route for a class, and whether the route names that class.
     fn find(&self, class: u8) -> Option<(bool, u32)> {
         let own = self.first.iter().chain(&self.rest).find(|(c, _)| *c == class);
         own.map(|(_, i)| (true, *i)).or(self.any.map(|i| (false, i)))
     }
 }
 
-/// The same by looking at every route: what the index is measured against and checked by.
+/// Finds the route that wins by looking at every route. Tests and measurements compare the index with it.
 pub fn find_by_scan(routes: &[Route], r: &Request<'_>) -> Option<usize> {
     let best = |m: &Matches| {
-        let nets = m.clients.iter().filter(|n| n.contains(&r.client)).map(|n| rank(m, Some(n)));
-        nets.max().unwrap_or_else(|| rank(m, None))
+        let networks = m.clients.iter().filter(|n| n.contains(&r.client)).map(|n| rank(m, Some(n)));
+        networks.max().unwrap_or_else(|| rank(m, None))
     };
     let all = routes.iter().enumerate().filter(|(_, x)| matches(&x.matches, r));
     all.max_by(|a, b| best(&a.1.matches).cmp(&best(&b.1.matches))).map(|(i, _)| i)
--- a/routes/src/terms.rs
+++ b/routes/src/terms.rs
@@ -1,29 +1,30 @@
-//! Terms: what a route, a class or the default may set, each with the place it came from. It owns how they override one
-//! another. It must never fill in a figure that nobody set: the module has its own.
+//! Terms: the timeouts and attempt limits that a route, a class or the default may set, each with its
+//! location in the file, and how they override one another. A term that nobody sets stays unset, since the
+//! router has its own value.
 use crate::Location;
 use nickelgate::Micros;
 
-/// A span, or a quantile of the spans that were seen of the class.
+/// A timeout: a fixed span, or a quantile of the durations observed for the class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wait {
-    /// So many microseconds.
+    /// A fixed span in microseconds.
     After(Micros),
-    /// A quantile, from 0.5 to 0.999.
+    /// A quantile of the observed durations, from 0.5 to 0.999.
     Quantile(f64),
 }
 
-/// A value and where it was set.
+/// A value and the location where it was set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting<T> {
     /// The value.
     pub value: T,
-    /// Where it stands.
+    /// Where the file sets it.
     pub at: Location,
 }
 
 macro_rules! terms {
     ($($(#[$doc:meta])* $name:ident: $kind:ty, $text:literal;)*) => {
-        /// What may be set. Nothing: not set here.
+        /// The terms that may be set; `None` stands for a term that is not set at this level.
         ///
         /// ```
         /// use threadward_routes::{terms::Setting, Location, Terms};
@@ -34,19 +35,20 @@
         /// let pause = Some(Setting { value: 50_000, at: at.clone() });
         /// let route = Terms { attempts: attempts(1), pause, ..Terms::default() };
         /// let both = |first, second| Terms::of(&[first, second]).lines();
-        /// let lines = |n: &str| [("attempts", n.to_owned(), at.clone()), ("pause", "50000".to_owned(), at.clone())];
+        /// let line = |name, value: &str| (name, value.to_owned(), at.clone());
+        /// let lines = |n| [line("attempts", n), line("pause", "50000")];
         /// assert_eq!(both(&route, &class), lines("1"));
-        /// assert_eq!(both(&class, &route), lines("3"), "field by field, the first one that sets it");
+        /// assert_eq!(both(&class, &route), lines("3"), "each field from the first level that sets it");
         /// ```
         #[derive(Clone, Debug, Default, PartialEq)]
         pub struct Terms { $($(#[$doc])* pub $name: Option<Setting<$kind>>,)* }
 
         impl Terms {
-            /// What holds where several levels apply: field by field, the first of these that sets it.
+            /// Returns the effective terms of several levels: each field from the first level that sets it.
             pub fn of(levels: &[&Terms]) -> Terms {
                 Terms { $($name: levels.iter().find_map(|t| t.$name.clone()),)* }
             }
-            /// Each field that is set: its name, its value as text, and where it was set.
+            /// Returns the name, the value as text and the location of each field that is set.
             pub fn lines(&self) -> Vec<(&'static str, String, Location)> {
                 let mut all = Vec::new();
                 $(if let Some(s) = &self.$name {
@@ -59,25 +61,25 @@
 }
 
 terms! {
-    /// The whole time of a request, from when it is taken.
+    /// Time limit of a request, counted from when it is accepted.
     deadline: Micros, "deadline";
-    /// Patience for the first byte of an attempt.
+    /// Timeout of an attempt until the first byte of its answer.
     first_byte: Wait, "first_byte";
-    /// Patience for the whole answer of an attempt.
+    /// Timeout of an attempt until its whole answer has arrived.
     whole: Wait, "whole";
-    /// For a connection to come up.
+    /// Timeout for opening a connection.
     connect: Micros, "connect";
-    /// Attempts in all, the first one with them.
+    /// Largest number of attempts, the first one included.
     attempts: u32, "attempts";
-    /// Between the end of an attempt and the next one.
+    /// Pause between the end of an attempt and the start of the next one.
     pause: Micros, "pause";
-    /// By how large a share of it the pause varies, from 0 to 1.
+    /// Fraction of the pause by which it varies at random, from 0 to 1.
     jitter: f64, "jitter";
-    /// A second copy goes out when the first has been out for so long.
+    /// Time after which a second parallel attempt starts while the first one is still in flight.
     second: Wait, "second";
-    /// Share of the route's requests that may cost a repeat, from 0 to 1.
+    /// Retry budget: the fraction of the route's requests that may be repeated, from 0 to 1.
     budget: f64, "budget";
-    /// Whether an ageing copy will do.
+    /// Whether an ageing (stale) copy may be served.
     ageing: bool, "ageing";
 }
 
@@ -86,7 +88,7 @@
     use super::*;
 
     #[test]
-    fn each_field_is_overridden_by_itself() {
+    fn each_field_is_overridden_separately() {
         let at = |line| Location { file: "f".into(), line, column: 1 };
         fn set<T>(value: T, line: u32) -> Option<Setting<T>> {
             Some(Setting { value, at: Location { file: "f".into(), line, column: 1 } })
--- a/routes/tests/table.rs
+++ b/routes/tests/table.rs
@@ -1,4 +1,5 @@
-//! The index against a plain scan, and ties and shadows against brute force, on random small tables.
+//! Compares the index with a plain scan, and the detection of ties and shadowed routes with brute force, on
+//! random small tables.
 use ipnet::IpNet;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -11,7 +12,8 @@
     Location { file: "t".into(), line: line as u32, column: 1 }
 }
 
-/// A world small enough to be walked through: two bits of objects, two of addresses, three hosts, a few paths.
+/// Generates conditions from a space small enough to enumerate: two bits of objects, two of addresses, two
+/// hosts, a few paths.
 fn some_matches() -> impl Strategy<Value = Matches> {
     let groups = prop_oneof![
         3 => Just(vec![]),
@@ -52,7 +54,7 @@
     })
 }
 
-/// Every request that differs in what these routes can tell apart.
+/// Returns a request for each combination that the generated routes can distinguish.
 fn all_requests() -> Vec<Request<'static>> {
     let mut all = Vec::new();
     let links = [
@@ -81,7 +83,7 @@
     all
 }
 
-/// Without the routes that tie, as a load would have it.
+/// Removes routes until none tie, since loading a file refuses ties.
 fn untied(mut all: Vec<Route>) -> Vec<Route> {
     while let Some(t) = ties(&all).first() {
         all.remove(t.second);
@@ -102,7 +104,7 @@
     }
 
     #[test]
-    fn ties_are_those_that_some_request_meets(all in routes()) {
+    fn ties_are_the_pairs_that_some_request_matches_equally(all in routes()) {
         let found: Vec<(usize, usize)> = ties(&all).iter().map(|t| (t.first, t.second)).collect();
         let best = |m: &Matches, r: &Request<'_>| {
             m.clients.iter().filter(|n| n.contains(&r.client)).map(|n| rank(m, Some(n))).max().unwrap_or(rank(m, None))
@@ -111,12 +113,13 @@
         for i in 0..all.len() {
             for j in i + 1..all.len() {
                 let (a, b) = (&all[i].matches, &all[j].matches);
-                let meet = requests.iter().any(|r| {
+                let some_request_ties = requests.iter().any(|r| {
                     table::matches(a, r) && table::matches(b, r) && best(a, r) == best(b, r)
                 });
-                // Two lists may share a network that another, longer one of both always beats: refused all the same.
-                prop_assert!(!meet || found.contains(&(i, j)), "{:?} and {:?}", a, b);
-                prop_assert!(meet || !found.contains(&(i, j)) || a.clients.len() + b.clients.len() > 2, "{:?} and {:?}", a, b);
+                // Two lists may share a network that a longer network in both always beats; that is refused
+                // as well.
+                prop_assert!(!some_request_ties || found.contains(&(i, j)), "{:?} and {:?}", a, b);
+                prop_assert!(some_request_ties || !found.contains(&(i, j)) || a.clients.len() + b.clients.len() > 2, "{:?} and {:?}", a, b);
             }
         }
     }
@@ -133,7 +136,7 @@
 }
 
 #[test]
-fn two_halves_shadow_the_whole() {
+fn two_halves_together_shadow_the_whole() {
     let route =
         |name: &str, m: Matches| Route { name: name.into(), at: at(1), matches: m, terms: Terms::default() };
     let object = |bits: u64, len| Matches { object: Prefix::new(bits, len), ..Matches::default() };
