--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -81,7 +81,7 @@
 /// An amount of each budget, in units, in the order of the file.
 pub type Amounts = Vec<u32>;
 
-/// The settings of budgets that all proxies share, from the operators' file.
+/// The settings of the budgets that all proxies share, from the operators' file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This proxy's index among the proxies of the file, from 0.
@@ -119,11 +119,12 @@
 }
 
 impl Terms {
-    fn new(s: &Settings) -> Terms {
+    fn new(settings: &Settings) -> Terms {
         let floors: Amounts =
-            s.totals.iter().map(|w| w / FLOOR_DIVISOR / u32::from(s.proxies.max(1))).collect();
-        let pools = s.totals.iter().zip(&floors).map(|(w, f)| w - f * u32::from(s.proxies)).collect();
-        Terms { lease: s.lease, proxies: s.proxies.max(1), pools, floors }
+            settings.totals.iter().map(|w| w / FLOOR_DIVISOR / u32::from(settings.proxies.max(1))).collect();
+        let pools =
+            settings.totals.iter().zip(&floors).map(|(w, f)| w - f * u32::from(settings.proxies)).collect();
+        Terms { lease: settings.lease, proxies: settings.proxies.max(1), pools, floors }
     }
     /// Returns the span as measured by a party for which it must not end too early: lengthened by the clock
     /// drift.
@@ -154,24 +155,24 @@
 /// let even = Settings { voters: vec![0, 1], ..good };
 /// assert_eq!(check(&even), Err("2 voters: an odd number, 7 at most".into()));
 /// ```
-pub fn check(s: &Settings) -> Result<(), String> {
-    let proxies = usize::from(s.proxies);
-    let bad = |what: String| Err(what);
-    if !(1..=MAX_PROXIES).contains(&proxies) || usize::from(s.index) >= proxies {
-        return bad(format!(
+pub fn check(settings: &Settings) -> Result<(), String> {
+    let proxies = usize::from(settings.proxies);
+    let refuse = |what: String| Err(what);
+    if !(1..=MAX_PROXIES).contains(&proxies) || usize::from(settings.index) >= proxies {
+        return refuse(format!(
             "{proxies} proxies, index {}: 1 to {MAX_PROXIES}, this proxy among them",
-            s.index
+            settings.index
         ));
     }
-    check_voters(&s.voters, s.proxies)?;
-    if s.totals.is_empty()
-        || s.totals.len() > MAX_BUDGETS
-        || s.totals.iter().any(|w| !(1..=1_000_000).contains(w))
+    check_voters(&settings.voters, settings.proxies)?;
+    if settings.totals.is_empty()
+        || settings.totals.len() > MAX_BUDGETS
+        || settings.totals.iter().any(|w| !(1..=1_000_000).contains(w))
     {
-        return bad(format!("1 to {MAX_BUDGETS} budgets, each from 1 to 1000000 units"));
+        return refuse(format!("1 to {MAX_BUDGETS} budgets, each from 1 to 1000000 units"));
     }
-    if !(200_000..=60_000_000).contains(&s.lease) {
-        return bad("'lease_ms' has to lie from 200 to 60000".into());
+    if !(200_000..=60_000_000).contains(&settings.lease) {
+        return refuse("'lease_ms' has to lie from 200 to 60000".into());
     }
     Ok(())
 }
@@ -181,7 +182,7 @@
     distinct.sort_unstable();
     distinct.dedup();
     if distinct.len() != voters.len() || distinct.iter().any(|voter| *voter >= members) {
-        return Err("a voter is named twice or is not a proxy".into());
+        return Err("a voter is named twice or is not a member".into());
     }
     if distinct.len().is_multiple_of(2) || distinct.len() > MAX_VOTERS {
         return Err(format!("{} voters: an odd number, {MAX_VOTERS} at most", distinct.len()));
@@ -461,7 +462,8 @@
         self.counters.leases_expired += u64::from(self.holder.expire(now));
     }
 
-    /// Gives up the lease and any authority for good, and tells the coordinator so.
+    /// Gives up the lease and any authority for good, and tells the coordinator so. [`Budgets::share`] then
+    /// returns the floor alone.
     pub fn leave(&mut self, outbox: &mut Outbox) {
         self.has_left = true;
         self.holder.drop_leases();
@@ -514,13 +516,14 @@
     }
 
     fn send_request(&mut self, now: Micros, outbox: &mut Outbox) {
-        let every = self.terms.lease / REQUESTS_PER_LEASE;
+        let interval = self.terms.lease / REQUESTS_PER_LEASE;
         // Jitter, so that instances started together don't keep sending their requests together.
-        self.next_request_at = now + every - self.rng.next_u64() % (every / 8).max(1);
+        self.next_request_at = now + interval - self.rng.next_u64() % (interval / 8).max(1);
         if self.unanswered_requests >= 2 {
-            // The coordinator may have changed: a random voter knows whom it has promised its vote to.
-            let at = (self.rng.next_u64() % self.voters.len() as u64) as usize;
-            self.coordinator = self.voters[at];
+            // The coordinator may have changed. Ask a random voter, which redirects to the one it has
+            // promised its vote to.
+            let voter = (self.rng.next_u64() % self.voters.len() as u64) as usize;
+            self.coordinator = self.voters[voter];
         }
         self.unanswered_requests += 1;
         let held_request = self.holder.request_in_use();
@@ -549,8 +552,8 @@
             }
             Body::VoteRequest { request_id } => {
                 let Some(voter) = &mut self.voter else { return };
-                let granted = self.voters.contains(&by.index)
-                    && voter.request_promise(now, by, request_id, &self.terms);
+                let granted =
+                    self.voters.contains(&by.index) && voter.promise_vote(now, by, request_id, &self.terms);
                 let to = voter.promised_to(now).map_or(by.index, |a| a.index);
                 self.send(
                     by.index,
@@ -559,14 +562,14 @@
                 );
             }
             Body::Vote { requester, request_id, granted, to } if requester == self.identity.incarnation => {
-                let at = self.voters.iter().position(|v| *v == by.index);
-                let (Some(at), before) = (at, self.is_coordinator(now)) else { return };
+                let voter = self.voters.iter().position(|v| *v == by.index);
+                let (Some(voter), was_coordinator) = (voter, self.is_coordinator(now)) else { return };
                 if !granted {
                     self.coordinator = to;
-                } else if self.candidate.record_vote(at, self.voters.len(), request_id, &self.terms) {
-                    if !before && self.is_coordinator(now) {
-                        // All grants of other coordinators have ended by now, and so have the grants of this
-                        // instance's earlier terms as coordinator.
+                } else if self.candidate.record_vote(voter, self.voters.len(), request_id, &self.terms) {
+                    if !was_coordinator && self.is_coordinator(now) {
+                        // All grants of other coordinators have ended by now, and so have those that this
+                        // instance made when it was the coordinator before.
                         self.ledger = Ledger::new(now, &self.terms);
                         self.counters.times_elected += 1;
                         self.next_request_at = now;
@@ -617,12 +620,12 @@
     }
 
     fn receive_grant(&mut self, by: Author, grant: ReceivedGrant) {
-        let taken = self.holder.receive(self.now, grant, &self.terms);
-        if taken == GrantOutcome::Ignored {
+        let outcome = self.holder.receive(self.now, grant, &self.terms);
+        if outcome == GrantOutcome::Ignored {
             return;
         }
         (self.coordinator, self.unanswered_requests) = (by.index, 0);
-        if taken == GrantOutcome::Shrunk {
+        if outcome == GrantOutcome::Shrunk {
             self.next_request_at = self.next_request_at.min(self.now + SHRUNK_REPORT_DELAY);
         }
     }
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -22,11 +22,11 @@
 /// let mut v = Voter::new(0, &terms);
 /// let (a, b) = (Author { index: 0, incarnation: 4 }, Author { index: 1, incarnation: 9 });
 /// // Until just after the lease time an earlier incarnation's promise may still be valid.
-/// assert!(!v.request_promise(1_000_000, a, 1, &terms));
-/// assert!(v.request_promise(1_100_000, a, 2, &terms) && !v.request_promise(1_200_000, b, 1, &terms));
+/// assert!(!v.promise_vote(1_000_000, a, 1, &terms));
+/// assert!(v.promise_vote(1_100_000, a, 2, &terms) && !v.promise_vote(1_200_000, b, 1, &terms));
 /// assert_eq!(v.promised_to(1_200_000), Some(a));
 /// v.release(a, 2);
-/// assert!(v.request_promise(1_300_000, b, 2, &terms));
+/// assert!(v.promise_vote(1_300_000, b, 2, &terms));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Voter {
@@ -48,7 +48,7 @@
 
     /// Promises the vote to this candidate for the lease time from now, unless it is promised to another one
     /// or the voter still abstains. Returns whether it was promised.
-    pub fn request_promise(&mut self, now: Micros, by: Author, request_id: u32, terms: &Terms) -> bool {
+    pub fn promise_vote(&mut self, now: Micros, by: Author, request_id: u32, terms: &Terms) -> bool {
         if now < self.abstains_until || self.promised_to(now).is_some_and(|a| a != by) {
             return false;
         }
