--- a/core/src/cold.rs
+++ b/core/src/cold.rs
@@ -1,48 +1,50 @@
-//! What this proxy sends to members that started lately, kept to a share that the fleet leases it. It owns the rate, and by
-//! how much the module's own budget for cold members is scaled. It must never raise that budget: without a share that is
-//! too small it stays as the module reckons it.
+//! Limits the rate of requests that this proxy sends to members that started recently to the share that the
+//! fleet leases it. It measures that rate, and computes the factor by which the router's own budget for cold
+//! members is reduced. The budget is never raised above what the router computes without a share.
 use crate::Micros;
 
-/// Span of the rate: the rule on cold members counts over about as long.
-const SPAN: Micros = 2_000_000;
-/// The budget is never scaled down further than this.
-const MOST: u32 = 64;
+/// The rate is measured over at least this span; the rule on cold members counts over about the same time.
+const RATE_SPAN: Micros = 2_000_000;
+/// Greatest divisor of the router's budget.
+const MAX_SCALE: u32 = 64;
 
-/// The rate to cold members, and what it is kept to.
+/// The rate of requests sent to cold members, and the divisor that keeps it to the leased share.
 #[derive(Clone, Debug)]
-pub(crate) struct Cold {
-    began: Micros,
+pub(crate) struct ColdRate {
+    span_began_at: Micros,
     sent: u32,
-    /// Of the span before, scaled up to what would have been sent without a share.
-    wanted: u32,
-    /// The module's budget is divided by this.
+    /// Requests per second in the previous span, scaled up to what would have been sent without a share.
+    unlimited_per_s: u32,
+    /// The router's budget for cold members is divided by this.
     pub scale: u32,
 }
 
-impl Cold {
-    pub fn new() -> Cold {
-        Cold { began: 0, sent: 0, wanted: 0, scale: 1 }
+impl ColdRate {
+    pub fn new() -> ColdRate {
+        ColdRate { span_began_at: 0, sent: 0, unlimited_per_s: 0, scale: 1 }
     }
 
-    pub fn sent(&mut self) {
+    /// Counts a request that is sent to a cold member.
+    pub fn count_sent(&mut self) {
         self.sent = self.sent.saturating_add(1);
     }
 
-    /// Takes a share, in requests a second; gives what would be sent without one.
-    pub fn limit(&mut self, now: Micros, share: u32) -> u32 {
-        if now >= self.began + SPAN {
-            let spans = now.saturating_sub(self.began) / SPAN;
-            // One more than was seen: a rate that grows is asked for before it is reached.
-            let per_s = (u64::from(self.sent) * 1_000_000).div_ceil(SPAN * spans) as u32;
-            self.wanted = if per_s == 0 { 0 } else { per_s.saturating_mul(self.scale) + 1 };
-            (self.began, self.sent) = (now, 0);
-            self.scale = match share {
-                _ if self.wanted == 0 => 1,
-                0 => MOST,
-                share => self.wanted.div_ceil(share).clamp(1, MOST),
+    /// Sets the share, in requests per second, and returns the rate that would be sent without it. Once the
+    /// span of the measurement is over, it also updates the rate and `scale` and starts a new span.
+    pub fn limit(&mut self, now: Micros, share_per_s: u32) -> u32 {
+        if now >= self.span_began_at + RATE_SPAN {
+            let spans = now.saturating_sub(self.span_began_at) / RATE_SPAN;
+            // One more than measured, so that a growing rate is asked for before it is reached.
+            let per_s = (u64::from(self.sent) * 1_000_000).div_ceil(RATE_SPAN * spans) as u32;
+            self.unlimited_per_s = if per_s == 0 { 0 } else { per_s.saturating_mul(self.scale) + 1 };
+            (self.span_began_at, self.sent) = (now, 0);
+            self.scale = match share_per_s {
+                _ if self.unlimited_per_s == 0 => 1,
+                0 => MAX_SCALE,
+                share => self.unlimited_per_s.div_ceil(share).clamp(1, MAX_SCALE),
             };
         }
-        self.wanted
+        self.unlimited_per_s
     }
 }
 
@@ -50,23 +52,25 @@
 mod tests {
     use super::*;
 
-    /// A module that sends 40 a second to cold members when left alone.
+    /// A router that sends 40 requests per second to cold members without a limit. Guards against a rate that
+    /// doesn't settle at the share, and against a scale that stays up once the share suffices or no member is
+    /// cold.
     #[test]
-    fn what_is_sent_to_cold_members_settles_at_the_share() {
-        let mut c = Cold::new();
+    fn rate_to_cold_members_settles_at_the_share() {
+        let mut c = ColdRate::new();
         let mut last = 0;
         for span in 1..8u64 {
             last = 80 / c.scale;
-            (0..last).for_each(|_| c.sent());
-            let wanted = c.limit(span * SPAN, if span < 6 { 10 } else { 100 });
-            assert!((40..=44).contains(&wanted), "{wanted} wanted at a scale of {}", c.scale);
+            (0..last).for_each(|_| c.count_sent());
+            let wanted = c.limit(span * RATE_SPAN, if span < 6 { 10 } else { 100 });
+            assert!((40..=44).contains(&wanted), "an unlimited rate of {wanted} at a scale of {}", c.scale);
         }
         assert_eq!((last, c.scale), (80, 1), "a share that is large enough changes nothing");
-        let mut c = Cold::new();
-        (0..80).for_each(|_| c.sent());
-        c.limit(SPAN, 10);
-        assert!(80 / c.scale <= 20, "20 in two seconds are the share, the scale is {}", c.scale);
-        assert_eq!(c.limit(3 * SPAN, 10), 0, "nobody is cold any more");
+        let mut c = ColdRate::new();
+        (0..80).for_each(|_| c.count_sent());
+        c.limit(RATE_SPAN, 10);
+        assert!(80 / c.scale <= 20, "the share allows 20 in two seconds, the scale is {}", c.scale);
+        assert_eq!(c.limit(3 * RATE_SPAN, 10), 0, "no member is cold any more");
         assert_eq!(c.scale, 1);
     }
 }
--- a/core/src/job.rs
+++ b/core/src/job.rs
@@ -1,13 +1,14 @@
-//! A request in the planner's hands. It owns what is kept of one from its taking in until its last attempt has ended. It
-//! must never decide anything: the planner and the stages do, and both know this piece but the stages not the planner.
+//! The planner's record of a request, kept from its acceptance until its last attempt has ended. It holds
+//! data only; the planner and the stages make the decisions.
 use crate::{Addr, ClientRequest, Micros, Reply};
 use std::rc::Rc;
 
-/// A request that was taken, until its last attempt has ended.
+/// An accepted request whose last attempt has not ended yet.
 pub(crate) struct Job {
-    pub ask: Rc<ClientRequest>,
+    pub client_request: Rc<ClientRequest>,
+    /// `None` once the request was answered or the client has left.
     pub reply: Option<Reply>,
-    pub taken: Micros,
-    /// When each attempt was sent, where to, and whether it is still out.
+    pub accepted_at: Micros,
+    /// For each attempt: when it was sent, the member it was sent to, and whether it is still in flight.
     pub attempts: Vec<(Micros, Addr, bool)>,
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,7 +1,10 @@
-//! The core of the steering proxy: requests, attempts, outcomes, deadlines and counters, the planner that owns
-//! the router, and the stages that a request passes. It owns what is common to every front and every way to
-//! the caches. It must never know a wire: no socket, no text format and no protocol's name belongs here. All times are
-//! microseconds on the caller's monotonic clock, but for [`UnixTime`], which files and other machines speak; [`Planner`] shows how a request passes.
+//! Core of the steering proxy: requests, attempts, outcomes, deadlines and counters, the planner around the
+//! router, and the stages that a request passes through.
+//!
+//! The crate holds what all client front ends and all cache transports have in common. It is free of I/O: it
+//! has no socket and knows no text format and no wire protocol. All times are microseconds on the caller's
+//! monotonic clock, except [`UnixTime`], which is used in files and in messages between machines. The example
+//! of [`Planner`] shows how a request is processed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -25,38 +28,39 @@
 use std::rc::Rc;
 pub use unix_time::UnixTime;
 
-/// A client's request as a front hands it over. The texts are passed on as they came.
+/// A client's request as a front end hands it over. Its texts are passed on to the caches unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// The client's own id of this try.
+    /// The id that the client gave to this call.
     pub call_id: Box<str>,
-    /// Place of the class in the settings.
+    /// Index of the request's class in the settings.
     pub class: u8,
-    /// The object.
+    /// Numeric id of the object.
     pub object: u64,
-    /// Its text.
+    /// The object's name as text.
     pub object_name: Box<str>,
-    /// Which part of it.
+    /// Index of the requested part of the object.
     pub part: u32,
-    /// Its purge group.
+    /// Purge group of the object.
     pub group: u16,
-    /// The size of the part in KB as the client states it; 0: not told.
+    /// Size of the part in KB as stated by the client; 0 if not stated.
     pub kbytes: f32,
-    /// When the client gives up: a point on the clock, never a span.
+    /// When the client gives up, as a point on the monotonic clock.
     pub due: Micros,
-    /// Marked by the client as a repeat.
+    /// Whether the client marked the call as a retry.
     pub repeat: bool,
-    /// The idempotency key of a keyed class.
+    /// Idempotency key, for classes that use one.
     pub idempotency_key: Option<Box<str>>,
-    /// The bare tag of the copy that the client holds.
+    /// Entity tag, without quotes, of the copy that the client already holds.
     pub tag: Option<Box<str>>,
-    /// What is to be written, of a class that is passed on.
+    /// Request body, for classes that are passed on to the origin.
     pub body: Vec<u8>,
-    /// What operators set for it.
+    /// Settings by operators that apply to this request.
     pub terms: Terms,
 }
 
-/// Bytes of an answer as a part of the buffer that they came in: handed on whole, never copied.
+/// Body of an answer: a range of the buffer it was received in, so that the bytes are passed on without a
+/// copy.
 ///
 /// ```
 /// use threadward_core::Body;
@@ -68,16 +72,16 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Body {
     bytes: Vec<u8>,
-    part: Range<usize>,
+    range: Range<usize>,
 }
 
 impl Body {
-    /// A part of the bytes; one that lies outside them is empty.
-    pub fn from_range(bytes: Vec<u8>, part: Range<usize>) -> Body {
-        let part = if bytes.get(part.clone()).is_some() { part } else { 0..0 };
-        Body { bytes, part }
+    /// Wraps a range of a buffer. A range that isn't within the buffer gives an empty body.
+    pub fn from_range(bytes: Vec<u8>, range: Range<usize>) -> Body {
+        let range = if bytes.get(range.clone()).is_some() { range } else { 0..0 };
+        Body { bytes, range }
     }
-    /// Bytes of memory that it holds, the whole buffer's.
+    /// Returns the number of allocated bytes, which is the capacity of the whole buffer.
     pub fn allocated_bytes(&self) -> usize {
         self.bytes.capacity()
     }
@@ -86,58 +90,59 @@
 impl Deref for Body {
     type Target = [u8];
     fn deref(&self) -> &[u8] {
-        self.bytes.get(self.part.clone()).unwrap_or_default()
+        self.bytes.get(self.range.clone()).unwrap_or_default()
     }
 }
 
-/// What a cache made for a request.
+/// The content of a successful answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Payload {
-    /// The bytes.
+    /// The body.
     pub body: Body,
-    /// The tag of this copy.
+    /// Entity tag of this copy.
     pub tag: Box<str>,
-    /// The client's copy is the one: no bytes.
+    /// The client's copy is still current, so the body is empty.
     pub unchanged: bool,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets at most one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// What was asked for.
+    /// The requested content.
     Served(Payload),
-    /// Trying again is harmless.
+    /// The request was turned away. A retry is safe.
     Refused {
-        /// How long to stay away; 0: no advice.
+        /// How long the client should wait before it retries; 0 gives no advice.
         retry_after: Micros,
     },
-    /// It may have run, or cannot be carried at all.
+    /// The request may have run at a cache, or cannot be processed at all.
     Failed,
 }
 
-/// Where the final answer goes. Dropped unused when the client has left.
+/// Callback that takes the final answer. It is dropped without a call when the client has left.
 pub type Reply = Box<dyn FnOnce(FinalAnswer)>;
 
-/// How far an attempt had come when its connection failed.
+/// How far an attempt had been written when its connection failed.
 ///
 /// ```
 /// use threadward_core::{Outcome, Progress};
 ///
-/// assert_eq!(Progress::PartlyWritten.outcome(), Outcome::ConnectFailed, "it never ran");
-/// assert_eq!(Progress::FullyWritten.outcome(), Outcome::Reset, "it may have");
+/// assert_eq!(Progress::PartlyWritten.outcome(), Outcome::ConnectFailed, "it cannot have run");
+/// assert_eq!(Progress::FullyWritten.outcome(), Outcome::Reset, "it may have run");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// No connection came up.
+    /// No connection was established.
     NotConnected,
-    /// Some of it was not written.
+    /// At least one byte of the request was not written.
     PartlyWritten,
-    /// All of it was written, and no whole answer came back.
+    /// The whole request was written, and no complete answer was received.
     FullyWritten,
 }
 
 impl Progress {
-    /// What a break there proves: a request that never arrived whole cannot have run.
+    /// Returns the outcome of an attempt whose connection failed at this point. A request that was not
+    /// written as a whole cannot have run at the cache; one that was may have.
     pub fn outcome(self) -> Outcome {
         match self {
             Progress::NotConnected | Progress::PartlyWritten => Outcome::ConnectFailed,
@@ -149,64 +154,67 @@
 /// A cache's answer to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheAnswer {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// What is told of the copy or the fill.
+    /// What the cache reports about its copy or its fill.
     pub note: Note,
-    /// Time to the source's first byte or failure; 0: not told.
+    /// How long the cache waited for the first byte or the failure of the fill's source; 0 if not reported.
     pub source_wait: Micros,
-    /// The cache's load, if it tells it.
+    /// The cache's load, if the answer reports it.
     pub report: Report,
-    /// What was asked for, where it ended well.
+    /// The requested content, if the attempt succeeded.
     pub payload: Option<Payload>,
 }
 
-/// How an attempt ended, as the side towards the caches saw it.
+/// How an attempt ended, as the transport to the caches reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEnd {
     /// The cache answered.
     Answered(CacheAnswer),
-    /// Its connection failed, that far into it.
+    /// The connection failed at this stage of the attempt.
     ConnectionFailed(Progress),
-    /// Nothing of it was written, and what it rests on is out of date.
+    /// Nothing was written, because the member list or the purges that the decision rested on are out of
+    /// date.
     Outdated,
-    /// It was withdrawn, and its cache has been told so, or the connection is gone.
+    /// The attempt was withdrawn, and either the cache has been told or the connection is closed.
     Withdrawn,
 }
 
-/// One attempt, ready to be written.
+/// An attempt to be sent to a cache.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// The planner's number of the request.
+    /// The request's id, as assigned by the planner.
     pub request: u64,
-    /// The attempt, counted from 0.
+    /// Number of the attempt within the request, counted from 0.
     pub attempt: u16,
-    /// The member that it goes to.
+    /// The member that the attempt is sent to.
     pub member: Addr,
-    /// Where a miss is filled from; none: no fill.
+    /// The source that a miss is filled from; `None` if the member is not to fill.
     pub source: Option<Addr>,
-    /// 0: pass through; 1 to 3: keep at that rank.
+    /// 0: the cache passes the answer through; 1 to 3: it keeps a copy at this rank.
     pub keep_rank: u8,
-    /// Oldest copy that will do; 0: as the class has it.
+    /// Greatest acceptable age of a copy; 0: as the class defines it.
     pub max_age: Micros,
-    /// Join a fill under way.
+    /// Whether the request may join a fill of the same object that is in progress.
     pub join_fill: bool,
-    /// The source gives only what it holds.
+    /// The source answers only from what it holds and does not fill a miss.
     pub only_held: bool,
-    /// The parent keeps no copy.
+    /// The parent does not keep a copy.
     pub parent_keeps_none: bool,
-    /// Serve an ageing copy and fetch it anew behind.
+    /// The cache serves an ageing copy at once and refreshes it in the background.
     pub refresh_in_background: bool,
-    /// When it is given up: a point on the clock.
+    /// Deadline of the attempt, as a point on the clock.
     pub due: Micros,
-    /// Its first byte leaves before this or never does: the end of the window for repeats; the end of time: no bound.
+    /// End of the retry window: the first byte is written before this time or not at all. `Micros::MAX` sets
+    /// no bound.
     pub send_by: Micros,
-    /// A later attempt of the request must not go out on the connection of this one: a second answer to this one could
-    /// not be told from its own, and would prove something false of what may not run twice.
+    /// Later attempts of the request must use another connection. On the same one, a second answer to this
+    /// attempt could not be told from the answer to the later one, and would prove something false about a
+    /// request that must not run twice.
     pub exclusive_connection: bool,
-    /// When it was decided.
+    /// When the attempt was decided.
     pub decided_at: Micros,
-    /// How many purges and list changes had been told by then.
+    /// Number of purges and list changes that had been applied when the attempt was decided.
     pub epoch: u64,
     /// The client's request.
     pub client_request: Rc<ClientRequest>,
--- a/core/src/planner.rs
+++ b/core/src/planner.rs
@@ -1,9 +1,11 @@
-//! The planner: the sole owner of the router, its clock and its timers. Everything that happens (a request, an
-//! outcome, a purge, a change of the list, a due timer) enters here as one call with the time of the clock, and
-//! the router's actions are carried out through the stages. It must never wait, open anything, or decide where a
-//! request goes: that is the router's. A second planner in a process would split what is learned and the
-//! cold-start budget, so there is one.
-use crate::cold::Cold;
+//! The planner, which owns the router, its clock and its timers.
+//!
+//! Every event (a request, the end of an attempt, a purge, a change of the member list, a timer that is due)
+//! is one call with the current time, and the router's actions are carried out through the stages before the
+//! call returns. The planner never waits and does no I/O, and leaves it to the router where a request goes. A
+//! process has a single planner: a second one would split what the router learns, and the budget for cold
+//! members.
+use crate::cold::ColdRate;
 use crate::job::Job;
 use crate::probes::{Pause, ProbingRouter};
 use crate::stages::{accounting, admit, intake, relay, route, send};
@@ -16,38 +18,42 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet, VecDeque};
 
-/// The way to the caches. Both calls return at once and never call back into the planner.
+/// The transport to the caches. No method waits or calls back into the planner.
 pub trait CacheTransport {
-    /// Writes the attempt and reports its end later, exactly once unless withdrawn.
-    fn send(&mut self, d: Dispatch);
-    /// The attempt is given up. True: its cache has yet to be told, and [`AttemptEnd::Withdrawn`] is reported once it has been;
-    /// else nothing more is reported of it.
+    /// Sends an attempt. Its end is reported later, exactly once, unless the attempt is withdrawn.
+    fn send(&mut self, dispatch: Dispatch);
+    /// Withdraws an attempt. Returns true if the cache has yet to be told; [`AttemptEnd::Withdrawn`] is then
+    /// reported once it has been. Otherwise nothing more is reported about the attempt.
     fn withdraw(&mut self, request: u64, attempt: u16) -> bool;
-    /// Asks a member for its load and reports the end later, through [`Planner::probe_ended`].
+    /// Asks a member for its load. The end of the probe is reported later, through [`Planner::probe_ended`].
     fn probe(&mut self, member: Addr);
 }
 
+/// What a timer stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
+    /// A timer of the router, with the router's token.
     Router(u32),
+    /// The timeout of an attempt: the request's id and the attempt's number.
     Attempt(u64, u16),
 }
 
-/// One planner: every call brings the time, and has carried out what follows from it when it returns. The clock may stand
-/// still but not go back: an earlier time counts as the latest that was given.
+/// Routes requests and carries out what the router decides. Every call takes the current time, and everything
+/// that follows from the event has been carried out when it returns. The planner's clock never goes back: a
+/// time before the latest one given counts as the latest.
 ///
 /// ```
 /// use std::{cell::RefCell, rc::Rc};
 /// use threadward_core::stages::admit::Limits;
 /// use threadward_core::{
-///     Addr, ClientRequest, Body, CacheTransport, Counter, Dispatch, AttemptEnd, Entry, FinalAnswer, ListForm, Note, Outcome, Payload, Planner, Report,
-///     Settings, CacheAnswer,
+///     Addr, AttemptEnd, Body, CacheAnswer, CacheTransport, ClientRequest, Counter, Dispatch, Entry,
+///     FinalAnswer, ListForm, Note, Outcome, Payload, Planner, Report, Settings,
 /// };
 ///
-/// /// A way to caches that keeps what it is given.
+/// /// A transport that records the attempts it is given.
 /// #[derive(Clone, Default)]
-/// struct Way(Rc<RefCell<Vec<Dispatch>>>);
-/// impl CacheTransport for Way {
+/// struct RecordingTransport(Rc<RefCell<Vec<Dispatch>>>);
+/// impl CacheTransport for RecordingTransport {
 ///     fn send(&mut self, d: Dispatch) {
 ///         self.0.borrow_mut().push(d);
 ///     }
@@ -59,33 +65,39 @@
 ///
 /// let class = nickelgate::Class { aim: 200_000, deadline: 4_000_000, ..Default::default() };
 /// let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
-/// let (way, limits) = (Way::default(), Limits { max_open: 1, max_bytes: 1 << 20, retry_after: 300_000 });
-/// let mut p = Planner::new(settings, 1, limits, Box::new(way.clone()));
+/// let limits = Limits { max_open: 1, max_bytes: 1 << 20, retry_after: 300_000 };
+/// let transport = RecordingTransport::default();
+/// let mut p = Planner::new(settings, 1, limits, Box::new(transport.clone()));
 /// let cache = |n| Entry { addr: Addr { ip: [127, 0, 0, n], port: 80 }, ..Entry::default() };
 /// p.update_members(1_000_000, ListForm::Full, vec![cache(1), cache(2)]);
 /// assert!(p.ready());
 ///
-/// // A request goes out at once, to one of the caches.
+/// // A request is sent to one of the caches at once.
 /// let answers = Rc::new(RefCell::new(Vec::new()));
 /// let reply = || {
 ///     let answers = answers.clone();
 ///     Box::new(move |last| answers.borrow_mut().push(last))
 /// };
-/// let ask = |call: &str| ClientRequest { call_id: call.into(), object: 7, due: 5_000_000, ..ClientRequest::default() };
-/// let id = p.accept_request(1_000_000, 0, ask("a"), reply()).unwrap();
-/// let first = way.0.borrow()[0].clone();
+/// let request = |call_id: &str| ClientRequest {
+///     call_id: call_id.into(),
+///     object: 7,
+///     due: 5_000_000,
+///     ..ClientRequest::default()
+/// };
+/// let id = p.accept_request(1_000_000, 0, request("a"), reply()).unwrap();
+/// let first = transport.0.borrow()[0].clone();
 /// assert_eq!((first.request, first.attempt, p.open_requests()), (id, 0, 1));
 ///
-/// // One more than the limits allow is answered by the admission.
-/// assert_eq!(p.accept_request(1_000_000, 0, ask("b"), reply()), None);
+/// // A request beyond the limits is refused by admission control.
+/// assert_eq!(p.accept_request(1_000_000, 0, request("b"), reply()), None);
 /// assert_eq!(answers.borrow_mut().pop(), Some(FinalAnswer::Refused { retry_after: 300_000 }));
 ///
-/// // The first cache has no connection: the next attempt goes to the other one, and its answer is the one final answer.
+/// // No connection to the first cache: the next attempt goes to the other one, which gives the final answer.
 /// p.attempt_ended(1_001_000, id, 0, AttemptEnd::ConnectionFailed(threadward_core::Progress::NotConnected));
-/// while way.0.borrow().len() < 2 {
+/// while transport.0.borrow().len() < 2 {
 ///     p.run_timers(p.next_due().unwrap());
 /// }
-/// let second = way.0.borrow()[1].clone();
+/// let second = transport.0.borrow()[1].clone();
 /// assert_ne!(second.member, first.member);
 /// let payload = Payload { body: Body::from_range(b"photo".to_vec(), 0..5), ..Payload::default() };
 /// let answer = CacheAnswer {
@@ -97,133 +109,144 @@
 /// };
 /// p.attempt_ended(1_200_000, id, second.attempt, AttemptEnd::Answered(answer));
 /// assert_eq!(*answers.borrow(), [FinalAnswer::Served(payload)]);
-/// assert_eq!((p.open_requests(), p.counters.get(Counter::Served), p.counters.get(Counter::Refused)), (0, 1, 1));
+/// let count = |c| p.counters.get(c);
+/// assert_eq!((p.open_requests(), count(Counter::Served), count(Counter::Refused)), (0, 1, 1));
 /// ```
 pub struct Planner {
     settings: Settings,
     router: ProbingRouter,
-    /// Where zones are left and taken back by the fleet.
+    /// Zone tracking, where the fleet takes zones out of use and back together.
     zones: Option<ZoneTracker>,
-    /// The fleet's map has been followed once; until then this proxy takes nothing in.
-    follows: bool,
-    cold: Cold,
-    /// Processes that share the limits, this one among them.
+    /// Whether [`Planner::set_zone_uses`] has been called; with zones enabled the planner isn't ready before
+    /// that.
+    zone_uses_known: bool,
+    cold_rate: ColdRate,
+    /// Number of processes that share the limits, including this one.
     processes: usize,
     now: Micros,
     jobs: BTreeMap<u64, Job>,
-    /// The clients' ids of these: they go to the caches, where two requests under one could not be told apart.
-    calls: HashSet<Box<str>>,
-    /// Requests that are owed an answer, and the bytes of all bodies in hand.
+    /// Call ids of the jobs. They are sent to the caches, which cannot tell two requests with the same id
+    /// apart.
+    call_ids: HashSet<Box<str>>,
+    /// Number of unanswered requests.
     open: usize,
-    bodies: usize,
-    next: u64,
-    timers: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    armed: u64,
+    /// Bytes of all request bodies held.
+    body_bytes: usize,
+    last_request_id: u64,
+    /// Timers by due time and then in the order in which they were set.
+    timers: BinaryHeap<Reverse<(Micros, u64, TimerKind)>>,
+    timers_set: u64,
+    /// Number of purges and list changes applied.
     epoch: u64,
     limits: admit::Limits,
-    listed: bool,
-    caches: Box<dyn CacheTransport>,
-    /// What was counted since the start; fronts and pools count here too.
+    /// Whether a non-empty member list has been received.
+    list_received: bool,
+    transport: Box<dyn CacheTransport>,
+    /// Counters since the start; front ends and connection pools count here too.
     pub counters: Counters,
 }
 
 impl Planner {
-    /// A planner that has heard of no member yet; `seed`: of the router's dice.
+    /// Creates a planner without members. `seed` seeds the router's random numbers.
     pub fn new(
         settings: Settings,
         seed: u64,
         limits: admit::Limits,
-        caches: Box<dyn CacheTransport>,
+        transport: Box<dyn CacheTransport>,
     ) -> Self {
         Planner {
             router: ProbingRouter::new(settings.clone(), seed),
             zones: None,
-            follows: false,
-            cold: Cold::new(),
+            zone_uses_known: false,
+            cold_rate: ColdRate::new(),
             processes: 1,
             settings,
             now: 0,
             jobs: BTreeMap::new(),
-            calls: HashSet::new(),
+            call_ids: HashSet::new(),
             open: 0,
-            bodies: 0,
-            next: 0,
+            body_bytes: 0,
+            last_request_id: 0,
             timers: BinaryHeap::new(),
-            armed: 0,
+            timers_set: 0,
             epoch: 0,
             limits,
-            listed: false,
-            caches,
+            list_received: false,
+            transport,
             counters: Counters::default(),
         }
     }
 
-    /// What it was started with.
+    /// Returns the settings that the planner was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// How many requests are owed an answer.
+    /// Returns the number of unanswered requests.
     pub fn open_requests(&self) -> usize {
         self.open
     }
 
-    /// Whether the client of a request still waits for its answer.
+    /// Returns whether the client of a request still waits for its answer.
     pub fn client_waits(&self, id: u64) -> bool {
         self.jobs.get(&id).is_some_and(|job| job.reply.is_some())
     }
 
-    /// Whether a list of members has come: before that nothing can be served.
+    /// Returns whether requests can be served: a member list has been received and, where zones are enabled,
+    /// it is known how they may be used.
     pub fn ready(&self) -> bool {
-        self.listed && (self.zones.is_none() || self.follows)
+        self.list_received && (self.zones.is_none() || self.zone_uses_known)
     }
 
-    /// How many purges and list changes were told; see [`Dispatch::epoch`].
+    /// Returns the number of purges and list changes applied; see [`Dispatch::epoch`].
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// So many processes share the limits, this one among them: it may hold these bytes for clients, and its part of the
-    /// budgets of cold members.
-    pub fn share_limits(&mut self, of: usize, bytes: usize) {
+    /// Sets the number of processes that share the limits, including this one. This process may then hold
+    /// `bytes` for clients, and takes its part of the budgets of cold members.
+    pub fn share_limits(&mut self, processes: usize, bytes: usize) {
         self.limits.max_bytes = bytes;
-        self.processes = of.max(1);
-        self.router.beside(self.processes * self.cold.scale as usize - 1);
+        self.processes = processes.max(1);
+        self.router.beside(self.processes * self.cold_rate.scale as usize - 1);
     }
 
-    /// The pause between two probes of a cache is what this says from here on; false: no cache is asked here.
+    /// Sets the function that gives the pause between two probes of a cache from now on. Returns false if
+    /// this planner doesn't probe caches at all.
     pub fn set_probe_pause(&mut self, pause: Pause) -> bool {
         self.router.set_pause(pause);
         self.router.is_probing()
     }
 
-    /// When the next timer falls due.
+    /// Returns when the next timer is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Takes a request in; gives its number, or nothing where it was answered at once by the admission. The reply is called
-    /// once, perhaps before this returns, or dropped when the client leaves. `unwritten`: bytes of answers that wait for their clients.
+    /// Accepts a request and returns its id, or `None` if it was answered at once because admission control
+    /// or the zones refused it. The reply is called once, perhaps before this method returns, or dropped when
+    /// the client leaves. `unwritten_bytes` is the size of the answers that are yet to be written to their
+    /// clients.
     pub fn accept_request(
         &mut self,
         now: Micros,
-        unwritten: usize,
-        ask: ClientRequest,
+        unwritten_bytes: usize,
+        request: ClientRequest,
         reply: Reply,
     ) -> Option<u64> {
-        self.tick(now);
+        self.advance_clock(now);
         accounting::count_accepted(&mut self.counters);
-        let load = admit::Load { open: self.open, bytes: unwritten + self.bodies };
-        let known = self.calls.contains(&ask.call_id);
-        if known {
+        let load = admit::Load { open: self.open, bytes: unwritten_bytes + self.body_bytes };
+        let id_in_use = self.call_ids.contains(&request.call_id);
+        if id_in_use {
             self.counters.add(Counter::Unusable);
         }
-        if let Err(last) = admit::check(&self.limits, &self.settings, load, self.now, &ask, known) {
+        if let Err(last) = admit::check(&self.limits, &self.settings, load, self.now, &request, id_in_use) {
             self.counters.add(Counter::RefusedAdmission);
             relay::answer(&mut self.counters, reply, last);
             return None;
         }
-        if self.zones.as_mut().is_some_and(|z| z.should_refuse(ask.class)) {
+        if self.zones.as_mut().is_some_and(|z| z.should_refuse(request.class)) {
             self.counters.add(Counter::ZoneRefused);
             relay::answer(
                 &mut self.counters,
@@ -232,39 +255,42 @@
             );
             return None;
         }
-        self.next += 1;
-        let id = self.next;
-        let (job, request) = intake::accept(id, &self.settings, self.now, ask, reply);
-        self.bodies += job.ask.body.len();
-        self.calls.insert(job.ask.call_id.clone());
+        self.last_request_id += 1;
+        let id = self.last_request_id;
+        let (job, router_request) = intake::accept(id, &self.settings, self.now, request, reply);
+        self.body_bytes += job.client_request.body.len();
+        self.call_ids.insert(job.client_request.call_id.clone());
         self.jobs.insert(id, job);
         self.open += 1;
-        self.drive(Event::Request(request));
+        self.process_event(Event::Request(router_request));
         Some(id)
     }
 
-    /// The client has left: no answer is owed.
+    /// Handles a client that has left: its request gets no answer, and the router is told that it has
+    /// expired.
     pub fn client_left(&mut self, now: Micros, id: u64) {
-        self.tick(now);
+        self.advance_clock(now);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.reply.take().is_some() {
             self.open -= 1;
             self.counters.add(Counter::Left);
-            self.drive(Event::Expired(id));
+            self.process_event(Event::Expired(id));
         }
     }
 
-    /// An attempt ended. Late ends of withdrawn attempts are counted and change nothing.
+    /// Handles the end of an attempt. The end of an attempt that is no longer in flight is only counted.
     pub fn attempt_ended(&mut self, now: Micros, id: u64, attempt: u16, end: AttemptEnd) {
-        self.tick(now);
-        self.settle(id, attempt, end, None);
+        self.advance_clock(now);
+        self.finish_attempt(id, attempt, end, None);
     }
 
-    fn settle(&mut self, id: u64, attempt: u16, end: AttemptEnd, forced: Option<Outcome>) {
+    /// Records the end of an attempt, answers the client if the attempt succeeded, and tells the router. For
+    /// a failed connection, `forced_outcome` replaces the outcome that follows from its progress.
+    fn finish_attempt(&mut self, id: u64, attempt: u16, end: AttemptEnd, forced_outcome: Option<Outcome>) {
         let now = self.now;
-        let out = |j: &&mut Job| j.attempts.get(usize::from(attempt)).is_some_and(|a| a.2);
-        let Some(job) = self.jobs.get_mut(&id).filter(out) else {
-            // That a cancel is written is no late end: it was not waited for here.
+        let in_flight = |j: &&mut Job| j.attempts.get(usize::from(attempt)).is_some_and(|a| a.2);
+        let Some(job) = self.jobs.get_mut(&id).filter(in_flight) else {
+            // A withdrawal that is reported after it was no longer waited for isn't a late end.
             if end != AttemptEnd::Withdrawn {
                 self.counters.add(Counter::LateEnds);
             }
@@ -276,7 +302,7 @@
         let (outcome, note, waited, report, payload) = match end {
             AttemptEnd::Answered(t) => (t.outcome, t.note, t.source_wait, t.report, t.payload),
             AttemptEnd::ConnectionFailed(p) => {
-                (forced.unwrap_or(p.outcome()), Note::None, 0, Report::default(), None)
+                (forced_outcome.unwrap_or(p.outcome()), Note::None, 0, Report::default(), None)
             }
             AttemptEnd::Outdated => (Outcome::Moot, Note::None, 0, Report::default(), None),
             AttemptEnd::Withdrawn => (Outcome::Cancelled, Note::None, 0, Report::default(), None),
@@ -285,154 +311,161 @@
         if let Some(p) = payload.filter(|_| outcome == Outcome::Ok) {
             if let Some(reply) = job.reply.take() {
                 self.open -= 1;
-                accounting::add_service_time(&mut self.counters, now.saturating_sub(job.taken));
+                accounting::add_service_time(&mut self.counters, now.saturating_sub(job.accepted_at));
                 relay::answer(&mut self.counters, reply, FinalAnswer::Served(p));
             }
         }
         let done = job.reply.is_none();
         let elapsed = now.saturating_sub(sent);
         let c = Completed { request: id, attempt, member, outcome, elapsed, done, note, waited, report };
-        self.drive(Event::Completed(c));
+        self.process_event(Event::Completed(c));
     }
 
-    /// A change of the list of members.
+    /// Applies a change of the member list.
     pub fn update_members(&mut self, now: Micros, form: ListForm, entries: Vec<Entry>) {
-        self.tick(now);
+        self.advance_clock(now);
         self.epoch += 1;
-        self.listed |= !entries.is_empty();
+        self.list_received |= !entries.is_empty();
         self.counters.add(Counter::Lists);
         let entries = match &mut self.zones {
             Some(z) => z.update_list(form, entries),
             None => entries,
         };
-        self.drive(Event::Members { form, entries });
+        self.process_event(Event::Members { form, entries });
     }
 
-    /// A purge of one object or of a whole group, made so long ago at least.
+    /// Applies a purge of one object or, without one, of a whole group. `ago` is the least time since it was
+    /// issued.
     pub fn purge(&mut self, now: Micros, ago: Micros, object: Option<u64>, group: u16) {
-        self.tick(now);
+        self.advance_clock(now);
         self.epoch += 1;
         self.counters.add(Counter::Purges);
-        self.drive(Event::Purged { ago, object, group });
+        self.process_event(Event::Purged { ago, object, group });
     }
 
-    /// A message from another planner of the tier.
+    /// Handles a message from another proxy's planner.
     pub fn peer_message(&mut self, now: Micros, from: u32, payload: Vec<u8>) {
-        self.tick(now);
+        self.advance_clock(now);
         self.counters.add(Counter::PeerMessages);
-        self.drive(Event::Peer { from, payload });
+        self.process_event(Event::Peer { from, payload });
     }
 
-    /// From here on zones are left and taken back as [`Planner::set_zone_uses`] says; `zones`: how many the settings name.
-    /// Before the first list: what came before it is not known.
+    /// Enables zones, which are then used as [`Planner::set_zone_uses`] says. `zones` is the number of zones
+    /// in the settings. Call it before the first member list: entries of an earlier list would not be
+    /// tracked.
     pub fn enable_zones(&mut self, zones: usize) {
         self.zones = Some(ZoneTracker::new(self.settings.clone(), zones));
     }
 
-    /// How every zone may be used from now on, in the order of the settings, and the thousandths of all requests that are
-    /// refused at once. To be called after each change, and several times a second.
-    pub fn set_zone_uses(&mut self, now: Micros, uses: &[ZoneUse], refused: u16) {
-        self.tick(now);
+    /// Sets how each zone may be used, in the order of the settings, and the share of all requests, in
+    /// thousandths, that is refused at once. To be called after each change and several times a second.
+    pub fn set_zone_uses(&mut self, now: Micros, uses: &[ZoneUse], refused_per_mille: u16) {
+        self.advance_clock(now);
         let Some(z) = &mut self.zones else { return };
-        self.follows = true;
-        let (told, doubted) = z.apply_uses(self.now, uses, refused);
-        if !told.is_empty() {
-            // What rests on the list as it was and is not yet written leaves no more.
+        self.zone_uses_known = true;
+        let (changed, suspected) = z.apply_uses(self.now, uses, refused_per_mille);
+        if !changed.is_empty() {
+            // Attempts that were decided on the previous list and aren't written yet are held back.
             self.epoch += 1;
-            self.drive(Event::Members { form: ListForm::Delta, entries: told });
+            self.process_event(Event::Members { form: ListForm::Delta, entries: changed });
         }
-        for e in doubted {
-            self.drive(ZoneTracker::suspicion_event(&e));
+        for e in suspected {
+            self.process_event(ZoneTracker::suspicion_event(&e));
         }
     }
 
-    /// What own attempts showed of each zone in the last two seconds.
+    /// Returns what this proxy's attempts showed of each zone over the last two seconds; empty without zones.
+    /// Attempts that have been silent for too long are counted as failed by this call.
     pub fn zone_observations(&mut self, now: Micros) -> Vec<ZoneObservation> {
-        self.tick(now);
-        let at = self.now;
-        self.zones.as_mut().map(|z| z.zone_observations(at)).unwrap_or_default()
+        self.advance_clock(now);
+        let current = self.now;
+        self.zones.as_mut().map(|z| z.zone_observations(current)).unwrap_or_default()
     }
 
-    /// Members that started lately are sent no more than about this by this proxy, in requests a second, while zones are
-    /// followed; gives what they would be sent without it.
+    /// Limits what this proxy sends to members that started recently to about `share` requests per second.
+    /// Returns the rate that they would be sent without the limit. It has an effect only while zones are
+    /// enabled.
     pub fn limit_cold_rate(&mut self, now: Micros, share: u32) -> u32 {
-        self.tick(now);
-        let wanted = self.cold.limit(self.now, share);
-        self.router.beside(self.processes * self.cold.scale as usize - 1);
+        self.advance_clock(now);
+        let wanted = self.cold_rate.limit(self.now, share);
+        self.router.beside(self.processes * self.cold_rate.scale as usize - 1);
         wanted
     }
 
-    /// The newest start among the members of a zone that take requests, on the clock of the list.
+    /// Returns the most recent start among the members of a zone that take requests, on the clock of the
+    /// list.
     pub fn newest_start(&self, zone: u16) -> Option<Micros> {
         self.zones.as_ref().and_then(|z| z.newest_start(zone))
     }
 
-    /// Enough of the other proxies hold a member suspect for their word to count; `lasts` 0: no longer.
+    /// Tells the router that enough other proxies suspect a member. The suspicion holds for `lasts`; 0 ends
+    /// it.
     pub fn report_suspicion(&mut self, now: Micros, member: Addr, incarnation: u64, lasts: Micros) {
-        self.tick(now);
-        self.drive(Event::Rumour { member, incarnation, lasts });
+        self.advance_clock(now);
+        self.process_event(Event::Rumour { member, incarnation, lasts });
     }
 
-    /// A probe of a member ended, with the load that it told, if any.
+    /// Handles the end of a probe, with the load that the member reported, if any.
     pub fn probe_ended(&mut self, now: Micros, member: Addr, outcome: Outcome, report: Report) {
-        self.tick(now);
-        self.drive(Event::Probed { member, outcome, report });
+        self.advance_clock(now);
+        self.process_event(Event::Probed { member, outcome, report });
     }
 
-    /// What own traffic showed of the members.
+    /// Returns what this proxy's traffic showed of the members.
     pub fn standings(&self) -> Vec<Standing> {
         self.router.standings().collect()
     }
 
-    /// What the router has learned, for the process that comes after this one.
+    /// Returns what the router has learned, for a process that takes over from this one.
     pub fn learned(&self) -> Learned {
         self.router.learned()
     }
 
-    /// Takes over what the process before this one learned.
+    /// Adopts what the previous process has learned.
     pub fn take_over(&mut self, now: Micros, learned: &Learned) {
-        self.tick(now);
+        self.advance_clock(now);
         self.router.take_over(self.now, learned);
     }
 
-    /// Carries out every timer that is due.
+    /// Fires all timers that are due.
     pub fn run_timers(&mut self, now: Micros) {
-        self.tick(now);
-        while let Some(Reverse((at, _, due))) = self.timers.peek().copied() {
+        self.advance_clock(now);
+        while let Some(Reverse((at, _, kind))) = self.timers.peek().copied() {
             if at > self.now {
                 return;
             }
             self.timers.pop();
-            match due {
-                Due::Router(token) => self.drive(Event::Timer(token)),
-                Due::Attempt(id, n) => {
-                    let out = self.jobs.get(&id).and_then(|j| j.attempts.get(usize::from(n)));
-                    if out.is_some_and(|a| a.2) {
-                        self.caches.withdraw(id, n);
+            match kind {
+                TimerKind::Router(token) => self.process_event(Event::Timer(token)),
+                TimerKind::Attempt(id, n) => {
+                    let attempt = self.jobs.get(&id).and_then(|j| j.attempts.get(usize::from(n)));
+                    if attempt.is_some_and(|a| a.2) {
+                        self.transport.withdraw(id, n);
                         let end = AttemptEnd::ConnectionFailed(crate::Progress::FullyWritten);
-                        self.settle(id, n, end, Some(Outcome::Timeout));
+                        self.finish_attempt(id, n, end, Some(Outcome::Timeout));
                     }
                 }
             }
         }
     }
 
-    /// The clock only goes forward, whatever the system's does.
-    fn tick(&mut self, now: Micros) {
+    /// Advances the planner's clock; an earlier time leaves it unchanged.
+    fn advance_clock(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    fn arm(&mut self, at: Micros, due: Due) {
-        self.armed += 1;
-        self.timers.push(Reverse((at, self.armed, due)));
+    fn set_timer(&mut self, at: Micros, kind: TimerKind) {
+        self.timers_set += 1;
+        self.timers.push(Reverse((at, self.timers_set, kind)));
     }
 
-    /// Brings an event to the router and carries out what it wants, in order.
-    fn drive(&mut self, event: Event) {
+    /// Passes an event to the router and carries out the resulting actions in order, with the events that
+    /// follow from them. Removes the event's job if it is answered and no attempt is left in flight.
+    fn process_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
-            let over = match &event {
+            let request_id = match &event {
                 Event::Completed(c) => Some(c.request),
                 Event::Expired(id) => Some(*id),
                 Event::Request(r) => Some(r.id),
@@ -445,22 +478,23 @@
             for action in actions.drain(..) {
                 events.extend(self.carry_out(action));
             }
-            let ended = |j: &Job| j.reply.is_none() && j.attempts.iter().all(|a| !a.2);
-            if let Some(id) = over.filter(|id| self.jobs.get(id).is_some_and(ended)) {
+            let finished = |j: &Job| j.reply.is_none() && j.attempts.iter().all(|a| !a.2);
+            if let Some(id) = request_id.filter(|id| self.jobs.get(id).is_some_and(finished)) {
                 if !events.iter().any(|e| matches!(e, Event::Completed(c) if c.request == id)) {
-                    self.forget(id);
+                    self.remove_job(id);
                 }
             }
         }
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove_job(&mut self, id: u64) {
         if let Some(job) = self.jobs.remove(&id) {
-            self.bodies -= job.ask.body.len();
-            self.calls.remove(&job.ask.call_id);
+            self.body_bytes -= job.client_request.body.len();
+            self.call_ids.remove(&job.client_request.call_id);
         }
     }
 
+    /// Carries out an action of the router. Returns the event that follows from it at once, if any.
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match route::order(action) {
             route::Order::Send(get) => {
@@ -468,14 +502,14 @@
                 let d = send::build(job, &self.settings, &get, self.now, self.epoch);
                 let (id, n, due) = (d.request, d.attempt, d.due);
                 if let Some(z) = &mut self.zones {
-                    z.attempt_sent(self.now, (id, n), job.ask.class, get.member, get.source);
+                    z.attempt_sent(self.now, (id, n), job.client_request.class, get.member, get.source);
                     if [get.member, get.source].into_iter().any(|a| z.is_cold(self.now, a)) {
-                        self.cold.sent();
+                        self.cold_rate.count_sent();
                     }
                 }
                 self.counters.add(Counter::Sent);
-                self.arm(due + self.settings.answer_slack, Due::Attempt(id, n));
-                self.caches.send(d);
+                self.set_timer(due + self.settings.answer_slack, TimerKind::Attempt(id, n));
+                self.transport.send(d);
             }
             route::Order::Answer(id, last) => {
                 let job = self.jobs.get_mut(&id)?;
@@ -486,15 +520,15 @@
                 }
                 relay::answer(&mut self.counters, reply, last);
                 if job.attempts.iter().all(|a| !a.2) {
-                    self.forget(id);
+                    self.remove_job(id);
                 }
             }
             route::Order::Withdraw(id, n) => {
                 let job = self.jobs.get_mut(&id)?;
                 let a = job.attempts.get_mut(usize::from(n)).filter(|a| a.2)?;
-                // Where two attempts may not be out at once, the next one waits until the cache has been told.
-                let told_later = self.caches.withdraw(id, n);
-                if told_later && !self.settings.parallel && job.reply.is_some() {
+                // Where attempts must not run in parallel, the next one waits until the cache has been told.
+                let cancel_pending = self.transport.withdraw(id, n);
+                if cancel_pending && !self.settings.parallel && job.reply.is_some() {
                     return None;
                 }
                 a.2 = false;
@@ -512,10 +546,12 @@
                     report: Report::default(),
                 }));
             }
-            route::Order::SetTimer(token, after) => self.arm(self.now + after, Due::Router(token)),
+            route::Order::SetTimer(token, after) => {
+                self.set_timer(self.now + after, TimerKind::Router(token))
+            }
             route::Order::Probe(member) => {
                 self.counters.add(Counter::LoadProbes);
-                self.caches.probe(member);
+                self.transport.probe(member);
             }
             route::Order::Nothing => {}
         }
--- a/core/src/stages.rs
+++ b/core/src/stages.rs
@@ -1,72 +1,83 @@
-//! The stages that every request passes, each a unit of its own: take in, admit, route, send, relay, accounting. They
-//! own the translation between a front's request and the router's words. They must never decide where a request
-//! goes, and none of them waits or keeps state: the planner does that.
+//! The stages that every request passes through, one module each: intake, admission, routing, sending,
+//! relaying the answer, and accounting. They translate between a client's request and the router's types. The
+//! stages never wait and keep no state: the planner keeps it, and the router decides where a request goes.
 
-/// Makes a request of the router's from a front's.
+/// Converts a client's request into a request of the router.
 pub mod intake {
     use crate::job::Job;
     use crate::{ClientRequest, Micros, Reply};
     use nickelgate::{Request, Settings};
     use std::rc::Rc;
 
+    /// Creates the job that the planner keeps and the request that the router is given.
     pub(crate) fn accept(
         id: u64,
         s: &Settings,
         now: Micros,
-        ask: ClientRequest,
+        client_request: ClientRequest,
         reply: Reply,
     ) -> (Job, Request) {
-        let request = router_request(id, s, &ask);
-        (Job { ask: Rc::new(ask), reply: Some(reply), taken: now, attempts: Vec::new() }, request)
+        let request = router_request(id, s, &client_request);
+        (
+            Job {
+                client_request: Rc::new(client_request),
+                reply: Some(reply),
+                accepted_at: now,
+                attempts: Vec::new(),
+            },
+            request,
+        )
     }
 
-    /// What the router is told of a request.
-    pub fn router_request(id: u64, s: &Settings, ask: &ClientRequest) -> Request {
+    /// Builds the router's request from a client's request.
+    pub fn router_request(id: u64, s: &Settings, client_request: &ClientRequest) -> Request {
         Request {
             id,
-            class: ask.class,
-            object: ask.object,
-            due: ask.due,
-            group: ask.group,
-            part: ask.part,
-            kbytes: ask.kbytes,
-            repeat: ask.repeat,
-            terms: ask.terms,
-            write: s.classes.get(usize::from(ask.class)).is_some_and(|c| c.pass_on),
+            class: client_request.class,
+            object: client_request.object,
+            due: client_request.due,
+            group: client_request.group,
+            part: client_request.part,
+            kbytes: client_request.kbytes,
+            repeat: client_request.repeat,
+            terms: client_request.terms,
+            write: s.classes.get(usize::from(client_request.class)).is_some_and(|c| c.pass_on),
             ..Request::default()
         }
     }
 }
 
-/// Keeps out what cannot be carried: beyond the bound on open requests, of no class, or under an id in use.
+/// Admission control: turns away requests beyond the limits, of an unknown class, or with a call id that is
+/// in use.
 pub mod admit {
     use crate::{ClientRequest, FinalAnswer, Micros};
     use nickelgate::Settings;
 
-    /// What may be held at once.
+    /// Limits on what may be held at the same time.
     #[derive(Clone, Copy, Debug)]
     pub struct Limits {
-        /// Requests that may be owed an answer at once: bounds memory and queues.
+        /// Maximum number of unanswered requests; bounds memory and queues.
         pub max_open: usize,
-        /// Bytes that may be held for clients, answers not yet written and bodies not yet sent: bounds memory.
+        /// Maximum number of bytes held for clients, as unwritten answers and unsent bodies; bounds memory.
         pub max_bytes: usize,
-        /// How long a client is told to stay away when that is reached.
+        /// How long a client is told to wait before a retry when a limit is reached.
         pub retry_after: Micros,
     }
 
-    /// What is held at the moment.
+    /// What is held at present.
     #[derive(Clone, Copy, Debug)]
     pub struct Load {
-        /// Requests that are owed an answer.
+        /// Unanswered requests.
         pub open: usize,
         /// Bytes held for clients.
         pub bytes: usize,
     }
 
-    /// Whether a request may go on. `known`: the client's id is in use.
+    /// Checks whether a request may be processed. `id_in_use` tells whether its call id belongs to another
+    /// request in progress.
     ///
     /// # Errors
-    /// The final answer, where the request goes no further.
+    /// Returns the final answer if the request is turned away.
     ///
     /// ```
     /// use threadward_core::stages::admit::{check, Limits, Load};
@@ -74,53 +85,55 @@
     ///
     /// let limits = Limits { max_open: 2, max_bytes: 100, retry_after: 500_000 };
     /// let s = Settings { classes: vec![nickelgate::Class::default()], ..Settings::default() };
-    /// let ask = ClientRequest { due: 9_000, ..ClientRequest::default() };
-    /// let judge = |open, now, known| check(&limits, &s, Load { open, bytes: 0 }, now, &ask, known);
-    /// assert_eq!(judge(1, 1_000, false), Ok(()));
-    /// assert_eq!(judge(2, 1_000, false), Err(FinalAnswer::Refused { retry_after: 500_000 }));
-    /// assert_eq!(judge(1, 9_000, false), Err(FinalAnswer::Refused { retry_after: 500_000 }), "too late");
-    /// assert_eq!(judge(1, 1_000, true), Err(FinalAnswer::Failed));
+    /// let request = ClientRequest { due: 9_000, ..ClientRequest::default() };
+    /// let admit =
+    ///     |open, now, in_use| check(&limits, &s, Load { open, bytes: 0 }, now, &request, in_use);
+    /// assert_eq!(admit(1, 1_000, false), Ok(()));
+    /// assert_eq!(admit(2, 1_000, false), Err(FinalAnswer::Refused { retry_after: 500_000 }));
+    /// let refused = Err(FinalAnswer::Refused { retry_after: 500_000 });
+    /// assert_eq!(admit(1, 9_000, false), refused, "past its deadline");
+    /// assert_eq!(admit(1, 1_000, true), Err(FinalAnswer::Failed));
     /// ```
     pub fn check(
-        l: &Limits,
+        limits: &Limits,
         s: &Settings,
         load: Load,
         now: Micros,
-        ask: &ClientRequest,
-        known: bool,
+        request: &ClientRequest,
+        id_in_use: bool,
     ) -> Result<(), FinalAnswer> {
-        if known || usize::from(ask.class) >= s.classes.len() {
+        if id_in_use || usize::from(request.class) >= s.classes.len() {
             return Err(FinalAnswer::Failed);
         }
-        if load.open >= l.max_open || load.bytes >= l.max_bytes || now >= ask.due {
-            return Err(FinalAnswer::Refused { retry_after: l.retry_after });
+        if load.open >= limits.max_open || load.bytes >= limits.max_bytes || now >= request.due {
+            return Err(FinalAnswer::Refused { retry_after: limits.retry_after });
         }
         Ok(())
     }
 }
 
-/// Turns the router's actions into orders; the decisions themselves are the router's.
+/// Translates the router's actions into orders for the planner. The decisions are made by the router.
 pub mod route {
     use crate::{Addr, FinalAnswer, Micros};
     use nickelgate::{Action, Get};
 
-    /// What the planner is to do.
+    /// What the planner has to do for an action of the router.
     pub enum Order {
-        /// An attempt is to go out.
+        /// Send an attempt.
         Send(Get),
-        /// The request's final answer.
+        /// Give the request with this id its final answer.
         Answer(u64, FinalAnswer),
-        /// The attempt of the request is given up.
+        /// Withdraw this attempt of the request.
         Withdraw(u64, u16),
-        /// The router wants this timer, so long from now.
+        /// Set the router's timer with this token, to fire after this delay.
         SetTimer(u32, Micros),
-        /// A member is to be asked for its load.
+        /// Ask a member for its load.
         Probe(Addr),
-        /// Nothing is to be done here.
+        /// Nothing to do.
         Nothing,
     }
 
-    /// The order that an action stands for.
+    /// Returns the order for an action.
     ///
     /// ```
     /// use nickelgate::Action;
@@ -142,23 +155,25 @@
             Action::Revoke { request, attempt } => Order::Withdraw(request, attempt),
             Action::Wake { token, after } => Order::SetTimer(token, Micros::from(after)),
             Action::Probe(member) => Order::Probe(member),
-            // Changes of the list come unasked here.
+            // The planner is sent every change of the list anyway, so these requests for it need no action.
             Action::Track | Action::Refresh => Order::Nothing,
         }
     }
 }
 
-/// Builds an attempt and notes that it is out.
+/// Builds an attempt and records that it is in flight.
 pub mod send {
     use crate::job::Job;
     use crate::{Dispatch, Micros};
     use nickelgate::{Effect, Get, Settings};
 
+    /// Builds the next attempt of a job and records it in the job as in flight.
     pub(crate) fn build(job: &mut Job, s: &Settings, get: &Get, now: Micros, epoch: u64) -> Dispatch {
-        let harmless = s.classes.get(usize::from(job.ask.class)).map(|c| c.effect) == Some(Effect::Retryable);
+        let retryable =
+            s.classes.get(usize::from(job.client_request.class)).map(|c| c.effect) == Some(Effect::Retryable);
         let attempt = job.attempts.len() as u16;
         job.attempts.push((now, get.member, true));
-        let own = if get.max_wait == 0 { Micros::MAX } else { now + Micros::from(get.max_wait) };
+        let wait_until = if get.max_wait == 0 { Micros::MAX } else { now + Micros::from(get.max_wait) };
         Dispatch {
             request: get.request,
             attempt,
@@ -170,22 +185,22 @@
             only_held: get.only_held,
             parent_keeps_none: get.parent_keeps_none,
             refresh_in_background: get.renew,
-            due: job.ask.due.min(own),
-            exclusive_connection: !harmless || !s.parallel,
+            due: job.client_request.due.min(wait_until),
+            exclusive_connection: !retryable || !s.parallel,
             send_by: if get.send_by == 0 { Micros::MAX } else { get.send_by },
             decided_at: now,
             epoch,
-            client_request: job.ask.clone(),
+            client_request: job.client_request.clone(),
         }
     }
 }
 
-/// Hands the one final answer to the front; a `Reply` can be used once only.
+/// Passes the final answer to the front end. The type of `Reply` makes sure that it is called at most once.
 pub mod relay {
     use super::accounting::{Counter, Counters};
     use crate::{FinalAnswer, Reply};
 
-    /// Counts the answer and hands it over.
+    /// Counts the answer and calls `reply` with it.
     ///
     /// ```
     /// use std::{cell::Cell, rc::Rc};
@@ -207,20 +222,21 @@
     }
 }
 
-/// Counts what is taken in, sent and answered.
+/// Counters of requests, attempts, answers and the events of the other subsystems.
 pub mod accounting {
     use crate::Micros;
     use nickelgate::Outcome;
 
     macro_rules! counters {
         ($($name:ident $text:literal,)*) => {
-            /// What is counted. The order is public: it is that of the management tables; add at the end.
+            /// An event that is counted. The order of the variants is part of the management interface (it is
+            /// the order of the tables there), so new variants are added at the end.
             #[derive(Clone, Copy, Debug, PartialEq, Eq)]
             pub enum Counter { $(#[doc = concat!("`", $text, "`")] $name,)* }
             impl Counter {
-                /// All of them, in their public order.
+                /// All counters, in the order of the management tables.
                 pub const ALL: &'static [Counter] = &[$(Counter::$name,)*];
-                /// Its name in the management tables and the log.
+                /// Returns the counter's name in the management tables and the log.
                 pub fn name(self) -> &'static str {
                     match self { $(Counter::$name => $text,)* }
                 }
@@ -298,7 +314,7 @@
         CallsRetried "callsRetried",
     }
 
-    /// All counters, from the start on.
+    /// The values of all counters since the start of the process.
     ///
     /// ```
     /// use threadward_core::{Counter, Counters};
@@ -320,36 +336,36 @@
     }
 
     impl Counters {
-        /// One more.
+        /// Increments a counter.
         pub fn add(&mut self, c: Counter) {
             self.0[c as usize] += 1;
         }
-        /// Takes over a number that is counted elsewhere.
+        /// Sets a counter to a value that is counted elsewhere.
         pub fn set(&mut self, c: Counter, n: u64) {
             self.0[c as usize] = n;
         }
-        /// How many so far.
+        /// Returns the value of a counter.
         pub fn get(&self, c: Counter) -> u64 {
             self.0[c as usize]
         }
-        /// One line: `name=value` for all that is not zero.
+        /// Formats all counters that are not zero as `name=value`, on one line.
         pub fn line(&self) -> String {
             let shown = Counter::ALL.iter().filter(|c| self.get(**c) > 0);
             shown.map(|c| format!("{}={}", c.name(), self.get(*c))).collect::<Vec<_>>().join(" ")
         }
     }
 
-    /// A request was taken in.
+    /// Counts a request that a front end handed over, before admission.
     pub fn count_accepted(c: &mut Counters) {
         c.add(Counter::Taken);
     }
 
-    /// A request was served, after so many microseconds.
-    pub fn add_service_time(c: &mut Counters, spent: Micros) {
-        c.0[Counter::ServedMillis as usize] += spent / 1000;
+    /// Adds the time that a served request took, in microseconds, to the total.
+    pub fn add_service_time(c: &mut Counters, elapsed: Micros) {
+        c.0[Counter::ServedMillis as usize] += elapsed / 1000;
     }
 
-    /// An attempt ended so.
+    /// Counts the end of an attempt by its outcome.
     pub fn count_end(c: &mut Counters, outcome: Outcome) {
         c.add(match outcome {
             Outcome::Ok => Counter::EndOk,
