--- a/core/src/send_check.rs
+++ b/core/src/send_check.rs
@@ -1,42 +1,42 @@
-//! The one place that says whether an attempt may leave. It is asked in the very turn in which the first byte would go, so
-//! whatever was told, called or closed while the attempt waited (for a place, for a connection to come up, for a cache
-//! server that takes nothing) is heeded.
+//! The only check of whether an attempt may be sent. It runs in the same step in which the first byte would
+//! be written. Whatever was reported, called off or closed while the attempt waited (for a slot, for a
+//! connection to be established, for a cache server that accepts no data) is therefore taken into account.
 use crate::{Counter, Micros};
 
-/// What holds as the first byte of an attempt would leave.
+/// The facts that hold when the first byte of an attempt would be written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// This moment.
+    /// The current time.
     pub now: Micros,
     /// When the attempt was decided.
     pub decided: Micros,
-    /// Discovery has told of a purge or of servers since.
+    /// Whether discovery has reported a purge or a change of the servers since then.
     pub notified_since: bool,
-    /// How old a decision may be that such news came after.
+    /// How long after its decision an attempt may still be sent although such a report has come in.
     pub grace: Micros,
-    /// The end of the window for repeats.
+    /// End of the retry window.
     pub send_by: Micros,
-    /// An operator took the server or the source of the fill out.
+    /// Whether an operator has taken the server or the source of the fill out of service.
     pub server_out: bool,
-    /// The client still waits for an answer.
+    /// Whether the client still waits for an answer.
     pub client_waits: bool,
 }
 
-/// Why an attempt does not leave.
+/// Why an attempt is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// The client has its answer, cancelled or closed.
+    /// The client has its answer, has cancelled the request or has closed its connection.
     ClientGone,
-    /// An operator took the server or the source out.
+    /// An operator has taken the server or the source of the fill out of service.
     ServerOut,
-    /// It rests on a list or on purges that are out of date.
+    /// The attempt was decided on a member list or purges that are out of date.
     Outdated,
-    /// The window for repeats is over.
+    /// The retry window has ended.
     WindowOver,
 }
 
 impl Withheld {
-    /// What counts it.
+    /// Returns the counter of attempts withheld for this reason.
     pub fn counter(self) -> Counter {
         match self {
             Withheld::ClientGone => Counter::WithheldClientGone,
@@ -47,10 +47,10 @@
     }
 }
 
-/// Whether an attempt may leave.
+/// Checks whether an attempt may be sent.
 ///
 /// # Errors
-/// Why it may not.
+/// Returns the reason if it may not.
 ///
 /// ```
 /// use threadward_core::send_check::{may_send, SendFacts, Withheld};
--- a/core/src/shift.rs
+++ b/core/src/shift.rs
@@ -1,66 +1,69 @@
-//! How two processes of one proxy stand to each other while a new version takes over. It owns the judgement: whether one
-//! lives beside this one, whether it may take over, whether this one is ready. It must never look at a file or a clock.
+//! How two processes of one proxy relate to each other while a new version takes over: whether another
+//! process is alive, whether it can take over, and whether this one is ready. The module only evaluates what
+//! it is given; it reads no files and no clock.
 use crate::Micros;
 
-/// How far a process has come.
+/// Stage in the life of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It is not ready yet.
+    /// The process is not ready yet.
     #[default]
     Starting,
-    /// It serves.
+    /// The process serves clients.
     Ready,
-    /// It ends, and answers what it has taken.
+    /// The process is about to end, and answers the requests that it has accepted.
     Leaving,
 }
 
-/// When a process started, and its number: the order of succession.
+/// Start time and number of a process; this is the order of succession.
 pub type Rank = (Micros, u32);
 
-/// What a process shows of itself.
+/// What a process publishes about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// Its place in the order of succession.
+    /// Its position in the order of succession.
     pub rank: Rank,
-    /// How far it has come.
+    /// Its stage.
     pub phase: Phase,
-    /// The version of the bans that it has in force.
+    /// The version of the bans that it has applied.
     pub bans_version: u64,
 }
 
-/// How the others stand to this process.
+/// What this process has to know about the other processes of the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherProcesses {
-    /// How many live beside this one: the limits hold for all together.
+    /// Number of other live processes. All processes together share the limits.
     pub others: usize,
-    /// Another one is ready: this one may give way when it is told to end, be it the old one or a new one that is
-    /// given up.
+    /// Whether another process is ready. This one may then hand over to it when it is told to end, both as
+    /// the old process and as a new one that is given up.
     pub other_ready: bool,
-    /// The oldest version of the bans that one of them has in force.
+    /// The oldest version of the bans that any of them has applied.
     pub min_bans_version: Option<u64>,
-    /// Another one is ready, or ends: clients have it.
+    /// Whether another process is ready or about to end, so that it has the clients.
     pub other_serving: bool,
-    /// The first of those that start.
+    /// The first in the order of succession of those that are starting.
     pub first_starting: Option<Rank>,
 }
 
 impl OtherProcesses {
-    /// Whether the process of this rank may listen before it is ready: nobody serves, and of those that start it is the
-    /// first. Else two that start together could wait for each other.
+    /// Returns whether the process of this rank may listen before it is ready: no other process serves, and
+    /// it is the first of those that are starting. Without this rule, two processes that start together could
+    /// wait for each other.
     ///
     /// ```
     /// use threadward_core::shift::{summarize, Phase, ProcessStatus};
     ///
     /// let starts = ProcessStatus { rank: (5, 100), ..ProcessStatus::default() };
-    /// assert!(summarize(&[starts]).may_listen_early((4, 101)) && !summarize(&[starts]).may_listen_early((6, 101)));
+    /// let others = summarize(&[starts]);
+    /// assert!(others.may_listen_early((4, 101)) && !others.may_listen_early((6, 101)));
     /// assert!(!summarize(&[ProcessStatus { phase: Phase::Leaving, ..starts }]).may_listen_early((4, 101)));
     /// ```
     pub fn may_listen_early(&self, own: Rank) -> bool {
-        !self.other_serving && self.first_starting.is_none_or(|f| own < f)
+        !self.other_serving && self.first_starting.is_none_or(|first| own < first)
     }
 }
 
-/// What a process makes of the others that live.
+/// Summarizes the states of the other live processes.
 ///
 /// ```
 /// use threadward_core::shift::{summarize, Phase, ProcessStatus};
@@ -81,25 +84,25 @@
     }
 }
 
-/// What readiness rests on.
+/// The conditions of readiness.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadinessFacts {
-    /// It was told to end.
+    /// The process was told to end.
     pub ending: bool,
-    /// A list of members is there.
+    /// A member list has been received.
     pub listed: bool,
-    /// What was left for this process is in force: bans, and what another one has learned.
+    /// What another process left for this one has been applied: the bans, and what its router has learned.
     pub adopted: bool,
-    /// The bulletin was heard, or has been out of reach for as long as a start waits for it.
+    /// Discovery has reported, or has been unreachable for as long as a start waits for it.
     pub followed: bool,
     /// Clients can connect.
     pub listening: bool,
 }
 
-/// Whether a process is ready to serve.
+/// Checks whether a process is ready to serve.
 ///
 /// # Errors
-/// What is still missing, in words for staff.
+/// Returns the first condition that is not met, as a text for operators.
 ///
 /// ```
 /// use threadward_core::shift::{ready, ReadinessFacts};
@@ -109,13 +112,13 @@
 /// assert_eq!(ready(ReadinessFacts { followed: false, ..all }), Err("bulletin not yet heard"));
 /// assert_eq!(ready(ReadinessFacts { ending: true, ..all }), Err("ending"));
 /// ```
-pub fn ready(f: ReadinessFacts) -> Result<(), &'static str> {
-    let all = [
-        (!f.ending, "ending"),
-        (f.listed, "no list of cache servers yet"),
-        (f.adopted, "bans and what was learned not yet taken over"),
-        (f.followed, "bulletin not yet heard"),
-        (f.listening, "not yet listening"),
+pub fn ready(facts: ReadinessFacts) -> Result<(), &'static str> {
+    let conditions = [
+        (!facts.ending, "ending"),
+        (facts.listed, "no list of cache servers yet"),
+        (facts.adopted, "bans and what was learned not yet taken over"),
+        (facts.followed, "bulletin not yet heard"),
+        (facts.listening, "not yet listening"),
     ];
-    all.into_iter().find(|(holds, _)| !holds).map_or(Ok(()), |(_, why)| Err(why))
+    conditions.into_iter().find(|(met, _)| !met).map_or(Ok(()), |(_, missing)| Err(missing))
 }
--- a/core/src/unix_time.rs
+++ b/core/src/unix_time.rs
@@ -1,9 +1,9 @@
-//! Points of Unix time, which other machines and files speak. They are a type of their own, so that none is compared with
-//! a point on the monotonic clock ([`Micros`]): a machine's wall clock may be stepped, and every span is counted on the
-//! monotonic clock.
+//! Unix time, which is used between machines and in files. It has a type of its own so that it cannot be
+//! compared with a point on the monotonic clock ([`Micros`]): a machine's wall clock may be stepped, so all
+//! durations are measured on the monotonic clock.
 use crate::Micros;
 
-/// A point of Unix time in microseconds; 0: none is known.
+/// A point in Unix time, in microseconds; 0 if unknown.
 ///
 /// ```
 /// use threadward_core::UnixTime;
@@ -24,27 +24,27 @@
 pub struct UnixTime(u64);
 
 impl UnixTime {
-    /// A point that was told in milliseconds.
+    /// Creates a point from milliseconds. Saturates at the largest value.
     pub fn from_millis(milliseconds: u64) -> UnixTime {
         UnixTime(milliseconds.saturating_mul(1000))
     }
 
-    /// A point in microseconds.
+    /// Creates a point from microseconds.
     pub fn from_micros(microseconds: u64) -> UnixTime {
         UnixTime(microseconds)
     }
 
-    /// The point in microseconds, as it stands in files and on the wire.
+    /// Returns the point in microseconds, as it is written in files and on the wire.
     pub fn micros(self) -> u64 {
         self.0
     }
 
-    /// Whether a point is known.
+    /// Returns whether the point is known.
     pub fn is_known(self) -> bool {
         self.0 > 0
     }
 
-    /// The span from an earlier point to this one; 0 where that one is not earlier.
+    /// Returns the time from an earlier point to this one; 0 if that point is not earlier.
     pub fn micros_since(self, earlier: UnixTime) -> Micros {
         self.0.saturating_sub(earlier.0)
     }
