--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -20,7 +20,8 @@
 pub mod zoned;
 
 pub use nickelgate::{
-    Addr, Entry, Learned, Lifecycle, ListForm, Micros, Note, Outcome, Report, Role, Settings, Standing, Terms,
+    Addr, Entry, Learned, Lifecycle, ListForm, MemberHealth, Micros, Note, Outcome, Report, RequestPolicy,
+    Role, Settings,
 };
 pub use planner::{CacheTransport, Planner};
 pub use stages::accounting::{Counter, Counters};
@@ -56,7 +57,7 @@
     /// Request body, for classes that are passed on to the origin.
     pub body: Vec<u8>,
     /// Settings by operators that apply to this request.
-    pub terms: Terms,
+    pub terms: RequestPolicy,
 }
 
 /// Body of an answer: a range of the buffer it was received in, so that the bytes are passed on without a
--- a/core/src/planner.rs
+++ b/core/src/planner.rs
@@ -14,7 +14,7 @@
     Addr, AttemptEnd, ClientRequest, Counter, Counters, Dispatch, Entry, FinalAnswer, Learned, ListForm,
     Micros, Outcome, Reply,
 };
-use nickelgate::{Action, Completed, Event, Note, Report, Settings, Standing};
+use nickelgate::{Action, Completed, Event, MemberHealth, Note, Report, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet, VecDeque};
 
@@ -63,7 +63,7 @@
 ///     fn probe(&mut self, _: Addr) {}
 /// }
 ///
-/// let class = nickelgate::Class { aim: 200_000, deadline: 4_000_000, ..Default::default() };
+/// let class = nickelgate::Class { target_latency: 200_000, deadline: 4_000_000, ..Default::default() };
 /// let settings = Settings { classes: vec![class], max_attempts: 4, ..Settings::default() };
 /// let limits = Limits { max_open: 1, max_bytes: 1 << 20, retry_after: 300_000 };
 /// let transport = RecordingTransport::default();
@@ -208,7 +208,7 @@
     pub fn share_limits(&mut self, processes: usize, bytes: usize) {
         self.limits.max_bytes = bytes;
         self.processes = processes.max(1);
-        self.router.beside(self.processes * self.cold_rate.scale as usize - 1);
+        self.router.set_sibling_processes(self.processes * self.cold_rate.scale as usize - 1);
     }
 
     /// Sets the function that gives the pause between two probes of a cache from now on. Returns false if
@@ -304,7 +304,7 @@
             AttemptEnd::ConnectionFailed(p) => {
                 (forced_outcome.unwrap_or(p.outcome()), Note::None, 0, Report::default(), None)
             }
-            AttemptEnd::Outdated => (Outcome::Moot, Note::None, 0, Report::default(), None),
+            AttemptEnd::Outdated => (Outcome::NotSent, Note::None, 0, Report::default(), None),
             AttemptEnd::Withdrawn => (Outcome::Cancelled, Note::None, 0, Report::default(), None),
         };
         accounting::count_end(&mut self.counters, outcome);
@@ -317,7 +317,17 @@
         }
         let done = job.reply.is_none();
         let elapsed = now.saturating_sub(sent);
-        let c = Completed { request: id, attempt, member, outcome, elapsed, done, note, waited, report };
+        let c = Completed {
+            request: id,
+            attempt,
+            member,
+            outcome,
+            elapsed,
+            request_done: done,
+            note,
+            source_wait: waited,
+            report,
+        };
         self.process_event(Event::Completed(c));
     }
 
@@ -388,7 +398,7 @@
     pub fn limit_cold_rate(&mut self, now: Micros, share: u32) -> u32 {
         self.advance_clock(now);
         let wanted = self.cold_rate.limit(self.now, share);
-        self.router.beside(self.processes * self.cold_rate.scale as usize - 1);
+        self.router.set_sibling_processes(self.processes * self.cold_rate.scale as usize - 1);
         wanted
     }
 
@@ -398,11 +408,11 @@
         self.zones.as_ref().and_then(|z| z.newest_start(zone))
     }
 
-    /// Tells the router that enough other proxies suspect a member. The suspicion holds for `lasts`; 0 ends
+    /// Tells the router that enough other proxies suspect a member. The suspicion holds for `valid_for`; 0 ends
     /// it.
-    pub fn report_suspicion(&mut self, now: Micros, member: Addr, incarnation: u64, lasts: Micros) {
+    pub fn report_suspicion(&mut self, now: Micros, member: Addr, incarnation: u64, valid_for: Micros) {
         self.advance_clock(now);
-        self.process_event(Event::Rumour { member, incarnation, lasts });
+        self.process_event(Event::Suspected { member, incarnation, valid_for });
     }
 
     /// Handles the end of a probe, with the load that the member reported, if any.
@@ -412,8 +422,8 @@
     }
 
     /// Returns what this proxy's traffic showed of the members.
-    pub fn standings(&self) -> Vec<Standing> {
-        self.router.standings().collect()
+    pub fn member_health(&self) -> Vec<MemberHealth> {
+        self.router.member_health().collect()
     }
 
     /// Returns what the router has learned, for a process that takes over from this one.
@@ -422,9 +432,9 @@
     }
 
     /// Adopts what the previous process has learned.
-    pub fn take_over(&mut self, now: Micros, learned: &Learned) {
+    pub fn restore_learned(&mut self, now: Micros, learned: &Learned) {
         self.advance_clock(now);
-        self.router.take_over(self.now, learned);
+        self.router.restore_learned(self.now, learned);
     }
 
     /// Fires all timers that are due.
@@ -528,7 +538,7 @@
                 let a = job.attempts.get_mut(usize::from(n)).filter(|a| a.2)?;
                 // Where attempts must not run in parallel, the next one waits until the cache has been told.
                 let cancel_pending = self.transport.withdraw(id, n);
-                if cancel_pending && !self.settings.parallel && job.reply.is_some() {
+                if cancel_pending && !self.settings.parallel_attempts && job.reply.is_some() {
                     return None;
                 }
                 a.2 = false;
@@ -540,9 +550,9 @@
                     member,
                     outcome: Outcome::Cancelled,
                     elapsed: self.now.saturating_sub(sent),
-                    done,
+                    request_done: done,
                     note: Note::None,
-                    waited: 0,
+                    source_wait: 0,
                     report: Report::default(),
                 }));
             }
--- a/core/src/probes.rs
+++ b/core/src/probes.rs
@@ -37,7 +37,7 @@
 /// use nickelgate::{Action, Addr, Entry, Event, ListForm, ReportColumns, Request, Settings};
 /// use threadward_core::probes::ProbingRouter;
 ///
-/// let columns = ReportColumns { x1: Some(0), ..ReportColumns::default() };
+/// let columns = ReportColumns { link_load: Some(0), ..ReportColumns::default() };
 /// let settings = Settings { probes: true, columns, ..Settings::default() };
 /// let addr = Addr { ip: [127, 0, 0, 1], port: 80 };
 /// let probes = |settings: Settings| {
@@ -46,7 +46,7 @@
 ///     router.handle(1_000_000, Event::Members { form: ListForm::Full, entries }, &mut actions);
 ///     for id in 0..100 {
 ///         let now = 1_000_000 + id * 10_000;
-///         let request = Request { id, due: now + 1_000_000, ..Request::default() };
+///         let request = Request { id, expires_at: now + 1_000_000, ..Request::default() };
 ///         router.handle(now, Event::Request(request), &mut actions);
 ///     }
 ///     actions.iter().filter(|a| **a == Action::Probe(addr)).count()
@@ -63,7 +63,7 @@
 impl ProbingRouter {
     /// Creates a router. It probes only if the settings allow probes and load is not reported in another way.
     pub fn new(settings: Settings, seed: u64) -> ProbingRouter {
-        let on_request_only = settings.columns.x1.is_some() && !settings.reports_inline;
+        let on_request_only = settings.columns.link_load.is_some() && !settings.reports_inline;
         let prober = (settings.probes && on_request_only).then(|| Prober::new(&settings));
         ProbingRouter { router: Router::new(settings, seed), prober }
     }
@@ -185,7 +185,7 @@
             last_probe.in_flight = false;
         }
         let lost = matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset);
-        if report.n > 0 && !lost {
+        if report.count > 0 && !lost {
             self.last_report = Some((member, report, now));
         }
         Event::Probed { member, outcome: if lost { outcome } else { Outcome::Ok }, report }
@@ -194,7 +194,7 @@
     /// Returns the latest report again, with half of its link load, if it has been unchanged for too long: an
     /// old report must not keep fills away from a cache.
     fn aged_report(&mut self, now: Micros) -> Option<Event> {
-        let x1 = self.settings.columns.x1?;
+        let x1 = self.settings.columns.link_load?;
         let (member, report, at) =
             self.last_report.as_mut().filter(|(_, _, at)| now >= *at + LINK_LOAD_HALF_LIFE)?;
         *report.values.get_mut(x1)? /= 2.0;
@@ -218,7 +218,7 @@
         Settings {
             probes: allowed,
             reports_inline: inline,
-            columns: ReportColumns { cpu: Some(0), x1: Some(1), ..ReportColumns::default() },
+            columns: ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() },
             parent_kind: Some(1),
             origin_kind: Some(2),
             routers_by_zone: vec![2],
@@ -234,7 +234,7 @@
     fn probed(w: &mut ProbingRouter, now: Micros) -> Vec<Addr> {
         let mut out = Vec::new();
         let due = now + 1_000 * MS;
-        w.handle(now, Event::Request(Request { id: now, due, ..Request::default() }), &mut out);
+        w.handle(now, Event::Request(Request { id: now, expires_at: due, ..Request::default() }), &mut out);
         out.iter().filter_map(|a| if let Action::Probe(a) = a { Some(*a) } else { None }).collect()
     }
 
@@ -249,7 +249,7 @@
         for now in (0..60_000).step_by(10).map(|t| 1_000_000 + t * MS) {
             for a in probed(&mut w, now) {
                 sent.entry(a).or_default().push(now);
-                let report = Report { n: 2, values: [0.1, 0.5, 0.0, 0.0] };
+                let report = Report { count: 2, values: [0.1, 0.5, 0.0, 0.0] };
                 let ended = Event::Probed { member: a, outcome: Outcome::Ok, report };
                 w.handle(now, ended, &mut Vec::new());
             }
@@ -295,7 +295,7 @@
             for a in probed(&mut w, now) {
                 probes[usize::from(a.ip[3] - 1)] += 1;
                 if a == addr(2) {
-                    let report = Report { n: 2, ..Report::default() };
+                    let report = Report { count: 2, ..Report::default() };
                     w.handle(now, Event::Probed { member: a, outcome: Outcome::Ok, report }, &mut Vec::new());
                 }
             }
@@ -311,7 +311,7 @@
     #[test]
     fn only_timeouts_and_lost_connections_are_failures_and_old_reports_decay() {
         let mut p = Prober::new(&settings(true, false));
-        let report = Report { n: 2, values: [0.9, 4.0, 0.0, 0.0] };
+        let report = Report { count: 2, values: [0.9, 4.0, 0.0, 0.0] };
         let outcome_and_load = |e: Event| match e {
             Event::Probed { outcome, report, .. } => (outcome, report.values[1]),
             _ => unreachable!(),
--- a/core/src/stages.rs
+++ b/core/src/stages.rs
@@ -35,13 +35,13 @@
             id,
             class: client_request.class,
             object: client_request.object,
-            due: client_request.due,
+            expires_at: client_request.due,
             group: client_request.group,
             part: client_request.part,
-            kbytes: client_request.kbytes,
-            repeat: client_request.repeat,
-            terms: client_request.terms,
-            write: s.classes.get(usize::from(client_request.class)).is_some_and(|c| c.pass_on),
+            size_kb: client_request.kbytes,
+            marked_retry: client_request.repeat,
+            policy: client_request.terms,
+            write: s.classes.get(usize::from(client_request.class)).is_some_and(|c| c.pass_through),
             ..Request::default()
         }
     }
@@ -186,7 +186,7 @@
             parent_keeps_none: get.parent_keeps_none,
             refresh_in_background: get.renew,
             due: job.client_request.due.min(wait_until),
-            exclusive_connection: !retryable || !s.parallel,
+            exclusive_connection: !retryable || !s.parallel_attempts,
             send_by: if get.send_by == 0 { Micros::MAX } else { get.send_by },
             decided_at: now,
             epoch,
@@ -376,7 +376,7 @@
             Outcome::ConnectFailed => Counter::EndConnect,
             Outcome::Reset => Counter::EndReset,
             Outcome::Cancelled => Counter::EndCancelled,
-            Outcome::Moot => Counter::EndMoot,
+            Outcome::NotSent => Counter::EndMoot,
         });
     }
 }
--- a/core/src/zoned.rs
+++ b/core/src/zoned.rs
@@ -171,10 +171,10 @@
         }
         if let Some((at, ramp)) = self.ramps[z] {
             let warmed_span = self.cold_span(role) * Micros::from(ramp) / 1000;
-            e.since = e.since.max(at.saturating_sub(warmed_span));
+            e.started_at = e.started_at.max(at.saturating_sub(warmed_span));
         }
         if self.uses[z] == ZoneUse::Trial {
-            e.since = 0;
+            e.started_at = 0;
         }
         e
     }
@@ -182,9 +182,9 @@
     /// Returns how long a member of this role takes to become warm after a start.
     fn cold_span(&self, role: Role) -> Micros {
         if role == Role::Parent {
-            self.settings.parent_cold
+            self.settings.parent_cold_period
         } else {
-            self.settings.cold
+            self.settings.cold_period
         }
     }
 
@@ -243,12 +243,12 @@
     /// Returns whether a member started so recently that it is cold, as the router sees it.
     pub(crate) fn is_cold(&self, now: Micros, member: Addr) -> bool {
         let e = self.list.get(&member).map(|e| self.effective_entry(*e));
-        e.is_some_and(|e| e.since > 0 && now < e.since + self.cold_span(self.settings.role(&e)))
+        e.is_some_and(|e| e.started_at > 0 && now < e.started_at + self.cold_span(self.settings.role(&e)))
     }
 
     /// Returns the event that makes the router suspect a member for `SUSPICION_SPAN`.
     pub fn suspicion_event(e: &Entry) -> Event {
-        Event::Rumour { member: e.addr, incarnation: e.incarnation, lasts: SUSPICION_SPAN }
+        Event::Suspected { member: e.addr, incarnation: e.incarnation, valid_for: SUSPICION_SPAN }
     }
 
     /// Returns whether to refuse a request of this class at once, and counts it. While the own zone is out of
@@ -262,10 +262,11 @@
     pub fn attempt_sent(&mut self, now: Micros, id: (u64, u16), class: u8, member: Addr, source: Addr) {
         let c = self.settings.classes.get(usize::from(class));
         // An answer after twice the target time, or half of the client's deadline, is as bad as none.
-        let slow_span = c.map_or(Micros::MAX, |c| (2 * c.aim).min((c.deadline / 2).max(c.aim)));
+        let slow_span =
+            c.map_or(Micros::MAX, |c| (2 * c.target_latency).min((c.deadline / 2).max(c.target_latency)));
         // The router starts no second attempt before a quarter of the target time, but a hedge that operators
         // have set may start earlier.
-        let beaten_span = c.map_or(Micros::MAX, |c| c.aim / 4);
+        let beaten_span = c.map_or(Micros::MAX, |c| c.target_latency / 4);
         let [slow_at, beaten_at] = [slow_span, beaten_span].map(|span| now.saturating_add(span));
         self.in_flight
             .insert(id, InFlight { member, source, sent_at: now, slow_at, beaten_at, counted: false });
@@ -287,7 +288,7 @@
             Outcome::Ok | Outcome::Miss => {
                 self.record_good_answer(now, o.member);
                 // The time that a fill waited for its source is not the member's fault.
-                let waited = filled && c.waited * 2 > c.elapsed;
+                let waited = filled && c.source_wait * 2 > c.elapsed;
                 self.count_attempt(now, o.member, late && !waited);
                 if filled && o.source != o.member {
                     self.record_good_answer(now, o.source);
@@ -300,9 +301,9 @@
             | Outcome::ConnectFailed
             | Outcome::Reset => {
                 match c.note {
-                    Note::SourceRefused | Note::SourceLost => self.count_attempt(now, o.source, true),
+                    Note::SourceRefused | Note::SourceFailed => self.count_attempt(now, o.source, true),
                     // The origin belongs to no zone, and a member that is full is alive.
-                    Note::OriginFailed | Note::SourceLacks | Note::NoPlace => {}
+                    Note::OriginFailed | Note::SourceMiss | Note::FillSlotsFull => {}
                     _ if c.outcome == Outcome::Refused => {}
                     _ if !o.counted => self.count_failure(now, &o),
                     _ => {}
@@ -310,12 +311,12 @@
             }
             // Withdrawn because it was silent, or because a second attempt, started for the same reason, was
             // quicker.
-            Outcome::Cancelled if (!c.done || now >= o.beaten_at) && !o.counted => {
+            Outcome::Cancelled if (!c.request_done || now >= o.beaten_at) && !o.counted => {
                 self.count_failure(now, &o)
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if let Some(cpu) = self.settings.columns.cpu.filter(|i| *i < usize::from(c.report.n.min(4))) {
+        if let Some(cpu) = self.settings.columns.cpu.filter(|i| *i < usize::from(c.report.count.min(4))) {
             let used = (c.report.values[cpu].clamp(0.0, 1.0) * 255.0) as u32;
             if let Some(zone) = self.list.get(&o.member).map(|e| e.zone) {
                 let (sum, n) = self.current_bucket(now).reported_use.entry(zone).or_default();
@@ -429,7 +430,7 @@
     /// Returns the most recent start among the members of a zone that take requests.
     pub fn newest_start(&self, zone: u16) -> Option<Micros> {
         let ready = self.list.values().filter(|e| e.zone == zone && e.state == Lifecycle::Ready);
-        ready.map(|e| e.since).filter(|s| *s > 0).max()
+        ready.map(|e| e.started_at).filter(|s| *s > 0).max()
     }
 }
 
@@ -452,7 +453,7 @@
 impl Shed {
     fn new(s: &Settings) -> Shed {
         let mut order: Vec<usize> = (0..s.classes.len()).collect();
-        order.sort_by(|a, b| s.classes[*a].worth.total_cmp(&s.classes[*b].worth).then(a.cmp(b)));
+        order.sort_by(|a, b| s.classes[*a].value.total_cmp(&s.classes[*b].value).then(a.cmp(b)));
         Shed { demand: vec![0.0; s.classes.len()], order, ..Shed::default() }
     }
 
--- a/core/tests/left.rs
+++ b/core/tests/left.rs
@@ -4,7 +4,7 @@
 use threadward_core::stages::admit::Limits;
 use threadward_core::{
     Addr, AttemptEnd, CacheTransport, ClientRequest, Dispatch, Entry, ListForm, Micros, Planner, Progress,
-    Settings, Terms,
+    RequestPolicy, Settings,
 };
 
 const MS: Micros = 1_000;
@@ -23,13 +23,15 @@
 }
 
 /// Attempts that were begun, where the first one ends so or stays out, and the client leaves 90 ms after it began or not.
-fn begun(terms: Terms, end: Option<AttemptEnd>, leaves: bool) -> usize {
-    let class = nickelgate::Class { aim: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
+fn begun(terms: RequestPolicy, end: Option<AttemptEnd>, leaves: bool) -> usize {
+    let class =
+        nickelgate::Class { target_latency: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
+
     let class = nickelgate::Class { effect: nickelgate::Effect::Retryable, ..class };
     let s = Settings {
         classes: vec![class],
         cancel: true,
-        parallel: true,
+        parallel_attempts: true,
         max_attempts: 2,
         ..Settings::default()
     };
@@ -58,9 +60,10 @@
 #[test]
 fn nothing_is_begun_for_a_client_that_left_while_its_request_waited() {
     let (pause, second) = (100 * MS, 100 * MS);
-    let paused = Terms { pause, ..Terms::default() };
-    let copied = Terms { second, ..Terms::default() };
+    let paused = RequestPolicy { retry_delay: pause, ..RequestPolicy::default() };
+    let copied = RequestPolicy { hedge_after: second, ..RequestPolicy::default() };
     let broke = || Some(AttemptEnd::ConnectionFailed(Progress::NotConnected));
+
     assert_eq!(
         (begun(paused, broke(), false), begun(paused, broke(), true)),
         (2, 1),
@@ -68,7 +71,7 @@
     );
     assert_eq!((begun(copied, None, false), begun(copied, None, true)), (2, 1), "a second copy");
     assert_eq!(
-        (begun(Terms::default(), None, false), begun(Terms::default(), None, true)),
+        (begun(RequestPolicy::default(), None, false), begun(RequestPolicy::default(), None, true)),
         (2, 1),
         "silence"
     );
--- a/core/tests/withdrawn.rs
+++ b/core/tests/withdrawn.rs
@@ -31,8 +31,15 @@
 
 /// A planner whose first attempt has just been withdrawn because its cache is silent.
 fn silent(parallel: bool) -> (Planner, Rc<RefCell<Seen>>, u64, Micros) {
-    let class = nickelgate::Class { aim: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
-    let s = Settings { classes: vec![class], cancel: true, parallel, max_attempts: 6, ..Settings::default() };
+    let class =
+        nickelgate::Class { target_latency: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
+    let s = Settings {
+        classes: vec![class],
+        cancel: true,
+        parallel_attempts: parallel,
+        max_attempts: 6,
+        ..Settings::default()
+    };
     let seen = Rc::new(RefCell::new(Seen::default()));
     let limits = Limits { max_open: 10, max_bytes: 1 << 20, retry_after: 0 };
     let mut p = Planner::new(s, 1, limits, Box::new(Way(seen.clone())));
--- a/lab/src/regions/rules.rs
+++ b/lab/src/regions/rules.rs
@@ -55,8 +55,8 @@
         let share = self.warm_share(member, now);
         let is_hub = member.ip[1] == 2;
         let settings = &self.settings;
-        let multiple = if is_hub { settings.parent_fall_multiple } else { settings.fall_multiple };
-        let fall = settings.fall;
+        let multiple = if is_hub { settings.parent_overload_multiple } else { settings.overload_multiple };
+        let fall = settings.overload_tolerance;
         let cold = self.stand_ins.get_mut(&member).filter(|stand_in| stand_in.since > 0 && share < 1.0);
         let Some(stand_in) = cold else { return };
         stand_in.sent.push_back((now, units));
@@ -109,7 +109,7 @@
         let over = |outage: &&Outage| usize::from(outage.zone) == zone && outage.to <= now;
         if let Some(outage) = self.day.outages.iter().filter(over).max_by_key(|outage| outage.to) {
             let is_location = zone < usize::from(self.day.locations);
-            let cold = if is_location { self.settings.cold } else { self.settings.parent_cold };
+            let cold = if is_location { self.settings.cold_period } else { self.settings.parent_cold_period };
             self.report.returns.push((now - outage.to) as f64 / cold as f64);
         }
     }
@@ -119,7 +119,7 @@
         let locations = usize::from(self.day.locations);
         let now = (self.queue.now - T0) / MS;
         for kind in [0..locations, locations..zones.len()] {
-            if kind.clone().all(|zone| !zones[zone].serves()) {
+            if kind.clone().all(|zone| !zones[zone].accepts_new_requests()) {
                 self.report.guard.push(format!("all of {kind:?} out at {now}"));
             }
         }
@@ -131,7 +131,7 @@
             |zone: &usize| out(zone) && !self.is_harmed(*zone) && (*zone >= locations || self.day.direct);
         let moved: f64 = (0..zones.len())
             .filter(moves)
-            .map(|zone| self.calm[zone] / span * f64::from(zones[zone].moved) / 1000.0)
+            .map(|zone| self.calm[zone] / span * f64::from(zones[zone].moved_permille) / 1000.0)
             .sum();
         let carried: f64 = hubs.clone().filter(|zone| !out(zone)).map(|zone| self.calm[zone] / span).sum();
         let able: f64 =
@@ -157,9 +157,9 @@
         status.state,
         status.step,
         status.why,
-        status.bad,
-        status.of,
-        status.moved,
-        status.refused
+        status.failing_proxies,
+        status.trying_proxies,
+        status.moved_permille,
+        status.refused_permille
     )
 }
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -67,7 +67,7 @@
             }
         };
         let s = &node.config.settings;
-        let warm = s.cold.max(s.parent_cold);
+        let warm = s.cold_period.max(s.parent_cold_period);
         let shift = Rc::new(Shift {
             node,
             ledger,
@@ -143,7 +143,7 @@
         let elder = others.iter().any(|o| o.phase == Phase::Ready);
         match ledger.taught(&self.node.config.names.classes) {
             Ok(Some(learned)) => {
-                self.node.plan(|p, now| p.take_over(now, &learned));
+                self.node.plan(|p, now| p.restore_learned(now, &learned));
                 log("shift: took over what another process has learned");
                 self.taught.set(true);
             }
