--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -45,11 +45,11 @@
     /// Purge group of the object.
     pub group: u16,
     /// Size of the part in KB as stated by the client; 0 if not stated.
-    pub kbytes: f32,
+    pub size_kb: f32,
     /// When the client gives up, as a point on the monotonic clock.
-    pub due: Micros,
+    pub expires_at: Micros,
     /// Whether the client marked the call as a retry.
-    pub repeat: bool,
+    pub marked_retry: bool,
     /// Idempotency key, for classes that use one.
     pub idempotency_key: Option<Box<str>>,
     /// Entity tag, without quotes, of the copy that the client already holds.
@@ -57,7 +57,7 @@
     /// Request body, for classes that are passed on to the origin.
     pub body: Vec<u8>,
     /// Settings by operators that apply to this request.
-    pub terms: RequestPolicy,
+    pub policy: RequestPolicy,
 }
 
 /// Body of an answer: a range of the buffer it was received in, so that the bytes are passed on without a
@@ -205,7 +205,7 @@
     /// The cache serves an ageing copy at once and refreshes it in the background.
     pub refresh_in_background: bool,
     /// Deadline of the attempt, as a point on the clock.
-    pub due: Micros,
+    pub expires_at: Micros,
     /// End of the retry window: the first byte is written before this time or not at all. `Micros::MAX` sets
     /// no bound.
     pub send_by: Micros,
--- a/core/src/planner.rs
+++ b/core/src/planner.rs
@@ -81,7 +81,7 @@
 /// let request = |call_id: &str| ClientRequest {
 ///     call_id: call_id.into(),
 ///     object: 7,
-///     due: 5_000_000,
+///     expires_at: 5_000_000,
 ///     ..ClientRequest::default()
 /// };
 /// let id = p.accept_request(1_000_000, 0, request("a"), reply()).unwrap();
@@ -510,7 +510,7 @@
             route::Order::Send(get) => {
                 let job = self.jobs.get_mut(&get.request)?;
                 let d = send::build(job, &self.settings, &get, self.now, self.epoch);
-                let (id, n, due) = (d.request, d.attempt, d.due);
+                let (id, n, due) = (d.request, d.attempt, d.expires_at);
                 if let Some(z) = &mut self.zones {
                     z.attempt_sent(self.now, (id, n), job.client_request.class, get.member, get.source);
                     if [get.member, get.source].into_iter().any(|a| z.is_cold(self.now, a)) {
--- a/core/src/stages.rs
+++ b/core/src/stages.rs
@@ -35,12 +35,12 @@
             id,
             class: client_request.class,
             object: client_request.object,
-            expires_at: client_request.due,
+            expires_at: client_request.expires_at,
             group: client_request.group,
             part: client_request.part,
-            size_kb: client_request.kbytes,
-            marked_retry: client_request.repeat,
-            policy: client_request.terms,
+            size_kb: client_request.size_kb,
+            marked_retry: client_request.marked_retry,
+            policy: client_request.policy,
             write: s.classes.get(usize::from(client_request.class)).is_some_and(|c| c.pass_through),
             ..Request::default()
         }
@@ -85,7 +85,7 @@
     ///
     /// let limits = Limits { max_open: 2, max_bytes: 100, retry_after: 500_000 };
     /// let s = Settings { classes: vec![nickelgate::Class::default()], ..Settings::default() };
-    /// let request = ClientRequest { due: 9_000, ..ClientRequest::default() };
+    /// let request = ClientRequest { expires_at: 9_000, ..ClientRequest::default() };
     /// let admit =
     ///     |open, now, in_use| check(&limits, &s, Load { open, bytes: 0 }, now, &request, in_use);
     /// assert_eq!(admit(1, 1_000, false), Ok(()));
@@ -105,7 +105,7 @@
         if id_in_use || usize::from(request.class) >= s.classes.len() {
             return Err(FinalAnswer::Failed);
         }
-        if load.open >= limits.max_open || load.bytes >= limits.max_bytes || now >= request.due {
+        if load.open >= limits.max_open || load.bytes >= limits.max_bytes || now >= request.expires_at {
             return Err(FinalAnswer::Refused { retry_after: limits.retry_after });
         }
         Ok(())
@@ -185,7 +185,7 @@
             only_held: get.only_held,
             parent_keeps_none: get.parent_keeps_none,
             refresh_in_background: get.renew,
-            due: job.client_request.due.min(wait_until),
+            expires_at: job.client_request.expires_at.min(wait_until),
             exclusive_connection: !retryable || !s.parallel_attempts,
             send_by: if get.send_by == 0 { Micros::MAX } else { get.send_by },
             decided_at: now,
@@ -248,11 +248,11 @@
         Refused "answersRefused", Failed "answersFailed", Left "clientsLeft", Unsent "answersUnsent",
         Sent "attemptsSent", EndOk "endsOk", EndMiss "endsMiss", EndError "endsError",
         EndRefused "endsRefused", EndTimeout "endsTimeout", EndConnect "endsConnectFailed",
-        EndReset "endsReset", EndCancelled "endsCancelled", EndMoot "endsMoot", LateEnds "endsLate",
+        EndReset "endsReset", EndCancelled "endsCancelled", EndNotSent "endsMoot", LateEnds "endsLate",
         Lists "listChanges", Purges "purges", PeerMessages "peerMessages", PeerDropped "peerDropped",
         Accepted "connectionsAccepted", TurnedAway "connectionsTurnedAway", Malformed "framesMalformed",
         Unusable "requestsUnusable", Opened "cacheConnectionsOpened", Broken "cacheConnectionsBroken",
-        BulletinLosses "bulletinLosses", Panics "panics", ServedMillis "servedMilliseconds",
+        DiscoveryLosses "bulletinLosses", Panics "panics", ServedMillis "servedMilliseconds",
         LinksBad "linksBad", LinksExpired "linksExpired", LinksReplayed "linksReplayed",
         LinksElsewhere "linksElsewhere", LinksRegisterFull "linksRegisterFull",
         ManagerAnswered "managerAnswered", ManagerRefused "managerRefused",
@@ -274,14 +274,14 @@
         GossipForged "gossipDroppedForged",
         GossipWithheld "gossipWithheld",
         GossipConflicts "gossipConflicts",
-        GossipDoubts "gossipDoubts",
-        GossipHelped "gossipSkipsHelped",
+        GossipSuspicions "gossipDoubts",
+        GossipSuspicionSkips "gossipSkipsHelped",
         GossipProbes "gossipProbes",
-        DoorCalls "doorCalls",
-        DoorRefused "doorRefused",
-        ServersOut "serversTakenOut",
-        ServersBack "serversCalledBack",
-        GaveWay "gaveWay",
+        AdminCommands "doorCalls",
+        AdminRefused "doorRefused",
+        BansSet "serversTakenOut",
+        BansLifted "serversCalledBack",
+        HandedOver "gaveWay",
         LoadProbes "loadProbes",
         BudgetForged "budgetForged",
         BudgetLapsed "budgetLapsed",
@@ -295,8 +295,8 @@
         ZoneRefused "zoneRefused",
         ZoneForged "zoneForged",
         ZoneMalformed "zoneMalformed",
-        ZoneOld "zoneOld",
-        ZoneUnvouched "zoneUnvouched",
+        ZoneOutdated "zoneOld",
+        ZoneUnconfirmed "zoneUnvouched",
         ZoneBytes "zoneBytes",
         BudgetRegionElected "budgetRegionElected",
         BudgetSiteElected "budgetSiteElected",
@@ -309,7 +309,7 @@
         RefusedAdmission "refusedAdmission",
         RefusedClosing "refusedClosing",
         ClosedByClient "closedByClient",
-        ClosedUntaken "closedUntaken",
+        ClosedStalled "closedUntaken",
         ClosedDrained "closedDrained",
         CallsRetried "callsRetried",
     }
@@ -376,7 +376,7 @@
             Outcome::ConnectFailed => Counter::EndConnect,
             Outcome::Reset => Counter::EndReset,
             Outcome::Cancelled => Counter::EndCancelled,
-            Outcome::NotSent => Counter::EndMoot,
+            Outcome::NotSent => Counter::EndNotSent,
         });
     }
 }
--- a/core/tests/left.rs
+++ b/core/tests/left.rs
@@ -40,7 +40,12 @@
     let mut p = Planner::new(s, 1, limits, Box::new(Way(sent.clone())));
     let cache = |n| Entry { addr: Addr { ip: [127, 0, 0, n], port: 1 }, ..Entry::default() };
     p.update_members(T0, ListForm::Full, vec![cache(1), cache(2)]);
-    let ask = ClientRequest { call_id: "1".into(), due: T0 + 4_000 * MS, terms, ..ClientRequest::default() };
+    let ask = ClientRequest {
+        call_id: "1".into(),
+        expires_at: T0 + 4_000 * MS,
+        policy: terms,
+        ..ClientRequest::default()
+    };
     let id = p.accept_request(T0, 0, ask, Box::new(|_| {})).unwrap();
     end.into_iter().for_each(|e| p.attempt_ended(T0 + 10 * MS, id, 0, e));
     while p.next_due().is_some_and(|at| at < T0 + 90 * MS) {
--- a/core/tests/withdrawn.rs
+++ b/core/tests/withdrawn.rs
@@ -47,7 +47,7 @@
         |n| Entry { addr: Addr { ip: [127, 0, 0, n], port: 1 }, state: Lifecycle::Ready, ..Entry::default() };
     let mut now = 1_000_000 * MS;
     p.update_members(now, ListForm::Full, vec![cache(1), cache(2)]);
-    let ask = ClientRequest { call_id: "1".into(), due: now + 4_000 * MS, ..ClientRequest::default() };
+    let ask = ClientRequest { call_id: "1".into(), expires_at: now + 4_000 * MS, ..ClientRequest::default() };
     let id = p.accept_request(now, 0, ask, Box::new(|_| {})).unwrap();
     while seen.borrow().withdrawn == 0 && seen.borrow().sent.len() < 2 {
         now = p.next_due().unwrap();
--- a/core/tests/zoned.rs
+++ b/core/tests/zoned.rs
@@ -86,7 +86,7 @@
             call_id: format!("{}", self.next).into(),
             class,
             object: self.next,
-            due: self.now + 4_000 * MS,
+            expires_at: self.now + 4_000 * MS,
             ..ClientRequest::default()
         };
         let got = Rc::new(RefCell::new(None));
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -487,7 +487,7 @@
             class: a.class,
             object: a.object,
             object_name: format!("{:016x}", a.object).into(),
-            due: now + class.deadline,
+            expires_at: now + class.deadline,
             ..ClientRequest::default()
         };
         let answers = self.proxies[i].answers.clone();
--- a/lab/src/regions/arrivals.rs
+++ b/lab/src/regions/arrivals.rs
@@ -53,7 +53,7 @@
             call_id: format!("{i}-{index}").into(),
             class: arrival.class,
             object: arrival.object,
-            due: now + class.deadline,
+            expires_at: now + class.deadline,
             ..ClientRequest::default()
         };
         if let Some(next) = self.arrivals[i].get(index + 1) {
--- a/lab/tests/terms.rs
+++ b/lab/tests/terms.rs
@@ -94,7 +94,14 @@
         .chain([entry(hub(1), 0, 1, 12.0), entry(ORIGIN, 0, 2, 0.0)]);
     p.update_members(T0, ListForm::Full, list.collect());
     let due = T0 + s.classes[usize::from(class)].deadline;
-    let ask = ClientRequest { call_id: "c".into(), class, object: 9, due, terms, ..ClientRequest::default() };
+    let ask = ClientRequest {
+        call_id: "c".into(),
+        class,
+        object: 9,
+        expires_at: due,
+        policy: terms,
+        ..ClientRequest::default()
+    };
     let own = seen.clone();
     p.accept_request(T0, 0, ask, Box::new(move |last| own.borrow_mut().answers.push(last)));
     let mut queue = EventQueue::new(T0);
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -123,7 +123,7 @@
         }
     };
     own.finished.set(true);
-    node.count(Counter::DoorCalls);
+    node.count(Counter::AdminCommands);
     let asked = match line {
         Some(line) if line.len() <= LINE => call(line),
         _ => Err("a line too long"),
@@ -137,7 +137,7 @@
     let text = match &answer {
         Ok(said) => format!("done {said}\n"),
         Err(why) => {
-            node.count(Counter::DoorRefused);
+            node.count(Counter::AdminRefused);
             format!("error {why}\n")
         }
     };
--- a/node/src/bulletin.rs
+++ b/node/src/bulletin.rs
@@ -138,7 +138,7 @@
 }
 
 fn lost(node: &Node, why: &str) {
-    node.count(Counter::BulletinLosses);
+    node.count(Counter::DiscoveryLosses);
     net::log(&format!("bulletin: connection lost ({why}), last event {}", node.last_event.get()));
 }
 
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -584,7 +584,7 @@
     fn encode(&self, d: &Dispatch) -> Option<Vec<u8>> {
         let ask = &d.client_request;
         let class = self.names.classes.get(usize::from(ask.class))?;
-        let left = d.due.saturating_sub(now()) / 1000;
+        let left = d.expires_at.saturating_sub(now()) / 1000;
         let mut f = format!("queue={class},path={},blk={},budget={}", ask.object_name, ask.part, left.max(1));
         let mut put = |name: &str, value: &str| {
             f.push(',');
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -200,7 +200,7 @@
         let done = answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await;
         drop(answer);
         if !done {
-            return Some(Counter::ClosedUntaken);
+            return Some(Counter::ClosedStalled);
         }
         c.writing.set(false);
         c.place.1.answered();
@@ -302,7 +302,7 @@
             }
             match ask(&c.node.config.names.classes, &c.node.config.settings, method, &params, at) {
                 Some(mut ask) => {
-                    ask.due = ask.due.min(c.node.last_due());
+                    ask.expires_at = ask.expires_at.min(c.node.last_due());
                     take(c, id, ask);
                 }
                 None => {
@@ -395,13 +395,13 @@
         object_name: row.into(),
         part: number("seg", u64::from(u32::MAX))? as u32,
         group: number("bucket", 255)? as u16,
-        kbytes: size(texts.get("heap").copied()),
-        due: at + number("ttl", patience.div_ceil(1000))? * 1000,
-        repeat: texts.get("rep") == Some(&"1"),
+        size_kb: size(texts.get("heap").copied()),
+        expires_at: at + number("ttl", patience.div_ceil(1000))? * 1000,
+        marked_retry: texts.get("rep") == Some(&"1"),
         idempotency_key: key,
         tag: plain("etag")?,
         body: body.to_vec(),
-        terms: RequestPolicy::default(),
+        policy: RequestPolicy::default(),
     })
 }
 
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -107,7 +107,7 @@
 
                 let id = self.node.pool.id(d.member).unwrap_or_default();
                 if d.suspected {
-                    self.node.count(Counter::GossipDoubts);
+                    self.node.count(Counter::GossipSuspicions);
                     net::log(&format!("gossip: {id} is held suspect, {} witnesses", d.witnesses));
                     self.probe(d.member);
                 } else {
@@ -177,7 +177,7 @@
             c.set(Counter::GossipConflicts, t.conflicts);
             // Members that have left the list take their count with them; the counter never falls.
             let helped = standings.iter().map(|s| u64::from(s.suspicion_skips)).sum::<u64>();
-            c.set(Counter::GossipHelped, helped.max(c.get(Counter::GossipHelped)));
+            c.set(Counter::GossipSuspicionSkips, helped.max(c.get(Counter::GossipSuspicionSkips)));
             DROPPED.iter().zip(t.dropped).for_each(|(counter, n)| c.set(*counter, n));
         });
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -350,7 +350,7 @@
             return;
         }
         log(&format!("stop: gives way to another process, {} connections of clients", self.clients()));
-        self.count(Counter::GaveWay);
+        self.count(Counter::HandedOver);
         self.gave_way.notify();
         self.let_go();
     }
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -327,7 +327,7 @@
         self.apply(next.states().clone(), 0);
         self.show();
         drop(lock);
-        self.node.count(if out { Counter::ServersOut } else { Counter::ServersBack });
+        self.node.count(if out { Counter::BansSet } else { Counter::BansLifted });
         log(&format!("bans: {id} is {}, by call (version {version})", if out { "out" } else { "back" }));
         Ok(version)
     }
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -534,13 +534,13 @@
         object_name: w.row.into(),
         part: w.part,
         group: w.group,
-        kbytes: 0.0,
-        due,
-        repeat: false,
+        size_kb: 0.0,
+        expires_at: due,
+        marked_retry: false,
         idempotency_key: w.key.map(Into::into),
         tag: w.tag.map(Into::into),
         body,
-        terms: RequestPolicy::default(),
+        policy: RequestPolicy::default(),
     };
     let (slot, signal) = (Rc::new(RefCell::new(None)), Rc::new(Signal::default()));
     let (s, g) = (slot.clone(), signal.clone());
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -171,8 +171,8 @@
                 (Counter::ZoneLeaves, t.zones_left),
                 (Counter::ZoneKept, t.kept_by_guard),
                 (Counter::ZoneMalformed, t.malformed),
-                (Counter::ZoneOld, t.outdated),
-                (Counter::ZoneUnvouched, t.unconfirmed),
+                (Counter::ZoneOutdated, t.outdated),
+                (Counter::ZoneUnconfirmed, t.unconfirmed),
                 (Counter::ZoneBytes, t.sent_bytes),
             ];
             figures.into_iter().for_each(|(c, n)| p.counters.set(c, n));
--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -208,7 +208,7 @@
         if moved {
             assert!(move_to(&w.node, other).contains("moved to"));
         } else {
-            until("given up", || count(&w, Counter::BulletinLosses) > 0).await;
+            until("given up", || count(&w, Counter::DiscoveryLosses) > 0).await;
             drop(full);
             let calls =
                 scripted(ex, Rc::new(Async::new(l).unwrap()), vec![vec![say(OK), say(&purge(1)), Hold]]);
@@ -311,9 +311,9 @@
         match how {
             0 => {}
             1 => until("the other", || !other.borrow().is_empty()).await,
-            _ => until("some tries", || count(&w, Counter::BulletinLosses) >= 4).await,
+            _ => until("some tries", || count(&w, Counter::DiscoveryLosses) >= 4).await,
         }
-        let (took, tries) = (now() - begun, count(&w, Counter::BulletinLosses));
+        let (took, tries) = (now() - begun, count(&w, Counter::DiscoveryLosses));
         assert!(tries <= 2 + took / 50_000, "{tries} tries in {took} us");
         move_to(&w.node, at);
         more.notify();
@@ -532,7 +532,7 @@
             call_id: "00".into(),
             object_name: OBJECT.into(),
             object: u64::from_str_radix(OBJECT, 16).unwrap(),
-            due: now() + 2 * S,
+            expires_at: now() + 2 * S,
             ..threadward_core::ClientRequest::default()
         };
         w.node
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -348,7 +348,7 @@
         only_held: false,
         parent_keeps_none: false,
         refresh_in_background: false,
-        due: now() + 4_000 * MS,
+        expires_at: now() + 4_000 * MS,
         send_by: Micros::MAX,
         exclusive_connection: id_once,
         decided_at: now(),
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -140,8 +140,8 @@
         assert!(cold > 0 && cold * 2 < warm, "{cold} to the one that came back, {warm} to the other");
         assert_eq!(ask(at, &["ENABLE s-0\n"]).await, "done in use\n", "with no ban it is a yes as well");
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
-        assert_eq!((count(Counter::ServersOut), count(Counter::ServersBack)), (1, 1));
-        assert_eq!((count(Counter::DoorCalls), count(Counter::DoorRefused)), (6, 1));
+        assert_eq!((count(Counter::BansSet), count(Counter::BansLifted)), (1, 1));
+        assert_eq!((count(Counter::AdminCommands), count(Counter::AdminRefused)), (6, 1));
     });
 }
 
@@ -173,7 +173,7 @@
             call_id: "00".into(),
             object_name: OBJECT.into(),
             object,
-            due: now() + 2_000_000,
+            expires_at: now() + 2_000_000,
             ..ClientRequest::default()
         };
         let reply = Box::new(move |last| *told.borrow_mut() = Some(last));
--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -268,5 +268,5 @@
     #[case] kbytes: f32,
 ) {
     let ask = asked(extra).expect("the request stands whatever its size says");
-    assert_eq!(ask.kbytes, kbytes);
+    assert_eq!(ask.size_kb, kbytes);
 }
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -192,7 +192,7 @@
         }
         w.tell(r#""recall":{"lot":1,"issued":3}"#).await;
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
-        assert_eq!((count(Counter::Purges), count(Counter::BulletinLosses)), (3, 2));
+        assert_eq!((count(Counter::Purges), count(Counter::DiscoveryLosses)), (3, 2));
     });
 }
 
@@ -224,7 +224,7 @@
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!(count(Counter::Purges), 1, "what stands behind it is heard");
         assert!(count(Counter::Malformed) >= 1, "it is counted");
-        assert!(count(Counter::BulletinLosses) <= 2, "and asked for again a bounded number of times");
+        assert!(count(Counter::DiscoveryLosses) <= 2, "and asked for again a bounded number of times");
         let mut c = Client::to(w.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None, "the cache of the last good list serves");
--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -96,7 +96,7 @@
             object_name: OBJECT.into(),
             object: u64::from_str_radix(OBJECT, 16).unwrap(),
             group: 17,
-            due: now() + 2 * S,
+            expires_at: now() + 2 * S,
             ..ClientRequest::default()
         };
         w.node.plan(|p, now| p.accept_request(now, 0, ask, Box::new(|_| {})));
