--- a/core/src/bans.rs
+++ b/core/src/bans.rs
@@ -160,8 +160,8 @@
             }
             // If a start after the ban was reported, that start counts instead: it began while the server was
             // banned.
-            Some(BanState::Lifted { banned_at: out, lifted_at: at }) if l.started_at <= *out => {
-                l.lifted_at = Some(*at)
+            Some(BanState::Lifted { banned_at, lifted_at }) if l.started_at <= *banned_at => {
+                l.lifted_at = Some(*lifted_at)
             }
             _ => {}
         }
@@ -194,9 +194,9 @@
     /// Returns an error if the server is unknown.
     pub fn enable(&mut self, id: &str, now: UnixTime) -> Result<bool, BanError> {
         match self.states.get(id) {
-            Some(BanState::Banned(out)) => {
-                let back = BanState::Lifted { banned_at: *out, lifted_at: now.max(*out) };
-                self.states.insert(id.to_owned(), back);
+            Some(BanState::Banned(banned_at)) => {
+                let lifted = BanState::Lifted { banned_at: *banned_at, lifted_at: now.max(*banned_at) };
+                self.states.insert(id.to_owned(), lifted);
                 Ok(true)
             }
             Some(BanState::Lifted { .. }) => Ok(false),
--- a/core/src/planner.rs
+++ b/core/src/planner.rs
@@ -7,7 +7,7 @@
 //! members.
 use crate::cold::ColdRate;
 use crate::job::Job;
-use crate::probes::{Pause, ProbingRouter};
+use crate::probes::{ProbePause, ProbingRouter};
 use crate::stages::{accounting, admit, intake, relay, route, send};
 use crate::zoned::{ZoneObservation, ZoneTracker, ZoneUse};
 use crate::{
@@ -213,7 +213,7 @@
 
     /// Sets the function that gives the pause between two probes of a cache from now on. Returns false if
     /// this planner doesn't probe caches at all.
-    pub fn set_probe_pause(&mut self, pause: Pause) -> bool {
+    pub fn set_probe_pause(&mut self, pause: ProbePause) -> bool {
         self.router.set_pause(pause);
         self.router.is_probing()
     }
--- a/core/src/probes.rs
+++ b/core/src/probes.rs
@@ -29,7 +29,7 @@
 
 /// Returns the time that this proxy has to wait between two probes of a cache at present, from a budget that
 /// all proxies share.
-pub type Pause = Rc<dyn Fn() -> Micros>;
+pub type ProbePause = Rc<dyn Fn() -> Micros>;
 
 /// The router, with load probes of the caches added to its actions.
 ///
@@ -69,7 +69,7 @@
     }
 
     /// Sets the function that gives the pause between two probes of a cache from now on.
-    pub fn set_pause(&mut self, pause: Pause) {
+    pub fn set_pause(&mut self, pause: ProbePause) {
         self.prober.iter_mut().for_each(|p| p.pause = Some(pause.clone()));
     }
 
@@ -124,7 +124,7 @@
     settings: Settings,
     /// Minimum time between two probes of a cache by this proxy, unless `pause` gives another.
     probe_interval: Micros,
-    pause: Option<Pause>,
+    pause: Option<ProbePause>,
     /// Probes saved up by requests.
     saved_probes: f64,
     caches: BTreeMap<Addr, LastProbe>,
@@ -194,10 +194,10 @@
     /// Returns the latest report again, with half of its link load, if it has been unchanged for too long: an
     /// old report must not keep fills away from a cache.
     fn aged_report(&mut self, now: Micros) -> Option<Event> {
-        let x1 = self.settings.columns.link_load?;
+        let link_load = self.settings.columns.link_load?;
         let (member, report, at) =
             self.last_report.as_mut().filter(|(_, _, at)| now >= *at + LINK_LOAD_HALF_LIFE)?;
-        *report.values.get_mut(x1)? /= 2.0;
+        *report.values.get_mut(link_load)? /= 2.0;
         *at = now;
         Some(Event::Probed { member: *member, outcome: Outcome::Ok, report: *report })
     }
@@ -231,11 +231,16 @@
         Event::Members { form: ListForm::Full, entries: states.iter().map(entry).collect() }
     }
 
-    fn probed(w: &mut ProbingRouter, now: Micros) -> Vec<Addr> {
-        let mut out = Vec::new();
-        let due = now + 1_000 * MS;
-        w.handle(now, Event::Request(Request { id: now, expires_at: due, ..Request::default() }), &mut out);
-        out.iter().filter_map(|a| if let Action::Probe(a) = a { Some(*a) } else { None }).collect()
+    /// Handles a request and returns the members that are probed because of it.
+    fn probed(router: &mut ProbingRouter, now: Micros) -> Vec<Addr> {
+        let mut actions = Vec::new();
+        let expires_at = now + 1_000 * MS;
+        router.handle(
+            now,
+            Event::Request(Request { id: now, expires_at, ..Request::default() }),
+            &mut actions,
+        );
+        actions.iter().filter_map(|a| if let Action::Probe(a) = a { Some(*a) } else { None }).collect()
     }
 
     /// Runs one minute of 100 requests per second at a site with two caches, a draining one, a parent and an
--- a/core/src/send_check.rs
+++ b/core/src/send_check.rs
@@ -9,7 +9,7 @@
     /// The current time.
     pub now: Micros,
     /// When the attempt was decided.
-    pub decided: Micros,
+    pub decided_at: Micros,
     /// Whether discovery has reported a purge or a change of the servers since then.
     pub notified_since: bool,
     /// How long after its decision an attempt may still be sent although such a report has come in.
@@ -57,7 +57,7 @@
 ///
 /// let facts = SendFacts {
 ///     now: 500,
-///     decided: 100,
+///     decided_at: 100,
 ///     notified_since: true,
 ///     grace: 400,
 ///     send_by: 501,
@@ -77,7 +77,7 @@
     if facts.server_out {
         return Err(Withheld::ServerOut);
     }
-    if facts.notified_since && facts.now > facts.decided + facts.grace {
+    if facts.notified_since && facts.now > facts.decided_at + facts.grace {
         return Err(Withheld::Outdated);
     }
     if facts.now >= facts.send_by {
--- a/core/src/shift.rs
+++ b/core/src/shift.rs
@@ -12,7 +12,7 @@
     /// The process serves clients.
     Ready,
     /// The process is about to end, and answers the requests that it has accepted.
-    Leaving,
+    Ending,
 }
 
 /// Start time and number of a process; this is the order of succession.
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OtherProcesses {
     /// Number of other live processes. All processes together share the limits.
-    pub others: usize,
+    pub count: usize,
     /// Whether another process is ready. This one may then hand over to it when it is told to end, both as
     /// the old process and as a new one that is given up.
     pub other_ready: bool,
@@ -56,7 +56,7 @@
     /// let starts = ProcessStatus { rank: (5, 100), ..ProcessStatus::default() };
     /// let others = summarize(&[starts]);
     /// assert!(others.may_listen_early((4, 101)) && !others.may_listen_early((6, 101)));
-    /// assert!(!summarize(&[ProcessStatus { phase: Phase::Leaving, ..starts }]).may_listen_early((4, 101)));
+    /// assert!(!summarize(&[ProcessStatus { phase: Phase::Ending, ..starts }]).may_listen_early((4, 101)));
     /// ```
     pub fn may_listen_early(&self, own: Rank) -> bool {
         !self.other_serving && self.first_starting.is_none_or(|first| own < first)
@@ -72,11 +72,11 @@
 /// let new = ProcessStatus { rank: (9, 101), phase: Phase::Starting, bans_version: 6 };
 /// assert!(!summarize(&[new]).other_ready && summarize(&[old]).other_ready);
 /// let both = summarize(&[old, new]);
-/// assert_eq!((both.others, both.min_bans_version), (2, Some(6)));
+/// assert_eq!((both.count, both.min_bans_version), (2, Some(6)));
 /// ```
 pub fn summarize(others: &[ProcessStatus]) -> OtherProcesses {
     OtherProcesses {
-        others: others.len(),
+        count: others.len(),
         other_ready: others.iter().any(|o| o.phase == Phase::Ready),
         min_bans_version: others.iter().map(|o| o.bans_version).min(),
         other_serving: others.iter().any(|o| o.phase != Phase::Starting),
@@ -90,11 +90,11 @@
     /// The process was told to end.
     pub ending: bool,
     /// A member list has been received.
-    pub listed: bool,
+    pub list_received: bool,
     /// What another process left for this one has been applied: the bans, and what its router has learned.
-    pub adopted: bool,
+    pub state_adopted: bool,
     /// Discovery has reported, or has been unreachable for as long as a start waits for it.
-    pub followed: bool,
+    pub discovery_known: bool,
     /// Clients can connect.
     pub listening: bool,
 }
@@ -107,17 +107,23 @@
 /// ```
 /// use threadward_core::shift::{ready, ReadinessFacts};
 ///
-/// let all = ReadinessFacts { ending: false, listed: true, adopted: true, followed: true, listening: true };
+/// let all = ReadinessFacts {
+///     ending: false,
+///     list_received: true,
+///     state_adopted: true,
+///     discovery_known: true,
+///     listening: true,
+/// };
 /// assert_eq!(ready(all), Ok(()));
-/// assert_eq!(ready(ReadinessFacts { followed: false, ..all }), Err("bulletin not yet heard"));
+/// assert_eq!(ready(ReadinessFacts { discovery_known: false, ..all }), Err("bulletin not yet heard"));
 /// assert_eq!(ready(ReadinessFacts { ending: true, ..all }), Err("ending"));
 /// ```
 pub fn ready(facts: ReadinessFacts) -> Result<(), &'static str> {
     let conditions = [
         (!facts.ending, "ending"),
-        (facts.listed, "no list of cache servers yet"),
-        (facts.adopted, "bans and what was learned not yet taken over"),
-        (facts.followed, "bulletin not yet heard"),
+        (facts.list_received, "no list of cache servers yet"),
+        (facts.state_adopted, "bans and what was learned not yet taken over"),
+        (facts.discovery_known, "bulletin not yet heard"),
         (facts.listening, "not yet listening"),
     ];
     conditions.into_iter().find(|(met, _)| !met).map_or(Ok(()), |(_, missing)| Err(missing))
--- a/core/tests/bans.rs
+++ b/core/tests/bans.rs
@@ -182,9 +182,9 @@
 fn only_a_ready_process_can_take_over() {
     let sign = |started, phase, bans| ProcessStatus { rank: (started, 1), phase, bans_version: bans };
     assert_eq!(summarize(&[]), Default::default());
-    let v = summarize(&[sign(3, Phase::Leaving, 4), sign(9, Phase::Starting, 2)]);
+    let v = summarize(&[sign(3, Phase::Ending, 4), sign(9, Phase::Starting, 2)]);
     assert_eq!(
-        (v.others, v.other_ready, v.min_bans_version),
+        (v.count, v.other_ready, v.min_bans_version),
         (2, false, Some(2)),
         "no process that starts or ends can take over"
     );
@@ -194,13 +194,19 @@
 /// Guards against a process that is called ready although a condition is missing, and pins the text for each.
 #[test]
 fn readiness_needs_every_condition() {
-    let all = ReadinessFacts { ending: false, listed: true, adopted: true, followed: true, listening: true };
+    let all = ReadinessFacts {
+        ending: false,
+        list_received: true,
+        state_adopted: true,
+        discovery_known: true,
+        listening: true,
+    };
     assert_eq!(ready(all), Ok(()));
     for (facts, why) in [
         (ReadinessFacts { ending: true, ..all }, "ending"),
-        (ReadinessFacts { listed: false, ..all }, "no list of cache servers yet"),
-        (ReadinessFacts { adopted: false, ..all }, "bans and what was learned not yet taken over"),
-        (ReadinessFacts { followed: false, ..all }, "bulletin not yet heard"),
+        (ReadinessFacts { list_received: false, ..all }, "no list of cache servers yet"),
+        (ReadinessFacts { state_adopted: false, ..all }, "bans and what was learned not yet taken over"),
+        (ReadinessFacts { discovery_known: false, ..all }, "bulletin not yet heard"),
         (ReadinessFacts { listening: false, ..all }, "not yet listening"),
     ] {
         assert_eq!(ready(facts), Err(why));
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -565,7 +565,7 @@
         let barred = self.barred.borrow();
         let facts = SendFacts {
             now: now(),
-            decided: d.decided_at,
+            decided_at: d.decided_at,
             // What purges and drains told since counts from the first byte.
             notified_since: home.epoch() != d.epoch,
             grace: OUTDATED.min(self.names.grace),
--- a/node/src/ledger.rs
+++ b/node/src/ledger.rs
@@ -110,7 +110,7 @@
     let (phase, bans) = text.trim_end().split_once(' ').unwrap_or_default();
     let phase = match phase {
         "ready" => Phase::Ready,
-        "leaving" => Phase::Leaving,
+        "leaving" => Phase::Ending,
         _ => Phase::Starting,
     };
     Some(ProcessStatus { rank, phase, bans_version: bans.trim().parse().unwrap_or(0) })
@@ -188,7 +188,7 @@
         let word = match phase {
             Phase::Starting => "starting",
             Phase::Ready => "ready",
-            Phase::Leaving => "leaving",
+            Phase::Ending => "leaving",
         };
         // Of one length, so that nothing of an earlier text is left.
         let text = format!("{word:<8} {bans:>20}\n");
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -105,9 +105,9 @@
         self.learn(ledger, &others);
         let view = shift::summarize(&others);
         let before = self.view.replace(view);
-        if before.others != view.others {
-            log(&format!("shift: {} other processes of this proxy live", view.others));
-            self.node.share(1 + view.others);
+        if before.count != view.count {
+            log(&format!("shift: {} other processes of this proxy live", view.count));
+            self.node.share(1 + view.count);
         }
         if view.other_ready && !before.other_ready {
             log("shift: another process is ready to take over");
@@ -159,7 +159,7 @@
     /// Shows the others what this process has come to.
     fn show(&self) {
         let phase = match self.judged() {
-            _ if self.node.stopping.get().is_some() => Phase::Leaving,
+            _ if self.node.stopping.get().is_some() => Phase::Ending,
             Ok(()) => Phase::Ready,
             Err(_) => Phase::Starting,
         };
@@ -267,10 +267,10 @@
     fn facts(&self, listening: bool) -> ReadinessFacts {
         ReadinessFacts {
             ending: self.node.stopping.get().is_some(),
-            listed: self.node.plan(|p, _| p.ready()),
+            list_received: self.node.plan(|p, _| p.ready()),
             // The first look, before anything else, puts the bans in force.
-            adopted: self.taught.get(),
-            followed: self.node.heard.get() || now() >= self.started + FOLLOW,
+            state_adopted: self.taught.get(),
+            discovery_known: self.node.heard.get() || now() >= self.started + FOLLOW,
             listening,
         }
     }
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -78,8 +78,8 @@
     assert!(!dir.join("threadward-n0.run-0000000000000001-77").exists());
     assert!(dir.join("threadward-n1.run-0000000000000001-78").exists(), "another proxy's file is left alone");
     b.show(Phase::Ready, 12).unwrap();
-    b.show(Phase::Leaving, 4).unwrap();
-    assert_eq!(a.others(), [ProcessStatus { rank: (6, 2), phase: Phase::Leaving, bans_version: 4 }]);
+    b.show(Phase::Ending, 4).unwrap();
+    assert_eq!(a.others(), [ProcessStatus { rank: (6, 2), phase: Phase::Ending, bans_version: 4 }]);
     let held = a.lock().unwrap();
     assert!(b.lock().unwrap().is_none());
     drop(held);
