--- a/core/src/probes.rs
+++ b/core/src/probes.rs
@@ -246,17 +246,17 @@
     /// Runs one minute of 100 requests per second at a site with two caches, a draining one, a parent and an
     /// origin. Returns when each member was probed.
     fn probes_of_a_minute(allowed: bool, inline: bool) -> BTreeMap<Addr, Vec<Micros>> {
-        let mut w = ProbingRouter::new(settings(allowed, inline), 1);
+        let mut router = ProbingRouter::new(settings(allowed, inline), 1);
         let (ready, drains) = (Lifecycle::Ready, Lifecycle::Draining);
         let all = [(1, 0, ready), (2, 0, ready), (3, 0, drains), (4, 1, ready), (5, 2, ready)];
-        w.handle(0, listed(&all), &mut Vec::new());
+        router.handle(0, listed(&all), &mut Vec::new());
         let mut sent: BTreeMap<Addr, Vec<Micros>> = BTreeMap::new();
         for now in (0..60_000).step_by(10).map(|t| 1_000_000 + t * MS) {
-            for a in probed(&mut w, now) {
+            for a in probed(&mut router, now) {
                 sent.entry(a).or_default().push(now);
                 let report = Report { count: 2, values: [0.1, 0.5, 0.0, 0.0] };
                 let ended = Event::Probed { member: a, outcome: Outcome::Ok, report };
-                w.handle(now, ended, &mut Vec::new());
+                router.handle(now, ended, &mut Vec::new());
             }
         }
         sent
@@ -293,15 +293,19 @@
     /// others still get their probes.
     #[test]
     fn a_silent_cache_does_not_keep_probes_from_the_others() {
-        let mut w = ProbingRouter::new(settings(true, false), 1);
-        w.handle(0, listed(&[(1, 0, Lifecycle::Ready), (2, 0, Lifecycle::Ready)]), &mut Vec::new());
+        let mut router = ProbingRouter::new(settings(true, false), 1);
+        router.handle(0, listed(&[(1, 0, Lifecycle::Ready), (2, 0, Lifecycle::Ready)]), &mut Vec::new());
         let mut probes = [0, 0];
         for now in (0..20_000).step_by(10).map(|t| 1_000_000 + t * MS) {
-            for a in probed(&mut w, now) {
+            for a in probed(&mut router, now) {
                 probes[usize::from(a.ip[3] - 1)] += 1;
                 if a == addr(2) {
                     let report = Report { count: 2, ..Report::default() };
-                    w.handle(now, Event::Probed { member: a, outcome: Outcome::Ok, report }, &mut Vec::new());
+                    router.handle(
+                        now,
+                        Event::Probed { member: a, outcome: Outcome::Ok, report },
+                        &mut Vec::new(),
+                    );
                 }
             }
         }
--- a/core/tests/withdrawn.rs
+++ b/core/tests/withdrawn.rs
@@ -30,8 +30,9 @@
     fn probe(&mut self, _: Addr) {}
 }
 
-/// Returns a planner whose first attempt has just been withdrawn because its cache was silent, with the
-/// record of its transport, the request's id and the time.
+/// Returns a planner whose first attempt has just been withdrawn because its cache was silent or, if attempts
+/// may run in parallel, whose second attempt has been sent; with the record of its transport, the request's
+/// id and the time.
 fn withdrawn_for_silence(parallel: bool) -> (Planner, Rc<RefCell<Record>>, u64, Micros) {
     let class =
         nickelgate::Class { target_latency: 200 * MS, deadline: 4_000 * MS, ..nickelgate::Class::default() };
@@ -59,6 +60,7 @@
     (p, record, id, now)
 }
 
+/// Guards against a second attempt, or one to the same silent cache, before the first cache has been told.
 #[test]
 fn next_attempt_waits_for_the_cancel_if_only_one_may_be_in_flight() {
     let (mut p, record, id, now) = withdrawn_for_silence(false);
@@ -73,6 +75,8 @@
     assert_ne!(sent[0], sent[1], "sent to the silent cache again");
 }
 
+/// An attempt that ends while its cancel is pending must be counted as ended once, not a second time as a
+/// late end.
 #[test]
 fn an_end_that_crosses_the_withdrawal_is_counted_once() {
     let (mut p, record, id, now) = withdrawn_for_silence(false);
@@ -82,6 +86,7 @@
     assert_eq!(p.counters.get(threadward_core::Counter::LateEnds), 0);
 }
 
+/// Guards against a request that stays open because its cancel is never written.
 #[test]
 fn a_cancel_that_is_never_written_does_not_delay_the_final_answer() {
     let (mut p, record, _, _) = withdrawn_for_silence(false);
@@ -95,6 +100,7 @@
     );
 }
 
+/// Guards against a wait for the cancel where it isn't needed.
 #[test]
 fn nothing_waits_if_attempts_may_run_in_parallel() {
     assert_eq!(withdrawn_for_silence(true).1.borrow().sent.len(), 2);
--- a/core/tests/zoned.rs
+++ b/core/tests/zoned.rs
@@ -43,10 +43,10 @@
 /// Two caches in the planner's own zone 0, and two members of a parent in each of the zones 1 and 2. The
 /// second parent member of zone 1 is draining.
 fn fixture() -> Fixture {
-    let class = |worth| nickelgate::Class {
+    let class = |value| nickelgate::Class {
         target_latency: 200 * MS,
         deadline: 4_000 * MS,
-        value: worth,
+        value,
         ..nickelgate::Class::default()
     };
     let s = Settings {
