--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,6 +1,6 @@
 //! The door for operators: one line a connection, one answer. It owns its few places and the form of a call. It must
 //! never judge a call, hold up a client's work, or let callers that say nothing keep others out.
-use crate::net::{log, now, read_some, sleep_until, Out, Signal};
+use crate::net::{log, now, read_some, sleep_until, OutgoingAnswer, Signal};
 use crate::node::Node;
 use crate::shift::Shift;
 use async_io::Async;
@@ -39,7 +39,7 @@
         [] => Err("empty call"),
         ["READY"] => Ok(Call::Ready),
         ["DISABLE" | "ENABLE"] => Err("the id is missing"),
-        ["DISABLE" | "ENABLE", id] if !crate::wire::plain(id, 128) => Err("unknown cache server"),
+        ["DISABLE" | "ENABLE", id] if !crate::wire::is_plain_text(id, 128) => Err("unknown cache server"),
         ["DISABLE", id] => Ok(Call::Disable(id)),
         ["ENABLE", id] => Ok(Call::Enable(id)),
         ["READY" | "DISABLE" | "ENABLE", ..] => Err("too many words"),
@@ -144,7 +144,7 @@
     // Its place is free from here on.
     own.gone.set(true);
     let until = now() + LINGER;
-    if Out::from(text.into_bytes()).write(stream).await {
+    if OutgoingAnswer::from(text.into_bytes()).write(stream).await {
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let rest = async {
             let mut rest = Vec::new();
--- a/node/src/bulletin.rs
+++ b/node/src/bulletin.rs
@@ -41,9 +41,10 @@
 
 /// Makes the planner and the pool hold what is so of these servers, after a call of the staff that was made no longer ago
 /// than `within`.
-pub fn hold(node: &Node, servers: Vec<ListedServer>, within: Micros) {
+pub fn apply_bans(node: &Node, servers: Vec<ListedServer>, within: Micros) {
     let bans = node.bans.borrow();
-    node.pool.bar(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| stand_in(id)).collect());
+    node.pool
+        .set_disabled(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| stand_in(id)).collect());
     drop(bans);
     if !servers.is_empty() {
         take_over(node, ListForm::Delta, servers, within);
@@ -52,7 +53,7 @@
 
 fn take_over(node: &Node, form: ListForm, mut servers: Vec<ListedServer>, within: Micros) {
     node.start_times.borrow_mut().place(form, &mut servers, (unix_now(), now()), within);
-    let displaced = node.pool.roster(form, &servers);
+    let displaced = node.pool.update_listed(form, &servers);
     let gone = |addr| Entry { addr, state: Lifecycle::Gone, ..Entry::default() };
     let listed = servers.into_iter().map(|s| s.entry);
     let entries = displaced.into_iter().map(gone).chain(listed).collect();
@@ -62,12 +63,15 @@
 pub fn apply(node: &Node, b: Bulletin, cached: bool) {
     match b {
         Bulletin::Roster { form, mut servers } => {
-            let more =
-                |s: &&ListedServer| s.entry.state != Lifecycle::Gone && node.pool.id(s.entry.addr).is_none();
+            let more = |s: &&ListedServer| {
+                s.entry.state != Lifecycle::Gone && node.pool.member_id(s.entry.addr).is_none()
+            };
             // The last good list stays in use, and so do the drains it told of.
             let why = match form {
                 ListForm::Full if servers.is_empty() && !cached => Some("a whole list of no servers"),
-                ListForm::Delta if servers.iter().filter(more).count() + node.pool.listed() > SERVERS => {
+                ListForm::Delta
+                    if servers.iter().filter(more).count() + node.pool.member_count() > SERVERS =>
+                {
                     Some("more servers than can be held")
                 }
                 _ if servers.len() > SERVERS => Some("a list of too many servers"),
@@ -193,19 +197,19 @@
         "GET /bulletins HTTP/1.1\r\nHost: {at}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
         node.last_event.get()
     );
-    net::write_whole(&stream, request.as_bytes()).await.map_err(lost)?;
+    net::write_all(&stream, request.as_bytes()).await.map_err(lost)?;
     let mut raw = Vec::new();
     loop {
         if net::read_some(&stream, &mut raw, HEAD_BYTES).await == 0 {
             return Err(Malformed("ended"));
         }
-        let Some((head, used)) = wire::http_head(&raw)? else { continue };
-        if head.start[1] != "200" {
+        let Some((head, used)) = wire::parse_http_head(&raw)? else { continue };
+        if head.start_line[1] != "200" {
             return Err(Malformed("the bulletin refused"));
         }
         node.heard.set(true);
         raw.drain(..used);
-        let chunked = head.get("transfer-encoding").unwrap_or("").eq_ignore_ascii_case("chunked");
+        let chunked = head.header("transfer-encoding").unwrap_or("").eq_ignore_ascii_case("chunked");
         return Ok(Watch { stream, raw, chunked });
     }
 }
@@ -232,7 +236,7 @@
         let (known, mut last) = (text.len(), false);
         if chunked {
             let mut from = 0;
-            while let Some((part, used)) = wire::http_chunk(&raw[from..])? {
+            while let Some((part, used)) = wire::parse_http_chunk(&raw[from..])? {
                 text.extend_from_slice(part);
                 from += used;
                 last = part.is_empty();
@@ -246,7 +250,8 @@
         }
         let mut from = 0;
         // Without a further end of a line no block can have become whole.
-        let mut more = text.len() > wire::EVENT || text[known..].iter().any(|b| matches!(b, b'\n' | b'\r'));
+        let mut more =
+            text.len() > wire::MAX_EVENT_BYTES || text[known..].iter().any(|b| matches!(b, b'\n' | b'\r'));
         while more {
             if passing {
                 let end = block(&text[from..]);
@@ -256,7 +261,7 @@
             if passing {
                 break;
             }
-            match wire::sse(&text[from..]) {
+            match wire::parse_sse_event(&text[from..]) {
                 Ok(Some((data, used))) => {
                     from += used;
                     if let Some(data) = data {
@@ -319,7 +324,7 @@
 }
 
 /// Takes datagrams of other proxies; from elsewhere, or too long, they are dropped and counted.
-pub async fn peers(node: Rc<Node>, socket: Rc<Async<UdpSocket>>) {
+pub async fn receive_peer_messages(node: Rc<Node>, socket: Rc<Async<UdpSocket>>) {
     let mut buf = [0u8; 257];
     loop {
         let Ok((n, from)) = socket.recv_from(&mut buf).await else {
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -3,7 +3,7 @@
 //! the planner while the planner is calling it: every end is reported from a task of a connection.
 use crate::calls;
 use crate::config::{ListedServer, Names};
-use crate::net::{now, read_now, sleep_until, Signal};
+use crate::net::{now, sleep_until, try_read, Signal};
 use crate::wire;
 use async_io::Async;
 use futures_lite::{future, FutureExt};
@@ -58,19 +58,19 @@
 }
 
 /// Who the pool works for: starts its tasks and hears of its ends.
-pub trait Home {
-    fn start(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>);
-    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd);
+pub trait PoolOwner {
+    fn spawn_task(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>);
+    fn report_attempt_end(&self, request: u64, attempt: u16, end: AttemptEnd);
     /// How many purges and list changes were told.
     fn epoch(&self) -> u64;
     /// Whether the client of a request still waits for its answer.
     fn client_waits(&self, request: u64) -> bool;
     fn count(&self, c: Counter);
     /// A probe of the planner's ended.
-    fn probed(&self, member: Addr, outcome: Outcome, report: Report);
+    fn report_probe_end(&self, member: Addr, outcome: Outcome, report: Report);
 }
 
-pub struct Pool {
+pub struct CachePool {
     names: Names,
     servers: RefCell<BTreeMap<Addr, Rc<Server>>>,
     out: RefCell<HashMap<(u64, u16), Rc<Conn>>>,
@@ -80,10 +80,10 @@
     /// Members that the staff took out: nothing is written to them, nor with them as a source.
     barred: RefCell<BTreeSet<Addr>>,
     /// Bytes of answers that are still coming in.
-    pub buffered: Cell<usize>,
+    pub buffered_bytes: Cell<usize>,
     /// Probes made.
     probes: Cell<u64>,
-    home: RefCell<Option<Weak<dyn Home>>>,
+    home: RefCell<Option<Weak<dyn PoolOwner>>>,
 }
 
 /// What came of a probe.
@@ -181,7 +181,7 @@
     }
     /// Whether what was read of an answer can be one to something that was asked here.
     fn knows(&self, unread: &[u8]) -> bool {
-        let id = wire::resp_first(unread);
+        let id = wire::first_resp_part(unread);
         let is = |c: &str| id == Some(c.as_bytes());
         self.pending.borrow().iter().any(|(c, p)| is(c) && p.progress != Progress::NotConnected)
             || self.spent.borrow().iter().any(|c| is(c))
@@ -195,12 +195,12 @@
     ((sockets - sockets / 2) / of.max(1)).saturating_sub(OTHERS).max(4)
 }
 
-impl Pool {
+impl CachePool {
     /// `sockets`: the limit on descriptors; half of them are for clients.
-    pub fn new(names: Names, sockets: usize) -> Rc<Pool> {
-        Rc::new(Pool {
+    pub fn new(names: Names, sockets: usize) -> Rc<CachePool> {
+        Rc::new(CachePool {
             open: Cell::new(0),
-            buffered: Cell::new(0),
+            buffered_bytes: Cell::new(0),
             probes: Cell::new(0),
             most: Cell::new(places(sockets, 1)),
             barred: RefCell::default(),
@@ -212,27 +212,27 @@
     }
 
     /// This process is one of so many that share the descriptors.
-    pub fn share(&self, sockets: usize, of: usize) {
+    pub fn share_descriptors(&self, sockets: usize, of: usize) {
         self.most.set(places(sockets, of));
     }
 
     /// The members that are out, by call of the staff.
-    pub fn bar(&self, out: BTreeSet<Addr>) {
+    pub fn set_disabled(&self, out: BTreeSet<Addr>) {
         *self.barred.borrow_mut() = out;
     }
 
-    pub fn join(&self, home: &Rc<dyn Home>) {
+    pub fn set_owner(&self, home: &Rc<dyn PoolOwner>) {
         *self.home.borrow_mut() = Some(Rc::downgrade(home));
     }
 
-    fn home(&self) -> Option<Rc<dyn Home>> {
+    fn home(&self) -> Option<Rc<dyn PoolOwner>> {
         self.home.borrow().as_ref().and_then(Weak::upgrade)
     }
 
     /// Takes in a change of the list. A member that left or started anew gets no more on its old connections. Gives
     /// those whose address another one has now: they are gone, though nobody has told it yet, and what is sent for
     /// them would reach the new one.
-    pub fn roster(&self, form: ListForm, listed: &[ListedServer]) -> Vec<Addr> {
+    pub fn update_listed(&self, form: ListForm, listed: &[ListedServer]) -> Vec<Addr> {
         let ready = |l: &&ListedServer| l.entry.state == Lifecycle::Ready;
         let at = |sock: SocketAddr| listed.iter().filter(ready).find(move |l| l.socket_addr == sock);
         let mut displaced = Vec::new();
@@ -284,11 +284,11 @@
     }
 
     /// How many members are listed.
-    pub fn listed(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.servers.borrow().len()
     }
 
-    pub fn id(&self, a: Addr) -> Option<String> {
+    pub fn member_id(&self, a: Addr) -> Option<String> {
         self.servers.borrow().get(&a).map(|s| s.id.clone())
     }
 
@@ -296,14 +296,14 @@
     fn report_later(self: &Rc<Self>, request: u64, attempt: u16, end: AttemptEnd) {
         let pool = self.clone();
         if let Some(home) = self.home() {
-            home.start("report", Box::pin(async move { pool.report(request, attempt, end) }));
+            home.spawn_task("report", Box::pin(async move { pool.report(request, attempt, end) }));
         }
     }
 
     fn report(&self, request: u64, attempt: u16, end: AttemptEnd) {
         self.out.borrow_mut().remove(&(request, attempt));
         if let Some(home) = self.home() {
-            home.ended(request, attempt, end);
+            home.report_attempt_end(request, attempt, end);
         }
     }
 
@@ -372,7 +372,7 @@
             pool.run(&server, &c).await;
         };
         match self.home() {
-            Some(home) => home.start("cache connection", Box::pin(task)),
+            Some(home) => home.spawn_task("cache connection", Box::pin(task)),
             None => return None,
         }
         Some(conn)
@@ -520,10 +520,10 @@
             let d = match c.queue.borrow().front() {
                 None => return Next::Nothing,
                 Some(Item::Cancel(call, _)) => {
-                    return Next::Bytes(wire::resp_write(&[b"cancel", call.as_bytes()]), None)
+                    return Next::Bytes(wire::encode_resp(&[b"cancel", call.as_bytes()]), None)
                 }
                 Some(Item::Probe(word, tag)) => {
-                    return Next::Bytes(wire::resp_write(&[word.as_bytes(), tag.as_bytes()]), None)
+                    return Next::Bytes(wire::encode_resp(&[word.as_bytes(), tag.as_bytes()]), None)
                 }
                 Some(Item::Serve(d)) => d.clone(),
             };
@@ -596,7 +596,7 @@
             put("uniq", key);
         }
         if let Some(source) = d.source {
-            put("fetch", &self.id(source)?);
+            put("fetch", &self.member_id(source)?);
         }
         if d.keep_rank > 0 {
             put("retain", &d.keep_rank.to_string());
@@ -617,7 +617,7 @@
         if let Some(tag) = &ask.tag {
             put("holds", tag);
         }
-        Some(wire::resp_write(&[b"serve", ask.call_id.as_bytes(), f.as_bytes(), &ask.body]))
+        Some(wire::encode_resp(&[b"serve", ask.call_id.as_bytes(), f.as_bytes(), &ask.body]))
     }
 
     async fn read(&self, c: &Conn, stream: &Async<TcpStream>) {
@@ -642,7 +642,7 @@
         }
         // No report may find the buffer in use: what it leads to may look at this connection.
         let mut buf = c.unread.take();
-        let turn = match read_now(stream, &mut buf, 64 * 1024) {
+        let turn = match try_read(stream, &mut buf, 64 * 1024) {
             Some(0) => Turn::End,
             Some(_) if self.answers(c, &mut buf) => Turn::More,
             Some(_) => Turn::End,
@@ -652,7 +652,7 @@
         c.partial.set(!buf.is_empty());
         c.foreign.set(!buf.is_empty() && !c.knows(&buf));
         let before = c.buffered.replace(buf.capacity());
-        self.buffered.set(self.buffered.get() + buf.capacity() - before);
+        self.buffered_bytes.set(self.buffered_bytes.get() + buf.capacity() - before);
         c.unread.replace(buf);
         turn
     }
@@ -663,7 +663,7 @@
         c.used.set(now());
         let mut at = 0;
         while at < buf.len() {
-            let (call, mut told, body, used) = match wire::resp(&buf[at..]) {
+            let (call, mut told, body, used) = match wire::parse_resp(&buf[at..]) {
                 Ok(Some((parts, used))) if matches!(parts.get(1), Some(&(b"green" | b"red"))) => {
                     let fields = parts.get(2).and_then(|f| std::str::from_utf8(f).ok()).unwrap_or("-");
                     let outcome = if parts[1] == b"green" { Outcome::Ok } else { Outcome::Error };
@@ -674,7 +674,7 @@
                     at += used;
                     continue;
                 }
-                Ok(Some((parts, used))) => match answer(&parts, &self.names.columns) {
+                Ok(Some((parts, used))) => match parse_answer(&parts, &self.names.columns) {
                     Some((call, told)) => (call, told, parts[3].len(), used),
                     None => return (self.count(Counter::Malformed), false).1,
                 },
@@ -716,7 +716,7 @@
             self.report(p.dispatch.request, p.dispatch.attempt, AttemptEnd::Answered(told));
         }
         buf.drain(..at);
-        match wire::resp_length(buf) {
+        match wire::resp_array_bytes(buf) {
             _ if buf.is_empty() => *buf = Vec::new(),
             Some(n) if n > buf.capacity() => buf.reserve_exact(n - buf.len()),
             _ => {}
@@ -744,31 +744,31 @@
 }
 
 /// Takes a connection off its member's list, however its task ends.
-struct Ended(Rc<Pool>, Rc<Server>, Rc<Conn>);
+struct Ended(Rc<CachePool>, Rc<Server>, Rc<Conn>);
 
 impl Drop for Ended {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
-        self.0.buffered.set(self.0.buffered.get() - self.2.buffered.get());
+        self.0.buffered_bytes.set(self.0.buffered_bytes.get() - self.2.buffered.get());
         self.1.conns.borrow_mut().retain(|o| !Rc::ptr_eq(o, &self.2));
     }
 }
 
 /// What the planner holds of the pool.
-pub struct Way(pub Rc<Pool>);
+pub struct PoolTransport(pub Rc<CachePool>);
 
-impl CacheTransport for Way {
+impl CacheTransport for PoolTransport {
     fn probe(&mut self, member: Addr) {
         let (pool, home) = (self.0.clone(), self.0.home());
         let Some(home) = home else { return };
         let task = async move {
             if let Some((outcome, report)) = pool.probe(member, "gauges").await {
                 if let Some(home) = pool.home() {
-                    home.probed(member, outcome, report);
+                    home.report_probe_end(member, outcome, report);
                 }
             }
         };
-        home.start("load probe", Box::pin(task));
+        home.spawn_task("load probe", Box::pin(task));
     }
 
     fn send(&mut self, d: Dispatch) {
@@ -804,7 +804,7 @@
 }
 
 /// What a cache's answer says: the id, and how the attempt ended. The body is left where it is.
-pub fn answer(parts: &[&[u8]], columns: &[String]) -> Option<(Box<str>, CacheAnswer)> {
+pub fn parse_answer(parts: &[&[u8]], columns: &[String]) -> Option<(Box<str>, CacheAnswer)> {
     let [id, word, fields, body] = parts else { return None };
     let id = std::str::from_utf8(id).ok()?;
     let fields = std::str::from_utf8(fields).ok()?;
@@ -817,7 +817,7 @@
         "nobody" => Outcome::NotSent,
         _ => return None,
     };
-    let note = match wire::field(fields, "detail").unwrap_or("") {
+    let note = match wire::find_field(fields, "detail").unwrap_or("") {
         "HIT" => Note::Hit,
         "MISS" => Note::Filled,
         "MISS_ORIGIN" => Note::FilledOrigin,
@@ -830,12 +830,13 @@
         "ORIGIN_ERR" => Note::OriginFailed,
         _ => Note::None,
     };
-    let waited = wire::field(fields, "took").and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    let waited = wire::find_field(fields, "took").and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
     let report = load(fields, columns);
     // What was written at the origin has no tag; a copy that is still good has one, and no bytes.
-    let tag = wire::field(fields, "version").unwrap_or("");
+    let tag = wire::find_field(fields, "version").unwrap_or("");
     let unchanged = word == "still_good";
-    if !tag.is_empty() && !wire::plain(tag, 128) || unchanged && (tag.is_empty() || !body.is_empty()) {
+    if !tag.is_empty() && !wire::is_plain_text(tag, 128) || unchanged && (tag.is_empty() || !body.is_empty())
+    {
         return None;
     }
     let payload =
@@ -849,7 +850,8 @@
 /// The load that an answer's fields tell, in the order of the settings' columns.
 fn load(fields: &str, columns: &[String]) -> Report {
     let mut report = Report::default();
-    for (name, value) in wire::field(fields, "use").unwrap_or("").split(';').filter_map(|g| g.split_once(':'))
+    for (name, value) in
+        wire::find_field(fields, "use").unwrap_or("").split(';').filter_map(|g| g.split_once(':'))
     {
         // The list of columns has the settings' word for the share of the processor in use.
         let name = if name == "util" { "cpu" } else { name };
--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -17,7 +17,7 @@
 static RETRIED: AtomicU64 = AtomicU64::new(0);
 
 /// How many calls have failed for a moment since the start, and were or will be made again.
-pub fn retried() -> u64 {
+pub fn retried_calls() -> u64 {
     RETRIED.load(Ordering::Relaxed)
 }
 
@@ -60,18 +60,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
     /// No connection waits.
-    Empty,
+    NoneWaiting,
     /// That connection is gone, or the call was interrupted: the next one is accepted at once.
-    Next,
+    RetryAtOnce,
     /// The system lacks something for now, or the error is not known: accepted again after [`BACKOFF`].
-    Later,
+    RetryAfterBackoff,
 }
 
 impl AcceptFailure {
     /// What an error asks for. Linux passes errors of the new connection on through `accept`.
     pub fn of(error: &Error) -> AcceptFailure {
         if error.kind() == ErrorKind::WouldBlock {
-            return AcceptFailure::Empty;
+            return AcceptFailure::NoneWaiting;
         }
         match Errno::from_io_error(error) {
             Some(
@@ -87,8 +87,8 @@
                 | Errno::NONET
                 | Errno::PERM
                 | Errno::TIMEDOUT,
-            ) => AcceptFailure::Next,
-            _ => AcceptFailure::Later,
+            ) => AcceptFailure::RetryAtOnce,
+            _ => AcceptFailure::RetryAfterBackoff,
         }
     }
 }
@@ -109,14 +109,14 @@
     }
 
     /// Waits as the failure asks for; whether the next accept follows at once.
-    pub async fn after(&mut self, failure: AcceptFailure) -> bool {
-        if failure == AcceptFailure::Empty {
+    pub async fn wait_after(&mut self, failure: AcceptFailure) -> bool {
+        if failure == AcceptFailure::NoneWaiting {
             self.reset();
             return false;
         }
         count_retry();
         self.in_row += 1;
-        let at_once = failure == AcceptFailure::Next && self.in_row <= MAX_AT_ONCE;
+        let at_once = failure == AcceptFailure::RetryAtOnce && self.in_row <= MAX_AT_ONCE;
         if !at_once {
             sleep_until(now() + BACKOFF).await;
         }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -118,7 +118,7 @@
     for (i, c) in list.iter().enumerate() {
         let wrong = |why: &str| Err(format!("'settings': 'classes', entry {i}: 'name' {why}"));
         let name = c.get("name").and_then(Value::as_str).unwrap_or_default();
-        if !crate::wire::plain(name, 64) {
+        if !crate::wire::is_plain_text(name, 64) {
             return wrong("is missing or cannot be sent");
         }
         if names.iter().any(|n| n == name) {
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -79,5 +79,5 @@
 
 /// Reads datagrams for as long as the program runs.
 pub async fn receive(socket: Rc<ControlSocket>) {
-    net::each_datagram(&socket.socket, MAX_DATAGRAM_BYTES, |datagram, _| socket.received(datagram)).await;
+    net::receive_datagrams(&socket.socket, MAX_DATAGRAM_BYTES, |datagram, _| socket.received(datagram)).await;
 }
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -2,9 +2,9 @@
 //! the answers not yet written. It must never hold policy or a view of the caches: it parses, hands over and
 //! relays, and one task serves one connection. Once our side of a connection is shut down, nothing of it is handed on.
 use crate::calls::{AcceptFailure, AcceptRetry};
-use crate::net::{self, now, read_some, sleep_until, Out, Signal, QUEUE};
+use crate::net::{self, now, read_some, sleep_until, OutgoingAnswer, Signal, LISTEN_BACKLOG};
 use crate::node::{Node, Place};
-use crate::wire::{self, Rpc, Val};
+use crate::wire::{self, MsgpackValue, Rpc};
 use async_io::Async;
 use futures_lite::{future, FutureExt};
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
     place: Place,
     /// Message ids that are owed an answer, with the planner's numbers (0: not known yet).
     open: RefCell<HashMap<u32, u64>>,
-    out: RefCell<VecDeque<Out>>,
+    out: RefCell<VecDeque<OutgoingAnswer>>,
     signal: Signal,
     last: Cell<u32>,
     writing: Cell<bool>,
@@ -48,10 +48,10 @@
 }
 
 impl Client {
-    fn push(&self, answer: impl Into<Out>) {
+    fn push(&self, answer: impl Into<OutgoingAnswer>) {
         let answer = answer.into();
         self.node.unwritten.set(self.node.unwritten.get() + 1);
-        self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() + answer.held());
+        self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() + answer.memory_bytes());
         self.out.borrow_mut().push_back(answer);
         self.touch();
         self.signal.notify();
@@ -68,9 +68,9 @@
             self.node.plan(|p, now| p.client_left(now, id));
         }
     }
-    fn written(&self, answer: &Out) {
+    fn written(&self, answer: &OutgoingAnswer) {
         self.node.unwritten.set(self.node.unwritten.get() - 1);
-        self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() - answer.held());
+        self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() - answer.memory_bytes());
     }
 }
 
@@ -97,22 +97,22 @@
             break;
         }
         let failure = AcceptFailure::of(&e);
-        if failure == AcceptFailure::Later {
+        if failure == AcceptFailure::RetryAfterBackoff {
             // Out of descriptors, say: the queue waits, nothing is lost by trying again soon.
             net::log(&format!("accept: {e}"));
         }
-        if !retry.after(failure).await {
+        if !retry.wait_after(failure).await {
             place = None;
         }
     }
     // Where the successor has a queue of its own, what this one still holds would be reset by the close.
-    for _ in 0..QUEUE {
+    for _ in 0..LISTEN_BACKLOG {
         let Err(e) = greet(&node, &listener, &mut place).await else { continue };
         let failure = AcceptFailure::of(&e);
-        if failure == AcceptFailure::Empty {
+        if failure == AcceptFailure::NoneWaiting {
             break;
         }
-        if !retry.after(failure).await {
+        if !retry.wait_after(failure).await {
             place = None;
         }
     }
@@ -163,7 +163,7 @@
     });
     let held = Held(c.clone());
     let overdue = async {
-        c.place.1.overdue(|| net::unread(&stream)).await;
+        c.place.1.overdue(|| net::has_unread_bytes(&stream)).await;
         let drained = c.node.giving_way.get() || c.node.closing();
         Some(if drained { Counter::ClosedDrained } else { Counter::Overdue })
     };
@@ -176,7 +176,7 @@
 
 /// An answer that is being written. Its bytes are given back however that ends, also when the connection's task is
 /// dropped in the middle: else they would count as held for ever, and admission would close.
-struct InHand<'a>(&'a Client, Out);
+struct InHand<'a>(&'a Client, OutgoingAnswer);
 
 impl Drop for InHand<'_> {
     fn drop(&mut self) {
@@ -213,14 +213,14 @@
     let mut buf = Vec::new();
     while read_some(stream, &mut buf, TURN_BYTES).await > 0 {
         // One that has gone behind what it sent asks for nothing any more: its end is looked for before that is taken.
-        let ahead = (0..AHEAD).map_while(|_| net::read_now(stream, &mut buf, TURN_BYTES));
+        let ahead = (0..AHEAD).map_while(|_| net::try_read(stream, &mut buf, TURN_BYTES));
         if ahead.into_iter().any(|n| n == 0) {
             break;
         }
         c.place.1.reading(true);
         let mut at = 0;
         for n in 1.. {
-            match wire::rpc(&buf[at..]) {
+            match wire::parse_rpc(&buf[at..]) {
                 Ok(Some((message, used))) => {
                     if let Err(why) = handle(c, message) {
                         refuse(c, stream, why).await;
@@ -273,8 +273,8 @@
 fn handle(c: &Rc<Client>, message: Rpc<'_>) -> Result<(), wire::Malformed> {
     let at = now();
     match message {
-        Rpc::Notice { method: b"cancelRequest", params } => {
-            if let [Val::Int(id)] = params.as_slice() {
+        Rpc::Notification { method: b"cancelRequest", params } => {
+            if let [MsgpackValue::Int(id)] = params.as_slice() {
                 let id = u32::try_from(*id).ok().and_then(|id| c.open.borrow_mut().remove(&id));
                 if let Some(id) = id {
                     c.node.plan(|p, now| p.client_left(now, id));
@@ -283,7 +283,7 @@
             }
             Ok(())
         }
-        Rpc::Notice { .. } => Ok(()),
+        Rpc::Notification { .. } => Ok(()),
         Rpc::Request { id, method, params } => {
             // Ids count up; one that comes again could not be told from the first.
             if id <= c.last.get() {
@@ -294,13 +294,13 @@
                 // With a successor there the proxy lives on, though this process ends.
                 let stays = c.node.stopping.get().is_none() || c.node.giving_way.get();
                 let yes = stays && c.node.plan(|p, _| p.ready());
-                c.push(wire::rpc_alive(id, yes));
+                c.push(wire::encode_alive(id, yes));
                 return Ok(());
             }
             if c.open.borrow().len() >= OPEN || c.out.borrow().len() >= OPEN + WAITING {
                 return Err(wire::Malformed("too many open requests"));
             }
-            match ask(&c.node.config.names.classes, &c.node.config.settings, method, &params, at) {
+            match parse_request(&c.node.config.names.classes, &c.node.config.settings, method, &params, at) {
                 Some(mut ask) => {
                     ask.expires_at = ask.expires_at.min(c.node.last_due());
                     take(c, id, ask);
@@ -311,7 +311,7 @@
                     if c.unusable.get() > UNUSABLE {
                         return Err(wire::Malformed("too many unusable requests"));
                     }
-                    c.push(wire::rpc_error(id, "Error", &[]));
+                    c.push(wire::encode_error(id, "Error", &[]));
                 }
             }
             Ok(())
@@ -322,7 +322,7 @@
 fn take(c: &Rc<Client>, id: u32, ask: ClientRequest) {
     if c.node.closing() {
         c.node.count(Counter::RefusedClosing);
-        return c.push(wire::rpc_error(id, "Full", &[]));
+        return c.push(wire::encode_error(id, "Full", &[]));
     }
     c.open.borrow_mut().insert(id, 0);
     let client = Rc::downgrade(c);
@@ -334,14 +334,14 @@
         c.push(match last {
             FinalAnswer::Served(p) => {
                 let (unchanged, etag) = (("notmod", "1"), ("etag", &*p.tag));
-                let tail = wire::rpc_fields(&[unchanged, etag][usize::from(!p.unchanged)..]);
-                Out { head: wire::rpc_served(id, p.body.len()), body: p.body, tail }
+                let tail = wire::encode_fields(&[unchanged, etag][usize::from(!p.unchanged)..]);
+                OutgoingAnswer { head: wire::encode_served_head(id, p.body.len()), body: p.body, tail }
             }
-            FinalAnswer::Refused { retry_after: 0 } => wire::rpc_error(id, "Full", &[]).into(),
+            FinalAnswer::Refused { retry_after: 0 } => wire::encode_error(id, "Full", &[]).into(),
             FinalAnswer::Refused { retry_after: after } => {
-                wire::rpc_error(id, "Full", &[("pushback", &after.div_ceil(1000).to_string())]).into()
+                wire::encode_error(id, "Full", &[("pushback", &after.div_ceil(1000).to_string())]).into()
             }
-            FinalAnswer::Failed => wire::rpc_error(id, "Error", &[]).into(),
+            FinalAnswer::Failed => wire::encode_error(id, "Error", &[]).into(),
         });
     });
     let number = c.node.plan(|p, now| p.accept_request(now, c.node.held(), ask, reply));
@@ -352,18 +352,18 @@
 }
 
 /// A request from a method and its parameters; nothing where a field is unusable.
-pub fn ask(
+pub fn parse_request(
     classes: &[String],
     settings: &threadward_core::Settings,
     method: &[u8],
-    params: &[Val<'_>],
+    params: &[MsgpackValue<'_>],
     at: Micros,
 ) -> Option<ClientRequest> {
     let class = classes.iter().position(|c| c.as_bytes() == method)?;
-    let [Val::Map(fields), Val::Bin(body)] = params else { return None };
+    let [MsgpackValue::Map(fields), MsgpackValue::Bin(body)] = params else { return None };
     let mut texts: HashMap<&str, &str> = HashMap::new();
     for (name, value) in fields {
-        let (Val::Str(name), Val::Str(value)) = (name, value) else { return None };
+        let (MsgpackValue::Str(name), MsgpackValue::Str(value)) = (name, value) else { return None };
         let old = texts.insert(std::str::from_utf8(name).ok()?, std::str::from_utf8(value).ok()?);
         if old.is_some() {
             return None;
@@ -376,7 +376,7 @@
         t.parse().ok().filter(|n| digits && *n <= most && (t.len() == 1 || !t.starts_with('0')))
     };
     let plain = |name: &str| match texts.get(name) {
-        Some(t) => wire::plain(t, 128).then(|| Some(Box::from(*t))),
+        Some(t) => wire::is_plain_text(t, 128).then(|| Some(Box::from(*t))),
         None => Some(None),
     };
     let call = texts.get("call").copied().filter(|t| hex(t))?;
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -105,7 +105,7 @@
                 let lasts = if d.suspected { SUSPICION_TTL } else { 0 };
                 self.node.plan(|p, now| p.report_suspicion(now, d.member, d.incarnation, lasts));
 
-                let id = self.node.pool.id(d.member).unwrap_or_default();
+                let id = self.node.pool.member_id(d.member).unwrap_or_default();
                 if d.suspected {
                     self.node.count(Counter::GossipSuspicions);
                     net::log(&format!("gossip: {id} is held suspect, {} witnesses", d.witnesses));
@@ -189,7 +189,7 @@
         talk.node.count(Counter::PeerMessages);
         talk.call(|g, now, out| g.receive(now, from, bytes, out));
     };
-    net::each_datagram(&talk.socket, threadward_gossip::wire::MAX_DATAGRAM_BYTES, take).await;
+    net::receive_datagrams(&talk.socket, threadward_gossip::wire::MAX_DATAGRAM_BYTES, take).await;
 }
 
 /// Sees to what is due.
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -49,14 +49,14 @@
     let door = config.admin.map_or_else(door_of_environment, |at| Ok(Some(at)))?;
     // With a door a second process may start beside this one, at the same addresses.
     let reserved =
-        net::reserve(config.listen, door.is_some()).map_err(|e| format!("{}: {e}", config.listen))?;
+        net::bind_address(config.listen, door.is_some()).map_err(|e| format!("{}: {e}", config.listen))?;
     let door = match door {
         Some(at) => Some(Async::<TcpListener>::bind(at).map_err(|e| format!("door: {at}: {e}"))?),
         None => None,
     };
     // Gossip takes the socket over where it is on.
     let udp = match config.peer_listen.filter(|_| fronts.gossip.is_none()) {
-        Some(at) => Some(net::datagrams(at, door.is_some()).map_err(|e| format!("{at}: {e}"))?),
+        Some(at) => Some(net::bind_datagram_socket(at, door.is_some()).map_err(|e| format!("{at}: {e}"))?),
         None => None,
     };
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
@@ -109,13 +109,13 @@
     }
     if let Some(udp) = udp {
         let (n, udp) = (node.clone(), Rc::new(udp));
-        node.keep("peers", move || bulletin::peers(n.clone(), udp.clone()));
+        node.keep("peers", move || bulletin::receive_peer_messages(n.clone(), udp.clone()));
     }
     if let Some(s) = fronts.signed {
         let at = s.listen;
         let listener = Async::<TcpListener>::bind(at).map_err(|e| format!("{at}: {e}"))?;
         net::log(&format!("start: signed links on {at}"));
-        let front = signed::Front::new(node.clone(), s, Box::new(|| unix_now().micros()));
+        let front = signed::SignedFront::new(node.clone(), s, Box::new(|| unix_now().micros()));
         let listener = Rc::new(listener);
         node.keep("signed front", move || signed::serve(front.clone(), listener.clone()));
     }
--- a/node/src/net.rs
+++ b/node/src/net.rs
@@ -62,7 +62,11 @@
 const PAUSE: Micros = 10_000;
 
 /// Reads datagrams of up to `most` bytes for as long as the program runs; a longer one comes one byte over it.
-pub async fn each_datagram(socket: &Async<UdpSocket>, most: usize, mut take: impl FnMut(&[u8], SocketAddr)) {
+pub async fn receive_datagrams(
+    socket: &Async<UdpSocket>,
+    most: usize,
+    mut take: impl FnMut(&[u8], SocketAddr),
+) {
     let mut buf = vec![0u8; most + 1];
     loop {
         for _ in 0..BATCH {
@@ -110,7 +114,7 @@
 
 /// Reads what has come, up to `most` bytes, to the end of `buf`: how many, 0 at the end of the stream or after a failure;
 /// nothing where nothing has come.
-pub fn read_now(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> Option<usize> {
+pub fn try_read(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> Option<usize> {
     SCRATCH.with_borrow_mut(|scratch| {
         let room = most.min(scratch.len());
         match calls::uninterrupted(|| stream.get_ref().read(&mut scratch[..room])) {
@@ -128,7 +132,7 @@
 /// The same, but waits for bytes.
 pub async fn read_some(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> usize {
     loop {
-        match read_now(stream, buf, most) {
+        match try_read(stream, buf, most) {
             Some(n) => return n,
             None => calls::readable(stream).await,
         }
@@ -139,7 +143,7 @@
 ///
 /// # Errors
 /// Why the connection takes no more.
-pub async fn write_whole(stream: &Async<TcpStream>, mut bytes: &[u8]) -> std::io::Result<()> {
+pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> std::io::Result<()> {
     while !bytes.is_empty() {
         match calls::uninterrupted(|| stream.get_ref().write(bytes)) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -156,7 +160,7 @@
 
 /// Ends writing, then reads on and throws away what comes, to the end of the stream or the point on the clock: a close
 /// over unread bytes resets the connection, and what was written last is lost with it.
-pub async fn end_writing(stream: &Async<TcpStream>, until: Micros) {
+pub async fn shutdown_and_drain(stream: &Async<TcpStream>, until: Micros) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
@@ -173,37 +177,37 @@
 }
 
 /// Whether bytes have come that were not read.
-pub fn unread(stream: &Async<TcpStream>) -> bool {
+pub fn has_unread_bytes(stream: &Async<TcpStream>) -> bool {
     // After an error, as at the end of the stream, nothing more can be read.
     calls::uninterrupted(|| stream.get_ref().peek(&mut [0])).is_ok_and(|n| n > 0)
 }
 
 /// Connections that may wait to be accepted: a crowd comes at once, and one that is dropped here asks again after 1 s.
-pub const QUEUE: i32 = 1024;
+pub const LISTEN_BACKLOG: i32 = 1024;
 
 /// The clients' address, held but not yet listened at.
-pub struct Reserved(OwnedFd);
+pub struct BoundAddress(OwnedFd);
 
 /// Holds an address for a listener. `shared`: other processes of this user may hold it too.
 ///
 /// # Errors
 /// Why it cannot be held.
-pub fn reserve(at: SocketAddr, shared: bool) -> std::io::Result<Reserved> {
+pub fn bind_address(at: SocketAddr, shared: bool) -> std::io::Result<BoundAddress> {
     let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, shared)?;
     rustix::net::bind(&socket, &at)?;
-    Ok(Reserved(socket))
+    Ok(BoundAddress(socket))
 }
 
-impl Reserved {
+impl BoundAddress {
     /// Begins to listen.
     ///
     /// # Errors
     /// Why it cannot.
     pub fn listen(self) -> std::io::Result<Async<TcpListener>> {
-        rustix::net::listen(&self.0, QUEUE)?;
+        rustix::net::listen(&self.0, LISTEN_BACKLOG)?;
         Async::new(TcpListener::from(self.0))
     }
 }
@@ -212,7 +216,7 @@
 ///
 /// # Errors
 /// Why there is none.
-pub fn datagrams(at: SocketAddr, shared: bool) -> std::io::Result<Async<UdpSocket>> {
+pub fn bind_datagram_socket(at: SocketAddr, shared: bool) -> std::io::Result<Async<UdpSocket>> {
     let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = rustix::net::socket_with(family, SocketType::DGRAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseport(&socket, shared)?;
@@ -222,21 +226,21 @@
 
 /// An answer on its way to a client: what stands before the body, the body as it came, what stands after it.
 #[derive(Default)]
-pub struct Out {
+pub struct OutgoingAnswer {
     pub head: Vec<u8>,
     pub body: Body,
     pub tail: Vec<u8>,
 }
 
-impl From<Vec<u8>> for Out {
-    fn from(head: Vec<u8>) -> Out {
-        Out { head, ..Out::default() }
+impl From<Vec<u8>> for OutgoingAnswer {
+    fn from(head: Vec<u8>) -> OutgoingAnswer {
+        OutgoingAnswer { head, ..OutgoingAnswer::default() }
     }
 }
 
-impl Out {
+impl OutgoingAnswer {
     /// Memory that it holds.
-    pub fn held(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.head.capacity() + self.body.allocated_bytes() + self.tail.capacity()
     }
 
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,6 +1,6 @@
 //! The node: joins the planner to the fronts and the caches, and guards the places of clients. It owns the one borrow of
 //! the planner and the task of its timers. It must never hold that borrow across an await.
-use crate::caches::{Home, Pool, Way};
+use crate::caches::{CachePool, PoolOwner, PoolTransport};
 use crate::calls;
 use crate::config::Config;
 use crate::net::{self, log, now, sleep_until, Signal};
@@ -196,7 +196,7 @@
                 guest.signal.wait().await;
             }
         };
-        net::end_writing(stream, now() + LINGER).or(cut).await;
+        net::shutdown_and_drain(stream, now() + LINGER).or(cut).await;
     }
 }
 
@@ -211,7 +211,7 @@
 
 pub struct Node {
     pub config: Config,
-    pub pool: Rc<Pool>,
+    pub pool: Rc<CachePool>,
     planner: RefCell<Planner>,
     armed: Cell<Micros>,
     timers: Signal,
@@ -254,10 +254,11 @@
 
 impl Node {
     pub fn new(config: Config, executor: &'static LocalExecutor<'static>) -> Rc<Node> {
-        let pool = Pool::new(config.names.clone(), beside_lingering(config.sockets));
+        let pool = CachePool::new(config.names.clone(), beside_lingering(config.sockets));
         let limits =
             Limits { max_open: config.names.max_open, max_bytes: config.memory / 4, retry_after: 250_000 };
-        let planner = Planner::new(config.settings.clone(), config.seed, limits, Box::new(Way(pool.clone())));
+        let planner =
+            Planner::new(config.settings.clone(), config.seed, limits, Box::new(PoolTransport(pool.clone())));
         let node = Rc::new(Node {
             bulletin: Cell::new(config.bulletin),
             moved: Signal::default(),
@@ -287,8 +288,8 @@
             peers_live: Cell::new(0),
             suspects: Cell::new(0),
         });
-        let home: Rc<dyn Home> = node.clone();
-        node.pool.join(&home);
+        let home: Rc<dyn PoolOwner> = node.clone();
+        node.pool.set_owner(&home);
         let n = node.clone();
         node.keep("timers", move || {
             let n = n.clone();
@@ -299,7 +300,7 @@
 
     /// Memory that answers hold: what waits for clients, and what is still coming in from caches.
     pub fn held(&self) -> usize {
-        self.unwritten_bytes.get() + self.pool.buffered.get()
+        self.unwritten_bytes.get() + self.pool.buffered_bytes.get()
     }
 
     /// Connections of clients that are open.
@@ -319,7 +320,7 @@
     /// So many processes share the limits, this one among them. Clients that are owed nothing go for it.
     pub fn share(&self, of: usize) {
         self.sharers.set(of);
-        self.pool.share(beside_lingering(self.config.sockets), of);
+        self.pool.share_descriptors(beside_lingering(self.config.sockets), of);
         self.plan(|p, _| p.share_limits(of, self.config.memory / 4 / of));
         let (guests, at) = (self.guests.borrow(), now());
         let idle = guests.values().filter(|g| !g.busy.get() && g.asked_to_go.get() == Micros::MAX);
@@ -497,7 +498,7 @@
 
     /// Takes over what is counted outside of the planner.
     pub fn count_calls(&self) {
-        self.plan(|p, _| p.counters.set(Counter::CallsRetried, calls::retried()));
+        self.plan(|p, _| p.counters.set(Counter::CallsRetried, calls::retried_calls()));
     }
 
     /// Starts a task; a panic ends that task alone and is counted.
@@ -549,11 +550,11 @@
 }
 
 /// What the pool reports.
-impl Home for Node {
-    fn start(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
+impl PoolOwner for Node {
+    fn spawn_task(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.spawn(what, task);
     }
-    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd) {
+    fn report_attempt_end(&self, request: u64, attempt: u16, end: AttemptEnd) {
         self.plan(|p, now| p.attempt_ended(now, request, attempt, end));
     }
     fn epoch(&self) -> u64 {
@@ -565,7 +566,7 @@
     fn count(&self, c: Counter) {
         Node::count(self, c);
     }
-    fn probed(&self, member: Addr, outcome: Outcome, report: Report) {
+    fn report_probe_end(&self, member: Addr, outcome: Outcome, report: Report) {
         self.plan(|p, now| p.probe_ended(now, member, outcome, report));
     }
 }
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -213,7 +213,7 @@
     /// Puts calls in force that were made no longer ago than `within`.
     fn apply(&self, calls: BanStates, within: Micros) {
         let changed = self.node.bans.borrow_mut().adopt(calls);
-        bulletin::hold(&self.node, changed, within);
+        bulletin::apply_bans(&self.node, changed, within);
     }
 
     /// Whether this process is ready to serve. The others are shown it first: who is told yes may start a successor, or
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -11,10 +11,10 @@
 //! - a `jti` is redeemed once, at its home only, and the register holds it until `exp`. When the register is full
 //!   the gate fails closed. A request that was refused unserved gives its `jti` back: that try never ran.
 use crate::calls::{self, AcceptFailure, AcceptRetry};
-use crate::net::{now, read_some, sleep_until, unread, Out, Signal};
+use crate::net::{has_unread_bytes, now, read_some, sleep_until, OutgoingAnswer, Signal};
 use crate::node::{Guest, Node};
 pub use crate::operators::Signed as Settings;
-use crate::wire::{self, Head, Malformed};
+use crate::wire::{self, HttpHead, Malformed};
 use async_io::Async;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -43,7 +43,7 @@
 
 /// Why the gate turned a token away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deny {
+pub enum Denial {
     Missing,
     Bad,
     Expired,
@@ -54,13 +54,13 @@
 
 /// A token whose signature, times and URI hold.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pass {
+pub struct VerifiedToken {
     pub jti: String,
     /// `exp` on the signer's clock.
     pub exp: Micros,
 }
 
-pub struct Gate {
+pub struct TokenVerifier {
     s: Settings,
     started: Micros,
     /// The latest time seen: a clock that is set back must not bring a dropped token to life.
@@ -78,19 +78,19 @@
 }
 
 /// A NumericDate in microseconds.
-fn date(v: &Value, name: &str) -> Result<Option<Micros>, Deny> {
+fn date(v: &Value, name: &str) -> Result<Option<Micros>, Denial> {
     match v.get(name) {
         None => Ok(None),
         Some(d) => match d.as_f64() {
             Some(s) if (0.0..=1e11).contains(&s) => Ok(Some((s * 1e6) as Micros)),
-            _ => Err(Deny::Bad),
+            _ => Err(Denial::Bad),
         },
     }
 }
 
-impl Gate {
-    pub fn new(s: Settings, started: Micros) -> Gate {
-        Gate {
+impl TokenVerifier {
+    pub fn new(s: Settings, started: Micros) -> TokenVerifier {
+        TokenVerifier {
             s,
             started,
             latest: Cell::new(started),
@@ -104,7 +104,7 @@
         self.latest.get()
     }
 
-    pub fn expired(&self, pass: &Pass, now: Micros) -> bool {
+    pub fn is_expired(&self, pass: &VerifiedToken, now: Micros) -> bool {
         self.clock(now) + self.s.skew >= pass.exp
     }
 
@@ -112,10 +112,10 @@
     ///
     /// # Errors
     /// Why the token does not open this path now.
-    pub fn check(&self, now: Micros, path: &str, token: Option<&str>) -> Result<Pass, Deny> {
+    pub fn verify(&self, now: Micros, path: &str, token: Option<&str>) -> Result<VerifiedToken, Denial> {
         let now = self.clock(now);
-        let token = token.filter(|t| !t.is_empty()).ok_or(Deny::Missing)?;
-        let claims = self.signed(token).ok_or(Deny::Bad)?;
+        let token = token.filter(|t| !t.is_empty()).ok_or(Denial::Missing)?;
+        let claims = self.signed(token).ok_or(Denial::Bad)?;
         let known = ["iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniuc"];
         let critical = match claims.get("cdnicrit") {
             None => true,
@@ -132,32 +132,32 @@
             _ => false,
         };
         if !critical || narrowed || !version || !audience {
-            return Err(Deny::Bad);
+            return Err(Denial::Bad);
         }
         let (exp, iat) = match (date(&claims, "exp")?, date(&claims, "iat")?) {
             (Some(exp), Some(iat)) => (exp, iat),
-            _ => return Err(Deny::Bad),
+            _ => return Err(Denial::Bad),
         };
         let jti = claims.get("jti").and_then(Value::as_str).filter(|j| !j.is_empty() && j.len() <= 128);
-        let jti = jti.ok_or(Deny::Bad)?.to_owned();
-        let container = claims.get("cdniuc").and_then(Value::as_str).ok_or(Deny::Bad)?;
-        let digest = container.strip_prefix("hash:sha-256;").and_then(part).ok_or(Deny::Bad)?;
+        let jti = jti.ok_or(Denial::Bad)?.to_owned();
+        let container = claims.get("cdniuc").and_then(Value::as_str).ok_or(Denial::Bad)?;
+        let digest = container.strip_prefix("hash:sha-256;").and_then(part).ok_or(Denial::Bad)?;
         let mut uri = Sha256::new();
         uri.update(self.s.base.as_bytes());
         uri.update(path.as_bytes());
         if digest != uri.finalize()[..] {
-            return Err(Deny::Bad);
+            return Err(Denial::Bad);
         }
         if now + self.s.skew >= exp {
-            return Err(Deny::Expired);
+            return Err(Denial::Expired);
         }
         if iat < self.started + self.s.skew || iat > now + self.s.skew {
-            return Err(Deny::Bad);
+            return Err(Denial::Bad);
         }
         if date(&claims, "nbf")?.is_some_and(|nbf| now < nbf) {
-            return Err(Deny::Early);
+            return Err(Denial::Early);
         }
-        Ok(Pass { jti, exp })
+        Ok(VerifiedToken { jti, exp })
     }
 
     /// The claims, where the signature holds. The key says which algorithm it is for, never the token.
@@ -181,7 +181,7 @@
 
     /// The front at which a `jti` is redeemed: the highest rendezvous hash over the fronts in the file. Every proxy
     /// of the tier finds the same one, with no word between them.
-    pub fn home(&self, jti: &str) -> Option<&(String, String)> {
+    pub fn redeeming_front(&self, jti: &str) -> Option<&(String, String)> {
         let score = |name: &str| {
             let mut h = Sha256::new();
             h.update(name.as_bytes());
@@ -193,15 +193,15 @@
     }
 
     /// Where a client is to go with a token whose home is another front.
-    pub fn elsewhere(&self, pass: &Pass) -> Option<&str> {
-        self.home(&pass.jti).filter(|(name, _)| *name != self.s.name).map(|(_, url)| url.as_str())
+    pub fn redirect_target(&self, pass: &VerifiedToken) -> Option<&str> {
+        self.redeeming_front(&pass.jti).filter(|(name, _)| *name != self.s.name).map(|(_, url)| url.as_str())
     }
 
     /// Redeems a token: once, and only while the register has room.
     ///
     /// # Errors
     /// When it was redeemed before, or the register is full.
-    pub fn redeem(&self, pass: &Pass, now: Micros) -> Result<(), Deny> {
+    pub fn redeem(&self, pass: &VerifiedToken, now: Micros) -> Result<(), Denial> {
         let now = self.clock(now);
         let (mut redeemed, mut by_end) = (self.redeemed.borrow_mut(), self.by_end.borrow_mut());
         while by_end.first_key_value().is_some_and(|((end, _), ())| *end <= now) {
@@ -212,10 +212,10 @@
         // The same jti under another end is the same jti.
         let from = (pass.jti.clone(), 0);
         if redeemed.range(from..).next().is_some_and(|(jti, _)| *jti == pass.jti) {
-            return Err(Deny::Replayed);
+            return Err(Denial::Replayed);
         }
         if redeemed.len() >= self.s.register {
-            return Err(Deny::Full);
+            return Err(Denial::Full);
         }
         redeemed.insert((pass.jti.clone(), pass.exp));
         by_end.insert((pass.exp, pass.jti.clone()), ());
@@ -223,7 +223,7 @@
     }
 
     /// Gives a `jti` back after a refusal: nothing was served for it and nothing ran.
-    pub fn give_back(&self, pass: &Pass) {
+    pub fn release(&self, pass: &VerifiedToken) {
         self.redeemed.borrow_mut().remove(&(pass.jti.clone(), pass.exp));
         self.by_end.borrow_mut().remove(&(pass.exp, pass.jti.clone()));
     }
@@ -231,29 +231,29 @@
 
 /// What a request line and its headers ask for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct LinkRequest {
     pub path: String,
     pub token: Option<String>,
     pub class: String,
     pub group: u16,
     pub object: u64,
-    pub row: String,
+    pub object_name: String,
     pub part: u32,
-    pub write: bool,
-    pub length: usize,
-    pub close: bool,
-    pub key: Option<String>,
-    pub tag: Option<String>,
+    pub is_write: bool,
+    pub body_bytes: usize,
+    pub close_connection: bool,
+    pub idempotency_key: Option<String>,
+    pub held_tag: Option<String>,
 }
 
 /// Reads a head. The error is the status that answers it.
 ///
 /// # Errors
 /// The status for what is malformed or not allowed.
-pub fn wanted(head: &Head) -> Result<Wanted, u16> {
+pub fn parse_link_request(head: &HttpHead) -> Result<LinkRequest, u16> {
     let malformed = |_: Malformed| 400u16;
-    let [method, target, version] = &head.start;
-    if version != "HTTP/1.1" || head.only("host").map_err(malformed)?.is_none() {
+    let [method, target, version] = &head.start_line;
+    if version != "HTTP/1.1" || head.single_header("host").map_err(malformed)?.is_none() {
         return Err(400);
     }
     let write = match method.as_str() {
@@ -281,42 +281,43 @@
         t.parse::<u64>().ok().filter(|n| digits && *n <= most).ok_or(400u16)
     };
     let hex = row.len() == 16 && row.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    if !hex || !wire::plain(class, 64) {
+    if !hex || !wire::is_plain_text(class, 64) {
         return Err(400);
     }
-    let length = match head.only("content-length").map_err(malformed)? {
+    let length = match head.single_header("content-length").map_err(malformed)? {
         Some(n) => number(n, u64::from(u32::MAX))? as usize,
         None if write => return Err(411),
         None => 0,
     };
     // A body whose length two headers tell differently is how requests are smuggled.
-    if head.get("transfer-encoding").is_some() || !write && length > 0 {
+    if head.header("transfer-encoding").is_some() || !write && length > 0 {
         return Err(400);
     }
     if length > BODY {
         return Err(413);
     }
-    let key = head.only("idempotency-key").map_err(malformed)?;
+    let key = head.single_header("idempotency-key").map_err(malformed)?;
     let key = key.map(|k| k.trim_matches('"').to_owned());
-    if key.as_ref().is_some_and(|k| !wire::plain(k, 128)) || write && key.is_none() {
+    if key.as_ref().is_some_and(|k| !wire::is_plain_text(k, 128)) || write && key.is_none() {
         return Err(400);
     }
     // One strong or weak tag; of a list or `*` nothing is passed on, and the answer is whole.
-    let tag = head.get("if-none-match").map(|t| t.trim().trim_start_matches("W/"));
-    let tag = tag.and_then(|t| t.strip_prefix('"')?.strip_suffix('"')).filter(|t| wire::plain(t, 128));
-    Ok(Wanted {
+    let tag = head.header("if-none-match").map(|t| t.trim().trim_start_matches("W/"));
+    let tag =
+        tag.and_then(|t| t.strip_prefix('"')?.strip_suffix('"')).filter(|t| wire::is_plain_text(t, 128));
+    Ok(LinkRequest {
         token,
         class: class.to_owned(),
         group: number(group, 255)? as u16,
         object: u64::from_str_radix(row, 16).map_err(|_| 400u16)?,
-        row: row.to_owned(),
+        object_name: row.to_owned(),
         part: number(part, u64::from(u32::MAX))? as u32,
         path: path.to_owned(),
-        write,
-        length,
-        close: head.get("connection").is_some_and(|c| c.eq_ignore_ascii_case("close")),
-        key,
-        tag: tag.map(str::to_owned),
+        is_write: write,
+        body_bytes: length,
+        close_connection: head.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close")),
+        idempotency_key: key,
+        held_tag: tag.map(str::to_owned),
     })
 }
 
@@ -350,17 +351,17 @@
 }
 
 /// The front: a gate before the node's planner, and the clock the gate is given.
-pub struct Front {
+pub struct SignedFront {
     pub node: Rc<Node>,
-    pub gate: Gate,
+    pub verifier: TokenVerifier,
     pub clock: Box<dyn Fn() -> Micros>,
     calls: Cell<u64>,
 }
 
-impl Front {
-    pub fn new(node: Rc<Node>, s: Settings, clock: Box<dyn Fn() -> Micros>) -> Rc<Front> {
-        let gate = Gate::new(s, clock());
-        Rc::new(Front { node, gate, clock, calls: Cell::new(0) })
+impl SignedFront {
+    pub fn new(node: Rc<Node>, s: Settings, clock: Box<dyn Fn() -> Micros>) -> Rc<SignedFront> {
+        let gate = TokenVerifier::new(s, clock());
+        Rc::new(SignedFront { node, verifier: gate, clock, calls: Cell::new(0) })
     }
 
     /// A new id for a try: 16 hex digits, not again in this tier (the seed is new with each start).
@@ -374,7 +375,7 @@
 }
 
 /// Accepts clients for as long as the program runs.
-pub async fn serve(front: Rc<Front>, listener: Rc<Async<TcpListener>>) {
+pub async fn serve(front: Rc<SignedFront>, listener: Rc<Async<TcpListener>>) {
     let (mut seat, mut retry) = (None, AcceptRetry::default());
     loop {
         calls::readable(&listener).await;
@@ -385,7 +386,7 @@
         let stream = match listener.get_ref().accept().and_then(|accepted| Async::new(accepted.0)) {
             Ok(stream) => stream,
             Err(e) => {
-                if !retry.after(AcceptFailure::of(&e)).await {
+                if !retry.wait_after(AcceptFailure::of(&e)).await {
                     seat = None;
                 }
                 continue;
@@ -397,7 +398,7 @@
         let f = front.clone();
         front.node.spawn("signed connection", async move {
             let overdue = async {
-                place.1.overdue(|| unread(&stream)).await;
+                place.1.overdue(|| has_unread_bytes(&stream)).await;
                 f.node.count(Counter::Overdue);
             };
             connection(&f, &place.1, &stream).or(overdue).await;
@@ -407,18 +408,18 @@
 }
 
 /// An answer that is being written counts as unwritten, so that an ending program waits for it.
-async fn send(node: &Node, stream: &Async<TcpStream>, answer: Out) -> bool {
-    struct InHand<'a>(&'a Node, Out);
+async fn send(node: &Node, stream: &Async<TcpStream>, answer: OutgoingAnswer) -> bool {
+    struct InHand<'a>(&'a Node, OutgoingAnswer);
     // Given back however the writing ends, also when the task is dropped in the middle.
     impl Drop for InHand<'_> {
         fn drop(&mut self) {
             self.0.unwritten.set(self.0.unwritten.get() - 1);
-            self.0.unwritten_bytes.set(self.0.unwritten_bytes.get() - self.1.held());
+            self.0.unwritten_bytes.set(self.0.unwritten_bytes.get() - self.1.memory_bytes());
         }
     }
     let until = now() + STALLED;
     node.unwritten.set(node.unwritten.get() + 1);
-    node.unwritten_bytes.set(node.unwritten_bytes.get() + answer.held());
+    node.unwritten_bytes.set(node.unwritten_bytes.get() + answer.memory_bytes());
     let answer = InHand(node, answer);
     answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await
 }
@@ -429,12 +430,12 @@
     read_some(stream, buf, 8 * 1024).await > 0
 }
 
-async fn connection(f: &Rc<Front>, guest: &Guest, stream: &Async<TcpStream>) {
+async fn connection(f: &Rc<SignedFront>, guest: &Guest, stream: &Async<TcpStream>) {
     let (mut buf, mut refused) = (Vec::new(), 0);
     loop {
         let (head, used) = loop {
             guest.receiving(!buf.is_empty());
-            match wire::http_head(&buf) {
+            match wire::parse_http_head(&buf) {
                 Ok(Some(found)) => break found,
                 Ok(None) => {
                     if !more(stream, &mut buf).await {
@@ -445,19 +446,19 @@
             }
         };
         buf.drain(..used);
-        let w = match wanted(&head) {
+        let w = match parse_link_request(&head) {
             Ok(w) => w,
             Err(status) => return malformed(f, stream, status).await,
         };
-        while buf.len() < w.length {
+        while buf.len() < w.body_bytes {
             if !more(stream, &mut buf).await {
                 return;
             }
         }
         guest.receiving(false);
         guest.busy(true);
-        let body: Vec<u8> = buf.drain(..w.length).collect();
-        let close = w.close;
+        let body: Vec<u8> = buf.drain(..w.body_bytes).collect();
+        let close = w.close_connection;
         let Some(answer) = answer(f, stream, &mut buf, w, body).await else { return };
         refused += u32::from(answer.head.starts_with(b"HTTP/1.1 4"));
         if !send(&f.node, stream, answer).await || close || refused > REFUSED {
@@ -469,20 +470,20 @@
 }
 
 /// What cannot be read is answered once; the connection ends, for what follows cannot be told apart.
-async fn malformed(f: &Rc<Front>, stream: &Async<TcpStream>, status: u16) {
+async fn malformed(f: &Rc<SignedFront>, stream: &Async<TcpStream>, status: u16) {
     f.node.count(Counter::Malformed);
     let allow = if status == 405 { ("Allow", "GET, POST") } else { ("Connection", "close") };
     let headers = &[("Connection", "close"), allow][..if status == 405 { 2 } else { 1 }];
     send(&f.node, stream, response(status, headers, 0).into()).await;
 }
 
-fn denied(node: &Node, why: Deny) -> Vec<u8> {
+fn denied(node: &Node, why: Denial) -> Vec<u8> {
     let (counter, status) = match why {
-        Deny::Missing => (Counter::LinksBad, 401),
-        Deny::Bad | Deny::Early => (Counter::LinksBad, 403),
-        Deny::Expired => (Counter::LinksExpired, 403),
-        Deny::Replayed => (Counter::LinksReplayed, 403),
-        Deny::Full => (Counter::LinksRegisterFull, 503),
+        Denial::Missing => (Counter::LinksBad, 401),
+        Denial::Bad | Denial::Early => (Counter::LinksBad, 403),
+        Denial::Expired => (Counter::LinksExpired, 403),
+        Denial::Replayed => (Counter::LinksReplayed, 403),
+        Denial::Full => (Counter::LinksRegisterFull, 503),
     };
     node.count(counter);
     match status {
@@ -494,17 +495,17 @@
 
 /// The one answer to a request; nothing where the client has left.
 async fn answer(
-    f: &Rc<Front>,
+    f: &Rc<SignedFront>,
     stream: &Async<TcpStream>,
     buf: &mut Vec<u8>,
-    w: Wanted,
+    w: LinkRequest,
     body: Vec<u8>,
-) -> Option<Out> {
+) -> Option<OutgoingAnswer> {
     let node = &f.node;
     if node.closing() {
         return Some(response(503, &[("Retry-After", "1")], 0).into());
     }
-    let pass = match f.gate.check((f.clock)(), &w.path, w.token.as_deref()) {
+    let pass = match f.verifier.verify((f.clock)(), &w.path, w.token.as_deref()) {
         Ok(pass) => pass,
         Err(why) => return Some(denied(node, why).into()),
     };
@@ -513,32 +514,32 @@
     let Some((class, c)) = class.and_then(|i| Some((i, node.config.settings.classes.get(i)?))) else {
         return Some(response(404, &[], 0).into());
     };
-    if c.pass_through != w.write {
+    if c.pass_through != w.is_write {
         return Some(response(405, &[("Allow", if c.pass_through { "POST" } else { "GET" })], 0).into());
     }
-    if let Some(url) = f.gate.elsewhere(&pass) {
+    if let Some(url) = f.verifier.redirect_target(&pass) {
         node.count(Counter::LinksElsewhere);
         let to = format!("{url}{}?{ATTRIBUTE}={}", w.path, w.token.as_deref().unwrap_or(""));
         return Some(response(307, &[("Location", &to)], 0).into());
     }
-    if let Err(why) = f.gate.redeem(&pass, (f.clock)()) {
+    if let Err(why) = f.verifier.redeem(&pass, (f.clock)()) {
         return Some(denied(node, why).into());
     }
     // The end of the link on the planner's clock: a deadline is a point on the clock that it travels by.
-    let ends = now() + pass.exp.saturating_sub((f.clock)() + f.gate.s.skew);
+    let ends = now() + pass.exp.saturating_sub((f.clock)() + f.verifier.s.skew);
     let due = ends.min(now() + c.deadline);
     let ask = ClientRequest {
         call_id: f.call(),
         class: class as u8,
         object: w.object,
-        object_name: w.row.into(),
+        object_name: w.object_name.into(),
         part: w.part,
         group: w.group,
         size_kb: 0.0,
         expires_at: due,
         marked_retry: false,
-        idempotency_key: w.key.map(Into::into),
-        tag: w.tag.map(Into::into),
+        idempotency_key: w.idempotency_key.map(Into::into),
+        tag: w.held_tag.map(Into::into),
         body,
         policy: RequestPolicy::default(),
     };
@@ -552,7 +553,7 @@
     let leaving = Leaving { node: node.clone(), number: Cell::new(number) };
     let gone = async {
         // What a client sends ahead is kept for its turn, within a bound.
-        while buf.len() < wire::CLIENT_FRAME {
+        while buf.len() < wire::MAX_CLIENT_FRAME_BYTES {
             if !more(stream, buf).await {
                 return true;
             }
@@ -567,15 +568,17 @@
     let last = slot.borrow_mut().take()?;
     // Whatever came: not a byte of it goes out once the link has ended.
     let tick = 2 * node.config.settings.min_event_interval.max(1_000);
-    if f.gate.expired(&pass, (f.clock)() + if matches!(last, FinalAnswer::Served(_)) { 0 } else { tick }) {
-        return Some(denied(node, Deny::Expired).into());
+    if f.verifier
+        .is_expired(&pass, (f.clock)() + if matches!(last, FinalAnswer::Served(_)) { 0 } else { tick })
+    {
+        return Some(denied(node, Denial::Expired).into());
     }
     let late = now() + tick >= due;
     Some(match last {
         FinalAnswer::Served(p) => served(p),
         FinalAnswer::Refused { .. } | FinalAnswer::Failed if late => response(504, &[], 0).into(),
         FinalAnswer::Refused { retry_after: after } => {
-            f.gate.give_back(&pass);
+            f.verifier.release(&pass);
             let secs = after.max(PAUSE).div_ceil(1_000_000).to_string();
             response(503, &[("Retry-After", &secs)], 0).into()
         }
@@ -583,7 +586,7 @@
     })
 }
 
-fn served(p: Payload) -> Out {
+fn served(p: Payload) -> OutgoingAnswer {
     let tag = format!("\"{}\"", p.tag);
     let headers = [("ETag", tag.as_str()), ("Content-Type", "application/octet-stream")];
     let head = match (p.unchanged, p.tag.is_empty()) {
@@ -591,7 +594,7 @@
         (false, true) => response(200, &headers[1..], p.body.len()),
         (false, false) => response(200, &headers, p.body.len()),
     };
-    Out { head, body: p.body, ..Out::default() }
+    OutgoingAnswer { head, body: p.body, ..OutgoingAnswer::default() }
 }
 
 /// Tells the planner when a client leaves before its answer, however the task ends.
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -17,24 +17,24 @@
 type Parsed<T> = Result<Option<(T, usize)>, Malformed>;
 
 /// The longest frame of a client: a body of 48,000 bytes and its fields.
-pub const CLIENT_FRAME: usize = 64 * 1024;
+pub const MAX_CLIENT_FRAME_BYTES: usize = 64 * 1024;
 /// The longest body of a cache's answer, an object of 240,000 bytes, and the longest of the parts before it.
-pub const BULK: usize = 256 * 1024;
-pub const PART: usize = 4 * 1024;
+pub const MAX_BULK_BYTES: usize = 256 * 1024;
+pub const MAX_LEADING_PART_BYTES: usize = 4 * 1024;
 /// The most digits in a length of RESP.
 const DIGITS: usize = 10;
 
 // ---- MessagePack ----
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Val<'a> {
+pub enum MsgpackValue<'a> {
     Nil,
     Bool(bool),
     Int(i64),
     Str(&'a [u8]),
     Bin(&'a [u8]),
-    List(Vec<Val<'a>>),
-    Map(Vec<(Val<'a>, Val<'a>)>),
+    List(Vec<MsgpackValue<'a>>),
+    Map(Vec<(MsgpackValue<'a>, MsgpackValue<'a>)>),
     /// A kind that no message here uses.
     Other,
 }
@@ -65,29 +65,29 @@
 impl<'a> Cursor<'a> {
     fn take(&mut self, n: u32) -> Result<&'a [u8], Stop> {
         let n = n as usize;
-        if n > CLIENT_FRAME - (self.whole - self.rest.len()) {
+        if n > MAX_CLIENT_FRAME_BYTES - (self.whole - self.rest.len()) {
             return Err(Stop::Bad("frame too long"));
         }
         let (got, rest) = self.rest.split_at_checked(n).ok_or(Stop::Short)?;
         self.rest = rest;
         Ok(got)
     }
-    fn list(&mut self, n: u32, depth: u8) -> Result<Val<'a>, Stop> {
+    fn list(&mut self, n: u32, depth: u8) -> Result<MsgpackValue<'a>, Stop> {
         let mut list = Vec::with_capacity(n.min(FEW) as usize);
         for _ in 0..n {
             list.push(self.val(depth)?);
         }
-        Ok(Val::List(list))
+        Ok(MsgpackValue::List(list))
     }
-    fn map(&mut self, n: u32, depth: u8) -> Result<Val<'a>, Stop> {
+    fn map(&mut self, n: u32, depth: u8) -> Result<MsgpackValue<'a>, Stop> {
         let mut map = Vec::with_capacity(n.min(FEW) as usize);
         for _ in 0..n {
             map.push((self.val(depth)?, self.val(depth)?));
         }
-        Ok(Val::Map(map))
+        Ok(MsgpackValue::Map(map))
     }
     /// One value. Guards the stack and the heap against hostile nesting and counts.
-    fn val(&mut self, depth: u8) -> Result<Val<'a>, Stop> {
+    fn val(&mut self, depth: u8) -> Result<MsgpackValue<'a>, Stop> {
         use Marker::*;
         if depth > 6 || self.left == 0 {
             return Err(Stop::Bad("too many values"));
@@ -96,22 +96,22 @@
         let kind = Marker::from_u8(*self.rest.first().ok_or(Stop::Short)?);
         let rest = &mut self.rest;
         Ok(match kind {
-            Null => (decode::read_nil(rest)?, Val::Nil).1,
-            True | False => Val::Bool(decode::read_bool(rest)?),
+            Null => (decode::read_nil(rest)?, MsgpackValue::Nil).1,
+            True | False => MsgpackValue::Bool(decode::read_bool(rest)?),
             FixPos(_) | FixNeg(_) | U8 | U16 | U32 | U64 | I8 | I16 | I32 | I64 => {
                 match decode::read_int(rest) {
-                    Ok(n) => Val::Int(n),
-                    Err(NumValueReadError::OutOfRange) => Val::Other,
+                    Ok(n) => MsgpackValue::Int(n),
+                    Err(NumValueReadError::OutOfRange) => MsgpackValue::Other,
                     Err(_) => return Err(Stop::Short),
                 }
             }
             FixStr(_) | Str8 | Str16 | Str32 => {
                 let n = decode::read_str_len(rest)?;
-                Val::Str(self.take(n)?)
+                MsgpackValue::Str(self.take(n)?)
             }
             Bin8 | Bin16 | Bin32 => {
                 let n = decode::read_bin_len(rest)?;
-                Val::Bin(self.take(n)?)
+                MsgpackValue::Bin(self.take(n)?)
             }
             FixArray(_) | Array16 | Array32 => {
                 let n = decode::read_array_len(rest)?;
@@ -121,11 +121,11 @@
                 let n = decode::read_map_len(rest)?;
                 self.map(n, depth + 1)?
             }
-            F32 => (decode::read_f32(rest)?, Val::Other).1,
-            F64 => (decode::read_f64(rest)?, Val::Other).1,
+            F32 => (decode::read_f32(rest)?, MsgpackValue::Other).1,
+            F64 => (decode::read_f64(rest)?, MsgpackValue::Other).1,
             FixExt1 | FixExt2 | FixExt4 | FixExt8 | FixExt16 | Ext8 | Ext16 | Ext32 => {
                 let n = decode::read_ext_meta(rest)?.size;
-                (self.take(n)?, Val::Other).1
+                (self.take(n)?, MsgpackValue::Other).1
             }
             Reserved => return Err(Stop::Bad("unused type")),
         })
@@ -134,38 +134,48 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rpc<'a> {
-    Request { id: u32, method: &'a [u8], params: Vec<Val<'a>> },
-    Notice { method: &'a [u8], params: Vec<Val<'a>> },
+    Request { id: u32, method: &'a [u8], params: Vec<MsgpackValue<'a>> },
+    Notification { method: &'a [u8], params: Vec<MsgpackValue<'a>> },
 }
 
 /// One value, within the bounds of a client's frame.
-pub fn value(buf: &[u8]) -> Parsed<Val<'_>> {
-    let frame = &buf[..buf.len().min(CLIENT_FRAME)];
+pub fn parse_msgpack(buf: &[u8]) -> Parsed<MsgpackValue<'_>> {
+    let frame = &buf[..buf.len().min(MAX_CLIENT_FRAME_BYTES)];
     let mut c = Cursor { rest: frame, whole: frame.len(), left: 256 };
     match c.val(0) {
         Ok(v) => Ok(Some((v, frame.len() - c.rest.len()))),
-        Err(Stop::Short) if frame.len() == CLIENT_FRAME => Err(Malformed("frame too long")),
+        Err(Stop::Short) if frame.len() == MAX_CLIENT_FRAME_BYTES => Err(Malformed("frame too long")),
         Err(Stop::Short) => Ok(None),
         Err(Stop::Bad(why)) => Err(Malformed(why)),
     }
 }
 
 /// One message of a client.
-pub fn rpc(buf: &[u8]) -> Parsed<Rpc<'_>> {
-    let (list, used) = match value(buf)? {
-        Some((Val::List(list), used)) => (list, used),
+pub fn parse_rpc(buf: &[u8]) -> Parsed<Rpc<'_>> {
+    let (list, used) = match parse_msgpack(buf)? {
+        Some((MsgpackValue::List(list), used)) => (list, used),
         Some(_) => return Err(Malformed("not a list")),
         None => return Ok(None),
     };
     let mut it = list.into_iter();
     let message = match (it.next(), it.next(), it.next(), it.next(), it.next()) {
-        (Some(Val::Int(0)), Some(Val::Int(id)), Some(Val::Str(method)), Some(Val::List(params)), None) => {
+        (
+            Some(MsgpackValue::Int(0)),
+            Some(MsgpackValue::Int(id)),
+            Some(MsgpackValue::Str(method)),
+            Some(MsgpackValue::List(params)),
+            None,
+        ) => {
             let id = u32::try_from(id).map_err(|_| Malformed("message id"))?;
             Rpc::Request { id, method, params }
         }
-        (Some(Val::Int(2)), Some(Val::Str(method)), Some(Val::List(params)), None, None) => {
-            Rpc::Notice { method, params }
-        }
+        (
+            Some(MsgpackValue::Int(2)),
+            Some(MsgpackValue::Str(method)),
+            Some(MsgpackValue::List(params)),
+            None,
+            None,
+        ) => Rpc::Notification { method, params },
         _ => return Err(Malformed("not a request")),
     };
     Ok(Some((message, used)))
@@ -202,7 +212,7 @@
 }
 
 /// `[1, id, nil, [BODY, FIELDS]]` as far as the bytes of a body of so many; they and the fields follow.
-pub fn rpc_served(id: u32, body: usize) -> Vec<u8> {
+pub fn encode_served_head(id: u32, body: usize) -> Vec<u8> {
     let mut out = answer_head(id);
     put_nil(&mut out);
     put_list(&mut out, 2);
@@ -210,14 +220,14 @@
     out.into_vec()
 }
 
-pub fn rpc_fields(fields: &[(&str, &str)]) -> Vec<u8> {
+pub fn encode_fields(fields: &[(&str, &str)]) -> Vec<u8> {
     let mut out = ByteBuf::new();
     put_fields(&mut out, fields);
     out.into_vec()
 }
 
 /// `[1, id, [WORD, FIELDS], nil]`
-pub fn rpc_error(id: u32, word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
+pub fn encode_error(id: u32, word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
     let mut out = answer_head(id);
     put_list(&mut out, 2);
     put_str(&mut out, word);
@@ -227,7 +237,7 @@
 }
 
 /// `[1, id, nil, [yes, FIELDS]]`
-pub fn rpc_alive(id: u32, yes: bool) -> Vec<u8> {
+pub fn encode_alive(id: u32, yes: bool) -> Vec<u8> {
     let mut out = answer_head(id);
     put_nil(&mut out);
     put_list(&mut out, 2);
@@ -255,11 +265,11 @@
 }
 
 /// An array of bulk strings.
-pub fn resp(buf: &[u8]) -> Parsed<Vec<&[u8]>> {
+pub fn parse_resp(buf: &[u8]) -> Parsed<Vec<&[u8]>> {
     let Some((count, mut at)) = sized(buf, 0, b'*', 8)? else { return Ok(None) };
     let mut parts = Vec::new();
     for i in 0..count {
-        let most = if i < 3 { PART } else { BULK };
+        let most = if i < 3 { MAX_LEADING_PART_BYTES } else { MAX_BULK_BYTES };
         let Some((n, from)) = sized(buf, at, b'$', most)? else { return Ok(None) };
         let Some(rest) = buf.get(from..from + n + 2) else { return Ok(None) };
         if !rest.ends_with(b"\r\n") {
@@ -272,23 +282,23 @@
 }
 
 /// The first bulk string of an array of which the rest may still be coming in.
-pub fn resp_first(buf: &[u8]) -> Option<&[u8]> {
+pub fn first_resp_part(buf: &[u8]) -> Option<&[u8]> {
     let (_, at) = sized(buf, 0, b'*', 8).ok()??;
-    let (n, from) = sized(buf, at, b'$', PART).ok()??;
+    let (n, from) = sized(buf, at, b'$', MAX_LEADING_PART_BYTES).ok()??;
     buf.get(from..from + n)
 }
 
 /// How long an answer whose last bulk string is still coming in will be: so much memory it takes, and no more.
-pub fn resp_length(buf: &[u8]) -> Option<usize> {
+pub fn resp_array_bytes(buf: &[u8]) -> Option<usize> {
     let (count, mut at) = sized(buf, 0, b'*', 8).ok()??;
     for _ in 0..count {
-        let (n, from) = sized(buf, at, b'$', BULK).ok()??;
+        let (n, from) = sized(buf, at, b'$', MAX_BULK_BYTES).ok()??;
         at = from + n + 2;
     }
     Some(at)
 }
 
-pub fn resp_write(parts: &[&[u8]]) -> Vec<u8> {
+pub fn encode_resp(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::with_capacity(parts.iter().map(|p| p.len() + 16).sum());
     let mut text = itoa::Buffer::new();
     let mut size = |out: &mut Vec<u8>, mark, n| {
@@ -306,31 +316,31 @@
 }
 
 /// The value of a name in `name=value,name=value`.
-pub fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
+pub fn find_field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
 }
 
 /// Whether a text may stand in such a list, and on a line.
-pub fn plain(s: &str, most: usize) -> bool {
+pub fn is_plain_text(s: &str, most: usize) -> bool {
     !s.is_empty() && s.len() <= most && s.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
 }
 
 // ---- HTTP and server-sent events ----
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
+pub struct HttpHead {
     /// Words of the first line.
-    pub start: [String; 3],
+    pub start_line: [String; 3],
     /// Names in lower case.
     pub headers: Vec<(String, String)>,
 }
 
-impl Head {
-    pub fn get(&self, name: &str) -> Option<&str> {
+impl HttpHead {
+    pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
     /// The value of a header that may stand only once.
-    pub fn only(&self, name: &str) -> Result<Option<&str>, Malformed> {
+    pub fn single_header(&self, name: &str) -> Result<Option<&str>, Malformed> {
         let mut all = self.headers.iter().filter(|(n, _)| n == name);
         match (all.next(), all.next()) {
             (_, Some(_)) => Err(Malformed("a header that stands twice")),
@@ -357,7 +367,7 @@
 }
 
 /// The head of an HTTP/1.1 message, to its empty line.
-pub fn http_head(buf: &[u8]) -> Parsed<Head> {
+pub fn parse_http_head(buf: &[u8]) -> Parsed<HttpHead> {
     // Empty lines before the first are passed over by the library, and lines that end in LF alone are taken.
     if buf.starts_with(b"\r") || buf.starts_with(b"\n") {
         return Err(Malformed("first line"));
@@ -387,18 +397,18 @@
         Ok((h.name.to_ascii_lowercase(), value.to_owned()))
     };
     let headers = headers.iter().map(own).collect::<Result<_, _>>()?;
-    Ok(Some((Head { start, headers }, used)))
+    Ok(Some((HttpHead { start_line: start, headers }, used)))
 }
 
 /// One chunk of a chunked body; an empty one is the last.
-pub fn http_chunk(buf: &[u8]) -> Parsed<&[u8]> {
+pub fn parse_http_chunk(buf: &[u8]) -> Parsed<&[u8]> {
     const BAD: Malformed = Malformed("size of a chunk");
     // The library takes a line with no digits for the last chunk.
     if buf.first().is_some_and(|b| !b.is_ascii_hexdigit()) {
         return Err(BAD);
     }
     let (from, n) = match httparse::parse_chunk_size(&buf[..buf.len().min(SIZE)]) {
-        Ok(Status::Complete((from, n))) if n <= EVENT as u64 => (from, n as usize),
+        Ok(Status::Complete((from, n))) if n <= MAX_EVENT_BYTES as u64 => (from, n as usize),
         Ok(Status::Partial) if buf.len() <= SIZE => return Ok(None),
         Ok(Status::Partial) => return Err(Malformed("line too long")),
         _ => return Err(BAD),
@@ -411,10 +421,10 @@
 }
 
 /// The longest event.
-pub const EVENT: usize = 4 * 1024 * 1024;
+pub const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// One block of an event stream, to its empty line: the data, if there are any.
-pub fn sse(buf: &[u8]) -> Parsed<Option<String>> {
+pub fn parse_sse_event(buf: &[u8]) -> Parsed<Option<String>> {
     let mut rest = buf;
     let mut data: Option<String> = None;
     while let Some((line, next)) = parse_line(rest) {
@@ -435,7 +445,7 @@
             _ => {}
         }
     }
-    if buf.len() > EVENT {
+    if buf.len() > MAX_EVENT_BYTES {
         return Err(Malformed("event too long"));
     }
     Ok(None)
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use threadward::net::{now, sleep_until, Signal};
 use threadward::node::Node;
 use threadward::shift::Shift;
-use threadward::wire::{self, Val};
+use threadward::wire::{self, MsgpackValue};
 use threadward::{admin, bulletin, config, front};
 use threadward_faults::{ports, Process};
 
@@ -50,7 +50,7 @@
         let all: Vec<_> = self.conns.borrow().clone();
         let fields = b"version=4be0c1927d55a6f3,stamp=1,detail=HIT";
         for c in all {
-            let bytes = wire::resp_write(&[call.as_bytes(), b"served", fields, body]);
+            let bytes = wire::encode_resp(&[call.as_bytes(), b"served", fields, body]);
             (&*c).write_all(&bytes).await.unwrap();
         }
     }
@@ -126,7 +126,7 @@
                         return;
                     }
                     buf.extend_from_slice(&chunk[..n]);
-                    while let Some((parts, used)) = wire::resp(&buf).unwrap() {
+                    while let Some((parts, used)) = wire::parse_resp(&buf).unwrap() {
                         let parts: Vec<String> =
                             parts.iter().map(|p| String::from_utf8_lossy(p).into()).collect();
                         buf.drain(..used);
@@ -137,13 +137,13 @@
                             _ if parts[0] == "gauges" => {
                                 let fields = b"use=util:0.91;x1:0.40";
                                 let answer: [&[u8]; 4] = [parts[1].as_bytes(), b"red", fields, b""];
-                                stream.write_all(&wire::resp_write(&answer)).await.ok();
+                                stream.write_all(&wire::encode_resp(&answer)).await.ok();
                             }
                             _ if parts[0] != "serve" => {}
                             Act::Say(word, fields, body) => {
                                 let answer: [&[u8]; 4] =
                                     [parts[1].as_bytes(), word.as_bytes(), fields.as_bytes(), &body];
-                                stream.write_all(&wire::resp_write(&answer)).await.ok();
+                                stream.write_all(&wire::encode_resp(&answer)).await.ok();
                             }
                             Act::Silent => {}
                             Act::Stall => {
@@ -207,11 +207,11 @@
                     continue 'next;
                 }
                 buf.extend_from_slice(&chunk[..read]);
-                if let Some((head, _)) = wire::http_head(&buf).unwrap() {
+                if let Some((head, _)) = wire::parse_http_head(&buf).unwrap() {
                     break head;
                 }
             };
-            let mut sent: usize = head.get("last-event-id").unwrap().parse().unwrap();
+            let mut sent: usize = head.header("last-event-id").unwrap().parse().unwrap();
             stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n:\n\n").await.unwrap();
             'open: loop {
                 let new: Vec<String> = n.borrow()[sent..].to_vec();
@@ -377,23 +377,23 @@
     /// The next answer: its id, the error's word if it is one, the body.
     pub async fn answer(&mut self) -> Option<(u32, Option<String>, Vec<u8>)> {
         loop {
-            let found = match wire::value(&self.buf).unwrap() {
-                Some((Val::List(l), used)) => {
+            let found = match wire::parse_msgpack(&self.buf).unwrap() {
+                Some((MsgpackValue::List(l), used)) => {
                     let word = match &l[2] {
-                        Val::List(e) => match &e[0] {
-                            Val::Str(w) => Some(String::from_utf8_lossy(w).into_owned()),
+                        MsgpackValue::List(e) => match &e[0] {
+                            MsgpackValue::Str(w) => Some(String::from_utf8_lossy(w).into_owned()),
                             other => panic!("{other:?}"),
                         },
                         _ => None,
                     };
                     let body = match &l[3] {
-                        Val::List(r) => match &r[0] {
-                            Val::Bin(b) => b.to_vec(),
+                        MsgpackValue::List(r) => match &r[0] {
+                            MsgpackValue::Bin(b) => b.to_vec(),
                             _ => Vec::new(),
                         },
                         _ => Vec::new(),
                     };
-                    let Val::Int(id) = l[1] else { panic!("an answer without an id") };
+                    let MsgpackValue::Int(id) = l[1] else { panic!("an answer without an id") };
                     Some(((id as u32, word, body), used))
                 }
                 Some(other) => panic!("{other:?}"),
@@ -412,13 +412,13 @@
     /// The next HTTP answer: status, head as text, body.
     pub async fn http(&mut self) -> Option<(u16, String, Vec<u8>)> {
         loop {
-            if let Some((head, used)) = wire::http_head(&self.buf).unwrap() {
-                let n: usize = head.get("content-length").map_or(0, |n| n.parse().unwrap());
+            if let Some((head, used)) = wire::parse_http_head(&self.buf).unwrap() {
+                let n: usize = head.header("content-length").map_or(0, |n| n.parse().unwrap());
                 if self.buf.len() >= used + n {
                     let text = String::from_utf8_lossy(&self.buf[..used]).into_owned();
                     let body = self.buf[used..used + n].to_vec();
                     self.buf.drain(..used + n);
-                    return Some((head.start[1].parse().unwrap(), text, body));
+                    return Some((head.start_line[1].parse().unwrap(), text, body));
                 }
             }
             if !self.more().await {
--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -72,8 +72,8 @@
             return Ok(());
         }
         buf.extend_from_slice(&chunk[..n]);
-        if let Some((head, _)) = wire::http_head(&buf).unwrap() {
-            break head.get("last-event-id").unwrap().parse().unwrap();
+        if let Some((head, _)) = wire::parse_http_head(&buf).unwrap() {
+            break head.header("last-event-id").unwrap().parse().unwrap();
         }
     };
     let n = seen.borrow().len();
@@ -384,7 +384,7 @@
 #[rstest]
 #[case::no_json(b"data: {\n\n".to_vec())]
 #[case::no_text(b"id: 1\ndata: \xff\xfe\ndata: {}\n\n".to_vec())]
-#[case::too_long([b"data: ", &vec![b'7'; wire::EVENT + 100_000][..], b"\r\n\r\n"].concat())]
+#[case::too_long([b"data: ", &vec![b'7'; wire::MAX_EVENT_BYTES + 100_000][..], b"\r\n\r\n"].concat())]
 fn what_cannot_be_read(#[case] event: Vec<u8>) {
     run(|ex| async move {
         let (calls, at) = listening(ex, vec![vec![say(OK), Raw(event), say(&purge(2)), Hold]]);
@@ -466,7 +466,7 @@
                 (0..11_000).map(|i| server(&format!("x-{i}"), at(i), "unheard-of", state, 0)).collect();
             w.tell(&list(false, &all)).await;
         }
-        assert_eq!((w.node.pool.listed(), count(&w, Counter::Malformed)), (2, 0));
+        assert_eq!((w.node.pool.member_count(), count(&w, Counter::Malformed)), (2, 0));
     });
 }
 
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::pin::Pin;
 use std::rc::Rc;
-use threadward::caches::{Home, Pool, Way};
+use threadward::caches::{CachePool, PoolOwner, PoolTransport};
 use threadward::net::{now, sleep_until};
 use threadward::{config, wire};
 use threadward_core::{
@@ -89,7 +89,7 @@
     /// The next command, as texts; nothing at the end.
     async fn next(&mut self) -> Option<Vec<String>> {
         loop {
-            if let Some((parts, used)) = wire::resp(&self.buf).unwrap() {
+            if let Some((parts, used)) = wire::parse_resp(&self.buf).unwrap() {
                 let parts = parts.iter().map(|p| String::from_utf8_lossy(p).into()).collect();
                 self.buf.drain(..used);
                 return Some(parts);
@@ -104,7 +104,7 @@
     }
     async fn say(&self, call: &str, word: &str, fields: &str, body: &[u8]) {
         let answer = [call.as_bytes(), word.as_bytes(), fields.as_bytes(), body];
-        (&self.s).write_all(&wire::resp_write(&answer)).await.unwrap();
+        (&self.s).write_all(&wire::encode_resp(&answer)).await.unwrap();
     }
     async fn serve(&self, call: &str, body: &[u8]) {
         self.say(call, "served", "version=ab,stamp=1,detail=HIT", body).await;
@@ -287,11 +287,11 @@
     epoch: Cell<u64>,
 }
 
-impl Home for Alone {
-    fn start(self: Rc<Self>, _: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
+impl PoolOwner for Alone {
+    fn spawn_task(self: Rc<Self>, _: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.ex.spawn(task).detach();
     }
-    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd) {
+    fn report_attempt_end(&self, request: u64, attempt: u16, end: AttemptEnd) {
         self.ends.borrow_mut().push((request, attempt, end));
     }
     fn client_waits(&self, _: u64) -> bool {
@@ -301,10 +301,10 @@
         self.epoch.get()
     }
     fn count(&self, _: Counter) {}
-    fn probed(&self, _: Addr, _: Outcome, _: Report) {}
+    fn report_probe_end(&self, _: Addr, _: Outcome, _: Report) {}
 }
 
-fn pool(ex: &'static LocalExecutor<'static>, h: &Hand) -> (Rc<Alone>, Rc<dyn Home>, Way) {
+fn pool(ex: &'static LocalExecutor<'static>, h: &Hand) -> (Rc<Alone>, Rc<dyn PoolOwner>, PoolTransport) {
     let names = config::Names {
         classes: vec!["booking".into()],
         connect: 1_000 * MS,
@@ -314,9 +314,9 @@
         ..config::Names::default()
     };
     let (pool, alone) =
-        (Pool::new(names, 1024), Rc::new(Alone { ex, ends: RefCell::default(), epoch: Cell::new(0) }));
-    let home: Rc<dyn Home> = alone.clone();
-    pool.join(&home);
+        (CachePool::new(names, 1024), Rc::new(Alone { ex, ends: RefCell::default(), epoch: Cell::new(0) }));
+    let home: Rc<dyn PoolOwner> = alone.clone();
+    pool.set_owner(&home);
     let entry = Entry { addr: config::stand_in("c-0"), ..Entry::default() };
     let started = UnixTime::default();
     let listed = config::ListedServer {
@@ -326,8 +326,8 @@
         started_at: started,
         lifted_at: None,
     };
-    pool.roster(ListForm::Full, &[listed]);
-    (alone, home, Way(pool))
+    pool.update_listed(ListForm::Full, &[listed]);
+    (alone, home, PoolTransport(pool))
 }
 
 fn attempt(request: u64, attempt: u16, body: usize, id_once: bool) -> Dispatch {
@@ -449,7 +449,7 @@
         assert_eq!(line.next().await.unwrap()[1], call(1));
         // Two stand in the sockets before the proxy runs: an answer to a request, and that request.
         let early: [&[u8]; 4] = [b"0000000000000002", b"not_here", b"-", b""];
-        std::io::Write::write_all(&mut line.s.get_ref(), &wire::resp_write(&early)).unwrap();
+        std::io::Write::write_all(&mut line.s.get_ref(), &wire::encode_resp(&early)).unwrap();
         c.send(&request(2, "media", &[("row", "0000000000000abc")])).await;
         std::thread::sleep(std::time::Duration::from_millis(20));
         let parts = line.next().await.unwrap();
@@ -472,7 +472,7 @@
         assert_eq!(line.next().await.unwrap()[1], call(1));
         let id = call(1);
         let answer: [&[u8]; 4] = [id.as_bytes(), b"served", b"version=ab,stamp=1,detail=HIT", b"one"];
-        std::io::Write::write_all(&mut line.s.get_ref(), &wire::resp_write(&answer)).unwrap();
+        std::io::Write::write_all(&mut line.s.get_ref(), &wire::encode_resp(&answer)).unwrap();
         line.s.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
         line.end_has_arrived();
         c.send(&request(2, "booking", &[("dedupe", "l")])).await;
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -188,7 +188,7 @@
         let s = site(ex);
         let old = s.other(5);
         old.show(Phase::Ready, 1).unwrap();
-        let own = Rc::new(net::reserve(s.front, true).unwrap().listen().unwrap());
+        let own = Rc::new(net::bind_address(s.front, true).unwrap().listen().unwrap());
         let (elsewhere, _) = listen();
         let new = s.start(0);
         says(&new, "shift: 1 other processes of this proxy live").await;
@@ -364,7 +364,7 @@
         let s = site(ex);
         let old = s.other(5);
         old.show(Phase::Ready, 1).unwrap();
-        let own = Rc::new(net::reserve(s.front, true).unwrap().listen().unwrap());
+        let own = Rc::new(net::bind_address(s.front, true).unwrap().listen().unwrap());
         let at = handover::open(&old.socket_path(old.rank())).unwrap();
         let new = s.start(0);
         let (asking, _) = at.accept().await.unwrap();
--- a/node/tests/crossings_signals.rs
+++ b/node/tests/crossings_signals.rs
@@ -73,7 +73,7 @@
                 let (mut buf, mut chunk) = (Vec::new(), [0u8; 4096]);
                 while let Ok(n @ 1..) = (&*stream).read(&mut chunk).await {
                     buf.extend_from_slice(&chunk[..n]);
-                    while let Some((parts, used)) = wire::resp(&buf).unwrap() {
+                    while let Some((parts, used)) = wire::parse_resp(&buf).unwrap() {
                         if parts[0] == b"serve" {
                             let call = String::from_utf8_lossy(parts[1]).into_owned();
                             asked.borrow_mut().push((call, stream.clone()));
@@ -99,7 +99,7 @@
         }
         let fields: &[u8] = b"version=4be0c1927d55a6f3,stamp=1,detail=HIT";
         (&*stream)
-            .write_all(&wire::resp_write(&[call.as_bytes(), word.as_bytes(), fields, body]))
+            .write_all(&wire::encode_resp(&[call.as_bytes(), word.as_bytes(), fields, body]))
             .await
             .unwrap();
     }
@@ -243,7 +243,7 @@
     run(|ex| async move {
         let (s, h) = (site(), held(ex));
         // Listens with no room in its queue.
-        let never = net::reserve(addresses(1)[0], false).unwrap().listen().unwrap();
+        let never = net::bind_address(addresses(1)[0], false).unwrap().listen().unwrap();
         rustix::net::listen(&never, 0).unwrap();
         let never_at = never.get_ref().local_addr().unwrap();
         let full: Vec<_> = (0..3)
@@ -320,9 +320,9 @@
         let body: Vec<u8> = (0..240_000u32).map(|n| n as u8).collect();
         let (mut want, mut got) = (Vec::new(), Vec::new());
         for id in 1..=16 {
-            want.extend(wire::rpc_served(id, body.len()));
+            want.extend(wire::encode_served_head(id, body.len()));
             want.extend(&body);
-            want.extend(wire::rpc_fields(&[("etag", "4be0c1927d55a6f3")]));
+            want.extend(wire::encode_fields(&[("etag", "4be0c1927d55a6f3")]));
             let text = format!("{id:016x}");
             c.write_all(&request(id, "media", &[("call", &text), ("row", &text)])).await.unwrap();
             h.say("served", &body).await;
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -181,7 +181,7 @@
         // No task has had its turn since.
         let out = [0, 1].map(|i| (format!("s-{i}"), bans::BanState::Banned(unix_now())));
         let changed = w.node.bans.borrow_mut().adopt(BanStates::from(out));
-        bulletin::hold(&w.node, changed, 0);
+        bulletin::apply_bans(&w.node, changed, 0);
         until("the answer", || said.borrow().is_some()).await;
         assert!(matches!(*said.borrow(), Some(FinalAnswer::Refused { .. })), "{:?}", said.borrow());
         assert!(w.sent().is_empty(), "{:?}", w.sent());
--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -1,24 +1,24 @@
 //! Tables of cases for the parsers: each case whole, and cut at every byte.
 use rstest::rstest;
 use threadward::config::{self, stand_in};
-use threadward::wire::{self, Malformed, Rpc, Val};
+use threadward::wire::{self, Malformed, MsgpackValue, Rpc};
 use threadward_core::{Note, Outcome};
 
 #[rstest]
-#[case(&[0x07], Val::Int(7))]
-#[case(&[0xff], Val::Int(-1))]
-#[case(&[0xd1, 0x80, 0x00], Val::Int(-32768))]
-#[case(&[0xcf, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff], Val::Other)]
-#[case(&[0xa2, b'h', b'i'], Val::Str(b"hi"))]
-#[case(&[0xda, 0, 1, b'x'], Val::Str(b"x"))]
-#[case(&[0xc4, 2, 0, 255], Val::Bin(&[0, 255]))]
-#[case(&[0x92, 0xc0, 0xc3], Val::List(vec![Val::Nil, Val::Bool(true)]))]
-#[case(&[0x81, 0xa1, b'a', 0xc2], Val::Map(vec![(Val::Str(b"a"), Val::Bool(false))]))]
-#[case(&[0xd6, 1, 0, 0, 0, 0], Val::Other)]
-fn message_pack(#[case] bytes: &[u8], #[case] value: Val<'_>) {
-    assert_eq!(wire::value(bytes), Ok(Some((value, bytes.len()))));
+#[case(&[0x07], MsgpackValue::Int(7))]
+#[case(&[0xff], MsgpackValue::Int(-1))]
+#[case(&[0xd1, 0x80, 0x00], MsgpackValue::Int(-32768))]
+#[case(&[0xcf, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff], MsgpackValue::Other)]
+#[case(&[0xa2, b'h', b'i'], MsgpackValue::Str(b"hi"))]
+#[case(&[0xda, 0, 1, b'x'], MsgpackValue::Str(b"x"))]
+#[case(&[0xc4, 2, 0, 255], MsgpackValue::Bin(&[0, 255]))]
+#[case(&[0x92, 0xc0, 0xc3], MsgpackValue::List(vec![MsgpackValue::Nil, MsgpackValue::Bool(true)]))]
+#[case(&[0x81, 0xa1, b'a', 0xc2], MsgpackValue::Map(vec![(MsgpackValue::Str(b"a"), MsgpackValue::Bool(false))]))]
+#[case(&[0xd6, 1, 0, 0, 0, 0], MsgpackValue::Other)]
+fn message_pack(#[case] bytes: &[u8], #[case] value: MsgpackValue<'_>) {
+    assert_eq!(wire::parse_msgpack(bytes), Ok(Some((value, bytes.len()))));
     for n in 0..bytes.len() {
-        assert_eq!(wire::value(&bytes[..n]), Ok(None), "cut at {n}");
+        assert_eq!(wire::parse_msgpack(&bytes[..n]), Ok(None), "cut at {n}");
     }
 }
 
@@ -30,7 +30,7 @@
 #[case(&[0xc6, 0, 0, 0xff, 0xfb], "")]
 #[case(&[0x91; 8], "too many values")]
 fn message_pack_bounds(#[case] bytes: &[u8], #[case] why: &'static str) {
-    match wire::value(bytes) {
+    match wire::parse_msgpack(bytes) {
         Err(m) => assert_eq!(m, Malformed(why)),
         Ok(found) => assert!(why.is_empty() && found.is_none()),
     }
@@ -40,11 +40,11 @@
 fn requests_and_notices() {
     let bytes = [&[0x94, 0, 7, 0xa5][..], b"media", &[0x90]].concat();
     let request = Rpc::Request { id: 7, method: b"media", params: vec![] };
-    assert_eq!(wire::rpc(&bytes), Ok(Some((request, bytes.len()))));
+    assert_eq!(wire::parse_rpc(&bytes), Ok(Some((request, bytes.len()))));
     let bytes = [&[0x93, 2, 0xa1][..], b"c", &[0x91, 7]].concat();
-    let notice = Rpc::Notice { method: b"c", params: vec![Val::Int(7)] };
-    assert_eq!(wire::rpc(&bytes), Ok(Some((notice, bytes.len()))));
-    assert!(wire::rpc(&[0x91, 0]).is_err());
+    let notice = Rpc::Notification { method: b"c", params: vec![MsgpackValue::Int(7)] };
+    assert_eq!(wire::parse_rpc(&bytes), Ok(Some((notice, bytes.len()))));
+    assert!(wire::parse_rpc(&[0x91, 0]).is_err());
 }
 
 /// What is written can be read again, at the edges of the length forms.
@@ -56,11 +56,17 @@
 #[case(65_000)]
 fn answers(#[case] n: usize) {
     let body = vec![7u8; n];
-    let bytes = [wire::rpc_served(9, n), body.clone(), wire::rpc_fields(&[("etag", "x")])].concat();
-    let fields = Val::Map(vec![(Val::Str(b"etag"), Val::Str(b"x"))]);
-    let whole = Val::List(vec![Val::Int(1), Val::Int(9), Val::Nil, Val::List(vec![Val::Bin(&body), fields])]);
+    let bytes =
+        [wire::encode_served_head(9, n), body.clone(), wire::encode_fields(&[("etag", "x")])].concat();
+    let fields = MsgpackValue::Map(vec![(MsgpackValue::Str(b"etag"), MsgpackValue::Str(b"x"))]);
+    let whole = MsgpackValue::List(vec![
+        MsgpackValue::Int(1),
+        MsgpackValue::Int(9),
+        MsgpackValue::Nil,
+        MsgpackValue::List(vec![MsgpackValue::Bin(&body), fields]),
+    ]);
     if n < 65_000 {
-        assert_eq!(wire::value(&bytes), Ok(Some((whole, bytes.len()))));
+        assert_eq!(wire::parse_msgpack(&bytes), Ok(Some((whole, bytes.len()))));
     }
     let code = [0xc4, 0xc5, 0xc6][usize::from(n > 255) + usize::from(n > 65_535)];
     assert_eq!(bytes[9], code);
@@ -71,12 +77,12 @@
 #[case(b"*1\r\n$4\r\n\r\n\r\n\r\n", &[&b"\r\n\r\n"[..]])]
 #[case(b"*0\r\n", &[])]
 fn resp(#[case] bytes: &[u8], #[case] parts: &[&[u8]]) {
-    assert_eq!(wire::resp(bytes), Ok(Some((parts.to_vec(), bytes.len()))));
+    assert_eq!(wire::parse_resp(bytes), Ok(Some((parts.to_vec(), bytes.len()))));
     for n in 0..bytes.len() {
-        assert_eq!(wire::resp(&bytes[..n]), Ok(None), "cut at {n}");
+        assert_eq!(wire::parse_resp(&bytes[..n]), Ok(None), "cut at {n}");
     }
     if !parts.is_empty() {
-        assert_eq!(wire::resp_write(parts), bytes);
+        assert_eq!(wire::encode_resp(parts), bytes);
     }
 }
 
@@ -89,7 +95,7 @@
 #[case(b"*1\r\n$1\r\nabc")]
 #[case(&[b'*'; 80])]
 fn resp_malformed(#[case] bytes: &[u8]) {
-    assert!(wire::resp(bytes).is_err());
+    assert!(wire::parse_resp(bytes).is_err());
 }
 
 #[rstest]
@@ -104,7 +110,7 @@
     let columns = ["cpu", "x1", "x0"].map(str::to_owned);
     let body: &[u8] = if word == "served" { b"body" } else { b"" };
     let parts = [b"9b1f", word.as_bytes(), fields.as_bytes(), body];
-    let (id, told) = threadward::caches::answer(&parts, &columns).unwrap();
+    let (id, told) = threadward::caches::parse_answer(&parts, &columns).unwrap();
     assert_eq!((&*id, told.outcome, told.note), ("9b1f", outcome, note));
     assert_eq!(told.payload.is_some(), outcome == Outcome::Ok);
     if fields.contains("use=") {
@@ -123,7 +129,7 @@
 #[case(&["9b1f", "served", "version=ab"])]
 fn spoilt_answers(#[case] parts: &[&str]) {
     let parts: Vec<&[u8]> = parts.iter().map(|p| p.as_bytes()).collect();
-    assert_eq!(threadward::caches::answer(&parts, &[]), None);
+    assert_eq!(threadward::caches::parse_answer(&parts, &[]), None);
 }
 
 #[rstest]
@@ -133,9 +139,9 @@
 #[case(b"data: a\rdata: b\r\n\r\n", Some("a\nb"))]
 #[case(b":\n\n", None)]
 fn events(#[case] bytes: &[u8], #[case] data: Option<&str>) {
-    assert_eq!(wire::sse(bytes), Ok(Some((data.map(str::to_owned), bytes.len()))));
+    assert_eq!(wire::parse_sse_event(bytes), Ok(Some((data.map(str::to_owned), bytes.len()))));
     for n in 0..bytes.len() {
-        assert_eq!(wire::sse(&bytes[..n]), Ok(None), "cut at {n}");
+        assert_eq!(wire::parse_sse_event(&bytes[..n]), Ok(None), "cut at {n}");
     }
 }
 
@@ -148,7 +154,7 @@
 #[case(b"GET /a HTTP/1.1\r\nHost: x\n\r\n", false)]
 #[case(b"HTTP/1.1 200 OK\r\nA: b\r\n\r\n", true)]
 fn heads(#[case] bytes: &[u8], #[case] good: bool) {
-    assert_eq!(wire::http_head(bytes).is_ok_and(|h| h.is_some_and(|(_, n)| n == bytes.len())), good);
+    assert_eq!(wire::parse_http_head(bytes).is_ok_and(|h| h.is_some_and(|(_, n)| n == bytes.len())), good);
 }
 
 /// A head that would never end, and one with more headers than are taken, are refused though more may come.
@@ -156,8 +162,8 @@
 #[case(&[b'a'; 16 * 1024 + 1])]
 #[case(&[&b"GET /a HTTP/1.1\r\n"[..], &b"A: b\r\n".repeat(101)].concat())]
 fn head_bounds(#[case] bytes: &[u8]) {
-    assert_eq!(wire::http_head(&bytes[..600]), Ok(None));
-    assert!(wire::http_head(bytes).is_err());
+    assert_eq!(wire::parse_http_head(&bytes[..600]), Ok(None));
+    assert!(wire::parse_http_head(bytes).is_err());
 }
 
 #[rstest]
@@ -168,7 +174,7 @@
 #[case(b"\r\n\r\n", Err(Malformed("size of a chunk")))]
 #[case(&[&b"2;"[..], &[b'a'; 70]].concat(), Err(Malformed("line too long")))]
 fn chunks(#[case] bytes: &[u8], #[case] found: Result<Option<(&[u8], usize)>, Malformed>) {
-    assert_eq!(wire::http_chunk(bytes), found);
+    assert_eq!(wire::parse_http_chunk(bytes), found);
 }
 
 /// Proxies have to rank alike: what stands for an id is fixed.
@@ -249,9 +255,18 @@
         ("seg", "3"),
         ("bucket", "17"),
     ];
-    let map =
-        base.iter().chain(extra).map(|(k, v)| (Val::Str(k.as_bytes()), Val::Str(v.as_bytes()))).collect();
-    threadward::front::ask(&["survey".into()], &settings, b"survey", &[Val::Map(map), Val::Bin(b"")], 0)
+    let map = base
+        .iter()
+        .chain(extra)
+        .map(|(k, v)| (MsgpackValue::Str(k.as_bytes()), MsgpackValue::Str(v.as_bytes())))
+        .collect();
+    threadward::front::parse_request(
+        &["survey".into()],
+        &settings,
+        b"survey",
+        &[MsgpackValue::Map(map), MsgpackValue::Bin(b"")],
+        0,
+    )
 }
 
 #[rstest]
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -129,7 +129,7 @@
         c.send(&request(1, "media", &[])).await;
         c.answer().await.unwrap();
         let sent = w.sent().remove(0);
-        let newer: Option<u64> = threadward::wire::field(&sent[2], "newer").map(|n| n.parse().unwrap());
+        let newer: Option<u64> = threadward::wire::find_field(&sent[2], "newer").map(|n| n.parse().unwrap());
         assert_eq!(newer.is_some(), hit, "{sent:?}");
         assert!(newer.is_none_or(|n| n <= unix_ms() - issued + 1));
     });
--- a/node/tests/signed.rs
+++ b/node/tests/signed.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use threadward::clock::unix_now;
-use threadward::signed::{self, Front, Settings};
+use threadward::signed::{self, Settings, SignedFront};
 use threadward::snmp::{self, Packet, Value};
 use threadward_core::{Counter, Micros};
 
@@ -76,7 +76,7 @@
 fn front_of(w: &World, drift: Rc<Cell<i64>>, s: Settings, l: Rc<async_io::Async<std::net::TcpListener>>) {
     let (d, off) = (drift.clone(), drift.get());
     drift.set(off - 60_000_000);
-    let f = Front::new(w.node.clone(), s, Box::new(move || now().saturating_add_signed(d.get())));
+    let f = SignedFront::new(w.node.clone(), s, Box::new(move || now().saturating_add_signed(d.get())));
     drift.set(off);
     w.node.spawn("signed", signed::serve(f, l));
 }
@@ -300,7 +300,7 @@
         let mut c = Client::to(at).await;
         c.send(&get(&link(PATH, now(), "a"))).await;
         assert_eq!(c.http().await.unwrap().0, 200);
-        let newer = threadward::wire::field(&w.sent()[0][2], "newer").map(|n| n.parse::<u64>().unwrap());
+        let newer = threadward::wire::find_field(&w.sent()[0][2], "newer").map(|n| n.parse::<u64>().unwrap());
         assert!(newer.is_some_and(|n| n <= now() / 1000 - issued + 1));
     });
 }
--- a/node/tests/soak/clients.rs
+++ b/node/tests/soak/clients.rs
@@ -210,7 +210,7 @@
 }
 
 async fn write(client: &Client, bytes: &[u8]) -> bool {
-    threadward::net::write_whole(&client.stream, bytes).await.is_ok()
+    threadward::net::write_all(&client.stream, bytes).await.is_ok()
 }
 
 fn request(id: u32, class: &str, call: &str, ttl: u64) -> Vec<u8> {
--- a/node/tests/soak/oracle.rs
+++ b/node/tests/soak/oracle.rs
@@ -286,7 +286,7 @@
 }
 
 fn field(fields: &str, name: &str) -> Option<u64> {
-    threadward::wire::field(fields, name)?.parse().ok()
+    threadward::wire::find_field(fields, name)?.parse().ok()
 }
 
 /// Notes the moments at which this process had no turn for long.
--- a/node/tests/soak/servers.rs
+++ b/node/tests/soak/servers.rs
@@ -261,8 +261,8 @@
             return;
         }
         buffer.extend_from_slice(&chunk[..n]);
-        if let Some((head, _)) = wire::http_head(&buffer).unwrap() {
-            break head.get("last-event-id").unwrap().parse().unwrap();
+        if let Some((head, _)) = wire::parse_http_head(&buffer).unwrap() {
+            break head.header("last-event-id").unwrap().parse().unwrap();
         }
     };
     if stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n:\n\n").await.is_err() {
@@ -345,13 +345,13 @@
             return;
         }
         buffer.extend_from_slice(&chunk[..n]);
-        while let Some((parts, used)) = wire::resp(&buffer).expect("a command that can be read") {
+        while let Some((parts, used)) = wire::parse_resp(&buffer).expect("a command that can be read") {
             let parts: Vec<String> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
             buffer.drain(..used);
             match parts[0].as_str() {
                 "gauges" | "health" => {
                     let answer: [&[u8]; 4] = [parts[1].as_bytes(), b"green", b"-", b""];
-                    outbox.push(wire::resp_write(&answer));
+                    outbox.push(wire::encode_resp(&answer));
                 }
                 "serve" if !asked(world, number, outbox, &parts, &mut lots) => return,
                 _ => {}
@@ -376,9 +376,14 @@
     let mood = world.servers[number].mood.get();
     oracle.note(&call, &format!("server {number} is {mood:?}"));
     let served = |bytes: &[u8]| {
-        wire::resp_write(&[call.as_bytes(), b"served", b"version=4be0c1927d55a6f3,stamp=1,detail=HIT", bytes])
+        wire::encode_resp(&[
+            call.as_bytes(),
+            b"served",
+            b"version=4be0c1927d55a6f3,stamp=1,detail=HIT",
+            bytes,
+        ])
     };
-    let says = |word: &[u8]| wire::resp_write(&[call.as_bytes(), word, b"-", b""]);
+    let says = |word: &[u8]| wire::encode_resp(&[call.as_bytes(), word, b"-", b""]);
     let (wait, bytes) = match mood {
         Mood::Silent => return true,
         Mood::Breaks => return false,
--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -33,13 +33,13 @@
     loop {
         let (stream, _) = l.accept().await.unwrap();
         let (mut buf, mut chunk) = (Vec::new(), [0u8; 1024]);
-        while wire::http_head(&buf).unwrap().is_none() {
+        while wire::parse_http_head(&buf).unwrap().is_none() {
             let n = (&stream).read(&mut chunk).await.unwrap();
             assert!(n > 0, "a call without its end");
             buf.extend_from_slice(&chunk[..n]);
         }
-        let (head, _) = wire::http_head(&buf).unwrap().unwrap();
-        calls.borrow_mut().push((now(), head.get("last-event-id").unwrap().parse().unwrap()));
+        let (head, _) = wire::parse_http_head(&buf).unwrap().unwrap();
+        calls.borrow_mut().push((now(), head.header("last-event-id").unwrap().parse().unwrap()));
         let n = calls.borrow().len();
         if n != 2 {
             (&stream).write_all(b"HTTP/1.1 200 OK\r\n\r\n:\n\n").await.unwrap();
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -132,7 +132,8 @@
     site.serves(50, 1).await;
     let most = (now() - at) / 1000 + 1;
     let seen = site.cache.seen.borrow();
-    let newer = threadward::wire::field(&seen.last().unwrap()[2], "newer").map(|t| t.parse::<u64>().unwrap());
+    let newer =
+        threadward::wire::find_field(&seen.last().unwrap()[2], "newer").map(|t| t.parse::<u64>().unwrap());
     assert!(newer.is_some_and(|n| (1..=most).contains(&n)), "{newer:?}, {most} at most");
 }
 
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -52,7 +52,7 @@
         if word != "serve" {
             return None;
         }
-        let field = |name| threadward::wire::field(fields, name);
+        let field = |name| threadward::wire::find_field(fields, name);
         let part: u32 = field("blk").unwrap().parse().unwrap();
         let source = field("fetch").filter(|_| !part.is_multiple_of(4)).unwrap_or(id);
         self.used.borrow_mut().push((now(), source.to_owned()));
@@ -64,7 +64,7 @@
         };
         let rest = format!("version=4be0c1927d55a6f3,stamp=1,detail={detail}");
         let answer = [call.as_bytes(), said.as_bytes(), rest.as_bytes(), b"whole"];
-        Some(threadward::wire::resp_write(&answer))
+        Some(threadward::wire::encode_resp(&answer))
     }
 }
 
@@ -83,7 +83,7 @@
                         return;
                     }
                     buf.extend_from_slice(&chunk[..n]);
-                    while let Some((parts, used)) = threadward::wire::resp(&buf).unwrap() {
+                    while let Some((parts, used)) = threadward::wire::parse_resp(&buf).unwrap() {
                         let answer = town.answer(id, &parts).unwrap_or_default();
                         buf.drain(..used);
                         stream.write_all(&answer).await.ok();
