--- a/zones/tests/wire.rs
+++ b/zones/tests/wire.rs
@@ -32,7 +32,7 @@
         });
     let zones = proptest::collection::vec(zone, 1..=MAX_ZONES);
     (any::<u64>(), any::<u64>(), zones)
-        .prop_map(|(number, incarnation, zones)| Map { epoch: Epoch { number, incarnation: life }, zones })
+        .prop_map(|(number, incarnation, zones)| Map { epoch: Epoch { number, incarnation }, zones })
 }
 
 proptest! {
