--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -487,7 +487,7 @@
             class: a.class,
             object: a.object,
             object_name: format!("{:016x}", a.object).into(),
-            due: now + class.deadline,
+            expires_at: now + class.deadline,
             ..ClientRequest::default()
         };
         let answers = self.proxies[i].answers.clone();
@@ -623,7 +623,7 @@
         if now < T0 + self.sc.span {
             self.queue.put(now + OBSERVATION_INTERVAL, Event::Look(i));
         }
-        let mut standings = self.proxies[i].planner.standings();
+        let mut standings = self.proxies[i].planner.member_health();
         for s in &standings {
             let troubled =
                 self.sc.troubles.iter().any(|t| t.0 == s.member && now >= t.2 && now < t.3 + 5 * S);
