--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -131,7 +131,7 @@
             "`budgets/src/lib.rs` `MOST_PROXIES`",
         ),
         counted("peers of `[gossip]`", fleet.proxies, MAX_PEERS, "`gossip/src/keys.rs` `MAX_PEERS`"),
-        counted("zones of `[zones]`", fleet.zones, MAX_ZONES, "`zones/src/lib.rs` `MOST_ZONES`"),
+        counted("zones of `[zones]`", fleet.zones, MAX_ZONES, "`zones/src/lib.rs` `MAX_ZONES`"),
         Breakage::counted(
             "servers of a list",
             fleet.caches.into(),
