--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,98 +1,141 @@
-//! Every decision of the router, in the words of `src/interface.rs`. From the top: constants, the ranking
-//! (CARP), what is known, the events, then the one function that sends.
+//! The router: every routing decision, expressed in the types of `src/interface.rs`. In order: constants, the
+//! member ranking (CARP), the state of members and requests, the event handlers, and `send_attempt`, the only
+//! function that sends.
 use crate::interface::*;
 pub mod learned;
 use learned::ClassStats;
 use std::collections::BTreeMap;
 
-/// How long a member is skipped after a failure, before one trial passes (the design page's default).
-const SKIP: Micros = 5_000_000;
-/// Mixing constant of the ranking: odd; all routers need the same.
-const PRIME: u64 = 0xFF51_AFD7_ED55_8CCD;
-/// Patience with an attempt: mean wait of its class plus so many mean deviations; sizes vary widely.
-const DEVIATIONS: f64 = 4.0;
-/// Weight of a new sample in the running means: 1/32 forgets in a few seconds of usual traffic.
-const GAIN: f64 = 1.0 / 32.0;
-/// Weight of a sample in a member's pace: slow members should show soon.
-const PACE_GAIN: f64 = 1.0 / 10.0;
-/// Share of the cold rule's budget that is used, and of that where no weights tell sizes.
-const COLD_SAFETY: f64 = 0.7;
-const UNTOLD_SIZE: f64 = 0.5;
-/// Share of a window's budget that may be spent at once, against bursts.
-const COLD_BURST: f64 = 0.25;
-/// Memory of the traffic rates behind the cold budget, and span of a generation of known objects.
-const MEMORY: f64 = 15_000_000.0;
-/// Transfers that a cache of untold size is taken to carry at full pace until its waits say otherwise.
-const START_FLOWS: f64 = 12.0;
-/// Own attempts out at a cache, at first, over the own part of the transfers it carries at full pace.
-const START_LIMIT: f64 = 1.5;
-/// Limits are cut to this (the origin's by its pace, to half of this) or rise by one, under one threefold
-/// while roomy, or by `GROWTH` (easy, roomy, else), once in a mean wait.
-const LIMIT_CUT: f64 = 0.8;
-/// Under this reported use, of its link too, no cache is crowded, whatever its waits; its limit grows fast.
-const EASY: f64 = 0.8;
-const GROWTH: [f64; 3] = [0.4, 0.1, 0.0];
-/// Waits at a cache over the sending times: aims leave room for about twice the sending time.
-const CACHES: Marks =
-    Marks { crowded: 1.8, roomy: 1.4, calm: Micros::MAX, pause: 1.0, span: 5e6, deep: LIMIT_CUT };
-/// Waits of fills over the time in which they are wanted. Uncut for a few seconds the limit rises.
-const FILLS: Marks =
-    Marks { crowded: 0.55, roomy: 0.4, calm: 2_000_000, pause: 0.5, span: 1e6, deep: LIMIT_CUT };
-const ORIGIN: Marks = Marks { deep: LIMIT_CUT / 2.0, ..FILLS };
-/// Fills that all routers together leave to a source, however slow.
-const LEAST_FILLS: f64 = 6.0;
-/// What is worth more than the class of least worth for its work may go over the limit by this.
-const DEARER_ROOM: f64 = 1.5;
-/// Gain of a class's sending time (sizes vary widely), and samples of it before waits are held against it.
-const SIZE_GAIN: f64 = 1.0 / 256.0;
-const WORK_SAMPLES: u32 = 16;
-/// How full the location's link may be before fills are shed, in part, then all: up to 2 hardly one is late.
-const LINK: [f64; 2] = [2.0, 5.0];
-/// Share of requests that may cost a second attempt, and how many may come together: no retry storms.
-const RETRY_SHARE: f64 = 0.25;
+/// How long a member is skipped after a failure, before one trial is let through: the default of the design
+/// page.
+const SKIP_TIME: Micros = 5_000_000;
+/// Multiplier of the ranking hash. It is odd, and all routers have to use the same one.
+const HASH_MULTIPLIER: u64 = 0xFF51_AFD7_ED55_8CCD;
+/// An attempt times out after the mean wait of its class plus this many mean deviations, because sizes vary
+/// widely.
+const TIMEOUT_DEVIATIONS: f64 = 4.0;
+/// Weight of a new sample in a class's moving averages: 1/32 forgets in a few seconds of usual traffic.
+const CLASS_GAIN: f64 = 1.0 / 32.0;
+/// Least weight of a new sample in a member's moving averages, so that slow members show soon.
+const MEMBER_GAIN: f64 = 1.0 / 10.0;
+/// Share of the budget that the rule for cold members allows which is used.
+const COLD_BUDGET_SHARE: f64 = 0.7;
+/// Further share of that budget which is used where no weights tell the members' sizes.
+const UNWEIGHTED_BUDGET_SHARE: f64 = 0.5;
+/// Share of the budget of one overload window that may be spent at once: limits bursts.
+const COLD_BURST_SHARE: f64 = 0.25;
+/// Time constant of the traffic rates behind the cold budget, and length of a generation of known objects.
+const RATE_MEMORY_MICROS: f64 = 15_000_000.0;
+/// Transfers that a cache of unreported size is assumed to carry at full speed until its waits say otherwise.
+const DEFAULT_TRANSFERS: f64 = 12.0;
+/// Initial limit of own attempts in flight at a cache, as a multiple of this router's share of the transfers
+/// that the cache carries at full speed.
+const INITIAL_LIMIT_MULTIPLE: f64 = 1.5;
+/// Factor by which the limit of a crowded member is cut (the origin's by its wait ratio, down to half of
+/// this). A limit rises by one, where it is below one by its own amount or threefold that while there is
+/// spare capacity, or by one of the growth shares below where that is more. It moves at most once in the
+/// interval of its tuning.
+const LIMIT_CUT_FACTOR: f64 = 0.8;
+/// Below this reported usage, also of its link, a cache does not count as crowded whatever its waits are, and
+/// its limit grows fast.
+const LOW_USAGE: f64 = 0.8;
+/// Share by which the limit of a member that reports low usage grows in one move.
+const GROWTH_LOW_USAGE: f64 = 0.4;
+/// Share by which the limit of any other member with spare capacity grows in one move.
+const GROWTH_SPARE: f64 = 0.1;
+/// Limits on caches: waits relative to the sending time. The latency targets leave room for about twice that
+/// time.
+const CACHE_TUNING: LimitTuning = LimitTuning {
+    crowded_ratio: 1.8,
+    spare_ratio: 1.4,
+    recovery_time: Micros::MAX,
+    interval_multiple: 1.0,
+    sample_memory_micros: 5e6,
+    deepest_cut: LIMIT_CUT_FACTOR,
+};
+/// Limits on fills from a source: waits relative to the time in which the request is wanted. A limit that has
+/// not been cut for a few seconds rises.
+const FILL_TUNING: LimitTuning = LimitTuning {
+    crowded_ratio: 0.55,
+    spare_ratio: 0.4,
+    recovery_time: 2_000_000,
+    interval_multiple: 0.5,
+    sample_memory_micros: 1e6,
+    deepest_cut: LIMIT_CUT_FACTOR,
+};
+/// Limits on fills from the origin, which are cut deeper.
+const ORIGIN_TUNING: LimitTuning = LimitTuning { deepest_cut: LIMIT_CUT_FACTOR / 2.0, ..FILL_TUNING };
+/// Fills in flight that all routers together always allow a source, however slow it is.
+const MIN_SHARED_FILLS: f64 = 6.0;
+/// Bound of the factor on a limit by a request's value: what is worth more for its work than the class of
+/// least value may exceed the limit by up to this.
+const MAX_LIMIT_FACTOR: f64 = 1.5;
+/// Weight of a new sample in a class's mean sending time: low, because sizes vary widely.
+const SENDING_TIME_GAIN: f64 = 1.0 / 256.0;
+/// Samples of a class's sending time before waits are compared with it.
+const MIN_SENDING_TIME_SAMPLES: u32 = 16;
+/// Load of the location's link at which fills begin to be shed: up to 2 hardly one is late.
+const LINK_LOAD_SHED_START: f64 = 2.0;
+/// Load of the location's link at which all fills are shed.
+const LINK_LOAD_SHED_ALL: f64 = 5.0;
+/// Retry budget, a token bucket that prevents retry storms: tokens that each request adds, which is the share
+/// of requests that may cost a second attempt.
+const RETRY_TOKENS_PER_REQUEST: f64 = 0.25;
+/// Most retry tokens that may be saved up: retries that may come together.
 const RETRY_BURST: f64 = 10.0;
-/// Signs in a row, with no answer between, that make a member suspect; those within the time count as one.
-const STRIKES: u32 = 3;
-const TOGETHER: Micros = 50_000;
-/// The same where a rumour is believed (own failures are still needed), and how much shorter patience is.
-const STRIKES_IN_DOUBT: u32 = 1;
-const DOUBTED: Micros = 2;
-/// Gain of a member's share of errors: four in a row pass the first mark, where a parent is skipped. A good
-/// trial takes half of it, and they have to bring it under the second.
-const ERROR_GAIN: [f64; 2] = [1.0 / 8.0, 0.5];
-const ERRORS: [f64; 2] = [0.4, 0.2];
-/// What a member without errors weighs where it is not told whose an error is: one tenth of an own one.
-const BLAMELESS: f64 = 0.02;
-/// How long a client that was declined is told to stay away.
-const STAY_AWAY: Micros = 250_000;
-/// Purges are remembered this multiple of `purge_done`: a fill begun before may still land.
-const PURGE_MEMORY: f64 = 1.25;
-/// Expected share of misses before any outcome was seen.
-const MISS_PRIOR: f64 = 0.35;
-
-/// A strong 64-bit mixer (every input bit changes every output bit about half of the time).
+/// Strikes (signs of failure) in a row, with no good answer between them, after which a member is skipped.
+const STRIKES_TO_SKIP: u32 = 3;
+/// Strikes within this time count as one.
+const STRIKE_MERGE_WINDOW: Micros = 50_000;
+/// Strikes after which a member that other routers suspect is skipped: own failures are still needed.
+const STRIKES_TO_SKIP_SUSPECTED: u32 = 1;
+/// Divisor of the timeout of attempts at a member that other routers suspect.
+const SUSPECTED_TIMEOUT_DIVISOR: Micros = 2;
+/// Weight of a new error in a member's error share: four in a row pass [`MAX_ERROR_SHARE`].
+const ERROR_GAIN: f64 = 1.0 / 8.0;
+/// Part of a member's error share that a successful trial takes away.
+const TRIAL_ERROR_DECAY: f64 = 0.5;
+/// A parent whose error share exceeds this is skipped.
+const MAX_ERROR_SHARE: f64 = 0.4;
+/// Successful trials have to bring the error share down to this before the skip ends.
+const RECOVERED_ERROR_SHARE: f64 = 0.2;
+/// Added to each error share when an error is divided between member and source, where answers do not say
+/// whose it is. It is what a member without errors weighs: one tenth of what an error of its own would.
+const BASE_ERROR_SHARE: f64 = 0.02;
+/// Retry-after advice of a declined request.
+const RETRY_AFTER: Micros = 250_000;
+/// Purges are remembered for this multiple of `purge_complete_after`: a fill that began before one may still
+/// land.
+const PURGE_MEMORY_MULTIPLE: f64 = 1.25;
+/// Expected share of misses before the first outcome.
+const INITIAL_MISS_SHARE: f64 = 0.35;
+
+/// A strong 64-bit mixer: every input bit changes every output bit about half of the time.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     x ^ (x >> 31)
 }
 
-fn unit(h: u64) -> f64 {
+/// Maps a hash to a number between 0 and 1, both excluded.
+fn unit_interval(h: u64) -> f64 {
     ((h >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// CARP's combination: XOR, add the product with a large prime, rotate left by 21. The sum is a product with
-/// an even number and so loses a bit: ids are mixed before, and the result once more after.
-fn combine(object: u64, member: u64) -> u64 {
+/// Combines the hashes of an object and a member as CARP does: XOR, add the product with a large prime,
+/// rotate left by 21. The sum is a product with an even number and so loses one bit, therefore both hashes
+/// are mixed beforehand and the result is mixed once more.
+fn combine_hashes(object: u64, member: u64) -> u64 {
     let x = object ^ member;
-    mix(x.wrapping_add(x.wrapping_mul(PRIME)).rotate_left(21))
+    mix(x.wrapping_add(x.wrapping_mul(HASH_MULTIPLIER)).rotate_left(21))
 }
 
 fn member_hash(addr: Addr) -> u64 {
     mix(0x6e67 << 48 | u64::from(u32::from_be_bytes(addr.ip)) << 16 | u64::from(addr.port))
 }
 
-/// CARP load factors for the given weights, in their order (draft section 3.3); equal or absent: all 1.
+/// Returns the CARP load factors for the given weights, in their order (draft section 3.3). They are all 1
+/// where the weights are equal or none is usable.
 pub fn load_factors(weights: &[f64]) -> Vec<f64> {
     let usable = |w: f64| if w.is_finite() && w > 0.0 { w } else { 0.0 };
     let sum: f64 = weights.iter().map(|&w| usable(w)).sum();
@@ -112,80 +155,98 @@
     factors
 }
 
-/// The highest mean rate over `MEMORY`: what was borne once can be borne again, also after a loss.
+/// A decaying traffic rate and its highest mean over `RATE_MEMORY_MICROS`. The peak never falls: what was
+/// borne once can be borne again, also after a loss of traffic.
 #[derive(Clone, Debug, Default)]
 struct Rate {
-    sum: f64,
-    last: Micros,
+    decayed_sum: f64,
+    updated_at: Micros,
+    /// Amount per microsecond.
     peak: f64,
 }
 
 impl Rate {
-    fn add(&mut self, now: Micros, born: Option<Micros>, x: f64) {
-        self.sum = self.sum * (-(now.saturating_sub(self.last) as f64) / MEMORY).exp() + x;
-        self.last = now;
-        let age = (now.saturating_sub(born.unwrap_or(now)) as f64).max(MEMORY / 3.0);
-        self.peak = self.peak.max(self.sum / (MEMORY * (1.0 - (-age / MEMORY).exp())));
+    /// Adds an amount of traffic. `started_at` is when the router started; a rate of less history is averaged
+    /// over a third of the memory at least.
+    fn add(&mut self, now: Micros, started_at: Option<Micros>, amount: f64) {
+        self.decayed_sum = self.decayed_sum
+            * (-(now.saturating_sub(self.updated_at) as f64) / RATE_MEMORY_MICROS).exp()
+            + amount;
+        self.updated_at = now;
+        let age = (now.saturating_sub(started_at.unwrap_or(now)) as f64).max(RATE_MEMORY_MICROS / 3.0);
+        self.peak = self
+            .peak
+            .max(self.decayed_sum / (RATE_MEMORY_MICROS * (1.0 - (-age / RATE_MEMORY_MICROS).exp())));
     }
 }
 
-/// What is known of a member.
+/// What the router knows of a member.
 #[derive(Clone, Debug, Default)]
 struct Member {
     entry: Entry,
     role: Role,
+    /// Hash of its address, for the ranking.
     hash: u64,
-    /// It failed: skipped until then, and after each trial as long again, until one succeeds.
-    skip: Option<Micros>,
-    last_reply: Micros,
-    last_fill: Micros,
-    stuck: u32,
-    struck: Micros,
-    /// Rumours count until then. What follows is told of it: last own failure and good answer, skips helped.
-    doubt: Micros,
-    failed: Micros,
-    why: Option<Outcome>,
-    good: Micros,
-    helped: u32,
+    /// Set after a failure: the member is skipped until then, and after each trial as long again, until one
+    /// succeeds.
+    skip_until: Option<Micros>,
+    last_reply_at: Micros,
+    last_fill_at: Micros,
+    /// Strikes in a row since its last good answer or skip, and when the last one was.
+    strikes: u32,
+    last_strike_at: Micros,
+    /// The suspicion of other routers counts until then.
+    suspected_until: Micros,
+    /// The next four are only reported: the last own failure and how it failed, the last good answer, and
+    /// skips that the suspicion of others brought forward.
+    last_failed_at: Micros,
+    last_failure: Option<Outcome>,
+    last_good_at: Micros,
+    suspicion_skips: u32,
     /// Share of its answers and fills that ended in an error of its own, as far as can be told.
-    errors: f64,
-    tokens: f64,
-    tokens_at: Micros,
-    lots: u32,
+    error_share: f64,
+    /// Token bucket of a cold member's budget, in microseconds of work, and when it was last refilled.
+    cold_tokens: f64,
+    cold_tokens_at: Micros,
+    /// Lots drawn so far for work larger than the burst.
+    lots_drawn: u32,
     flow: Flow,
 }
 
+/// An attempt that was sent for a request.
 #[derive(Clone, Debug)]
 struct Attempt {
     member: Addr,
     source: Addr,
-    /// Zone and cell of the member: another one may stand at its address by now.
-    place: (u16, u16),
-    sent: Micros,
+    /// Zone and cell of the member when the attempt was sent: another member may have its address by now.
+    zone_and_cell: (u16, u16),
+    sent_at: Micros,
     outcome: Option<Outcome>,
     revoked: bool,
-    /// Only what the source holds is asked for.
-    held: bool,
-    /// The source, and the origin behind it, whose limits on fills it counts at.
-    counted: Vec<Addr>,
+    /// The source is asked only for what it holds.
+    only_held: bool,
+    /// The members whose limits on fills it counts against: the source, and the origin behind it.
+    counted_at: Vec<Addr>,
 }
 
-/// A request that was taken, until its last attempt has ended.
+/// The state of a request that was taken, until its last attempt has ended.
 #[derive(Clone, Debug)]
 struct Job {
     req: Request,
+    /// No final answer yet.
     open: bool,
     attempts: Vec<Attempt>,
-    lost: Vec<Addr>,
+    /// Members and sources that failed it and are left out of its next attempts.
+    excluded: Vec<Addr>,
 }
 
 impl Attempt {
-    /// It asked only for what is held, here or at the source, and nothing was.
-    fn looked(&self) -> bool {
-        self.outcome == Some(Outcome::Miss) && (self.held || self.source == self.member)
+    /// Whether it asked only for what is held, at the member or at the source, and found nothing.
+    fn was_lookup_miss(&self) -> bool {
+        self.outcome == Some(Outcome::Miss) && (self.only_held || self.source == self.member)
     }
-    /// It was taken back unwritten, which says nothing of its member.
-    fn unsent(&self) -> bool {
+    /// Whether it was taken back before it was sent, which says nothing of its member.
+    fn was_not_sent(&self) -> bool {
         self.outcome == Some(Outcome::NotSent)
     }
     fn may_have_run(&self) -> bool {
@@ -193,439 +254,547 @@
     }
 }
 
-/// What a place is sought for: the mixed object, its cost to a cold member, room over limits, a set cache.
+/// What a member is chosen for.
 #[derive(Clone, Copy, Debug)]
-struct Ask {
-    object: u64,
-    work: f64,
-    room: f64,
-    at: Option<Addr>,
+struct MemberQuery {
+    /// Hash of the object.
+    object_hash: u64,
+    /// What the request costs a cold member, in microseconds of work.
+    cost: f64,
+    /// Factor on the members' limits for this request.
+    limit_factor: f64,
+    /// The cache is already decided.
+    fixed_cache: Option<Addr>,
 }
 
-/// How a cache answers, or fills from a source go: the waits, what they are held against, own ones out.
+/// Flow control of the attempts at a cache, or of the fills from a source: moving averages of the waits, the
+/// own ones in flight and their limit.
 #[derive(Clone, Debug, Default)]
 struct Flow {
-    wait: f64,
-    base: f64,
-    seen: Micros,
-    out: u32,
-    ended: Micros,
+    /// Moving average of the waits, in microseconds.
+    mean_wait: f64,
+    /// Moving average of what the waits are compared with, in microseconds.
+    expected_wait: f64,
+    last_sample_at: Micros,
+    in_flight: u32,
+    last_ended_at: Micros,
+    /// Most in flight at once; below one, how often one may be. `None`: no limit.
     limit: Option<f64>,
-    /// Its last report tells of little use.
-    easy: bool,
-    moved: Micros,
-    cut: Micros,
+    /// Its last load report shows low usage.
+    low_usage: bool,
+    limit_moved_at: Micros,
+    limit_cut_at: Micros,
 }
 
-/// Pace (waits over their base) above which a limit falls, and under which it rises; time without a cut after
-/// which it rises anyway (five times that ends it); pause between moves; span of a pace; the deepest cut.
-struct Marks {
-    crowded: f64,
-    roomy: f64,
-    calm: Micros,
-    pause: f64,
-    span: f64,
-    deep: f64,
+/// How a limit moves with the wait ratio (mean wait over expected wait).
+struct LimitTuning {
+    /// Wait ratio above which the limit falls.
+    crowded_ratio: f64,
+    /// Wait ratio below which the limit rises.
+    spare_ratio: f64,
+    /// Time without a cut after which the limit rises anyway; after five times that it is lifted.
+    recovery_time: Micros,
+    /// Least time between two moves, as a multiple of the expected wait.
+    interval_multiple: f64,
+    /// Time constant of the moving averages, in microseconds.
+    sample_memory_micros: f64,
+    /// The lowest factor of a single cut.
+    deepest_cut: f64,
 }
 
 impl Flow {
-    /// Whether one more fits; the next in rank takes what is over. Under one, a pause follows each: a least
-    /// limit of one for each of hundreds of routers would crowd what they share.
-    fn admits(&self, room: f64, now: Micros) -> bool {
-        // While it is easy no class is turned away for another: else the limit is never reached, nor raised.
-        let room = room.max(f64::from(u8::from(self.easy)));
-        self.limit.is_none_or(|x| match x * room {
+    /// Whether one more fits; the next member in rank takes what does not. Under a limit of less than one, a
+    /// pause follows each: were the least limit one for each of hundreds of routers, they would crowd what
+    /// they share.
+    fn admits(&self, limit_factor: f64, now: Micros) -> bool {
+        // While usage is low no class is turned away in favour of another: otherwise the limit would never be
+        // reached, and so never raised.
+        let limit_factor = limit_factor.max(f64::from(u8::from(self.low_usage)));
+        self.limit.is_none_or(|current| match current * limit_factor {
             x if x < 1.0 => {
-                let pause = (self.base * (1.0 / x - 1.0)).min(FILLS.calm as f64);
-                self.out == 0 && now >= self.ended + pause as Micros
+                let pause = (self.expected_wait * (1.0 / x - 1.0)).min(FILL_TUNING.recovery_time as f64);
+                self.in_flight == 0 && now >= self.last_ended_at + pause as Micros
             }
-            x => f64::from(self.out) < x,
+            x => f64::from(self.in_flight) < x,
         })
     }
-    /// A router may see few outcomes of one member: the rarer, the more each one counts.
-    fn sample(&mut self, now: Micros, wait: f64, base: f64, span: f64) {
-        let gain = PACE_GAIN.max(1.0 - (-(now.saturating_sub(self.seen) as f64) / span).exp());
-        self.wait += gain * (wait - self.wait);
-        self.base += gain * (base - self.base);
-        self.seen = now;
+    /// Adds a wait to the moving averages. The rarer the samples, the more each one counts, because a router
+    /// may see few outcomes of one member.
+    fn add_sample(&mut self, now: Micros, wait: f64, expected: f64, memory_micros: f64) {
+        let gain =
+            MEMBER_GAIN.max(1.0 - (-(now.saturating_sub(self.last_sample_at) as f64) / memory_micros).exp());
+        self.mean_wait += gain * (wait - self.mean_wait);
+        self.expected_wait += gain * (expected - self.expected_wait);
+        self.last_sample_at = now;
     }
-    fn pace(&self) -> f64 {
-        self.wait / self.base.max(1.0)
+    fn wait_ratio(&self) -> f64 {
+        self.mean_wait / self.expected_wait.max(1.0)
     }
-    /// Moves the limit by the pace; `full`: one was turned away. `others`: what may stand behind a first cut.
-    fn adjust(&mut self, now: Micros, marks: &Marks, least: f64, others: u32, full: bool) {
-        let pace = if full { f64::MAX } else { f64::from(u8::from(!self.easy)) * self.pace() };
-        if now < self.moved + (self.base * marks.pause) as Micros {
+    /// Moves the limit by the wait ratio. `refused`: the member turned one away for lack of room, which
+    /// counts as crowded. `others_in_flight`: attempts that may also be the cause, which a first cut starts
+    /// from.
+    fn adjust_limit(
+        &mut self,
+        now: Micros,
+        tuning: &LimitTuning,
+        min_limit: f64,
+        others_in_flight: u32,
+        refused: bool,
+    ) {
+        let ratio = if refused { f64::MAX } else { f64::from(u8::from(!self.low_usage)) * self.wait_ratio() };
+        if now < self.limit_moved_at + (self.expected_wait * tuning.interval_multiple) as Micros {
             return;
         }
-        let calm = now.saturating_sub(self.cut);
+        let since_cut = now.saturating_sub(self.limit_cut_at);
         match self.limit {
-            _ if pace > marks.crowded => {
-                let most = self.limit.unwrap_or(f64::MAX).min(f64::from(self.out.max(others) + 1));
-                let to = most * (marks.crowded / pace).clamp(marks.deep, LIMIT_CUT);
-                (self.limit, self.cut) = (Some(to.max(least)), now);
+            _ if ratio > tuning.crowded_ratio => {
+                let from =
+                    self.limit.unwrap_or(f64::MAX).min(f64::from(self.in_flight.max(others_in_flight) + 1));
+                let to = from * (tuning.crowded_ratio / ratio).clamp(tuning.deepest_cut, LIMIT_CUT_FACTOR);
+                (self.limit, self.limit_cut_at) = (Some(to.max(min_limit)), now);
             }
-            Some(_) if calm / 5 > marks.calm => self.limit = None,
-            Some(x) if f64::from(self.out + 1) < x => return,
-            Some(x) if pace < marks.roomy || calm > marks.calm => {
-                let share = GROWTH[usize::from(!self.easy) + usize::from(pace >= marks.roomy)];
-                self.limit =
-                    Some(x + (x * if pace < marks.roomy { 3.0 } else { 1.0 }).min(1.0).max(x * share));
+            Some(_) if since_cut / 5 > tuning.recovery_time => self.limit = None,
+            // A limit that is not reached does not rise.
+            Some(x) if f64::from(self.in_flight + 1) < x => return,
+            Some(x) if ratio < tuning.spare_ratio || since_cut > tuning.recovery_time => {
+                let growth = if ratio >= tuning.spare_ratio {
+                    0.0
+                } else if self.low_usage {
+                    GROWTH_LOW_USAGE
+                } else {
+                    GROWTH_SPARE
+                };
+                self.limit = Some(
+                    x + (x * if ratio < tuning.spare_ratio { 3.0 } else { 1.0 }).min(1.0).max(x * growth),
+                );
             }
             _ => return,
         }
-        self.moved = now;
+        self.limit_moved_at = now;
     }
 }
 
+/// What a timer of the router is for.
 #[derive(Clone, Copy, Debug)]
 enum Timer {
+    /// The request's time is up.
     Deadline(RequestId),
-    Check(RequestId, usize),
-    Again(RequestId),
-    Second(RequestId),
+    /// Looks at an attempt, by its index, that has had no answer for long.
+    CheckAttempt(RequestId, usize),
+    /// The retry delay is over.
+    Retry(RequestId),
+    /// A second copy of the request may go out.
+    Hedge(RequestId),
 }
 
-/// The decisions of one router.
+/// The decisions of one router. It does no I/O: it is driven by [`Event`]s and answers with [`Action`]s.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
-    s: Settings,
+    settings: Settings,
     members: BTreeMap<Addr, Member>,
+    /// Caches of the own location that are ready, with their CARP load factors.
     caches: Vec<(Addr, f64)>,
+    /// Parents that are ready, with their CARP load factors.
     parents: Vec<(Addr, f64)>,
     origin: Option<Addr>,
-    most_weight: [f64; 2],
+    /// Highest sum of weights so far, of the caches and of the parents.
+    peak_weights: [f64; 2],
     jobs: BTreeMap<RequestId, Job>,
     timers: BTreeMap<u32, Timer>,
     next_token: u32,
-    purged: BTreeMap<(u16, Option<u64>), Micros>,
-    pace: Vec<ClassStats>,
+    /// When a group or an object was last purged. Objects stand under group 0.
+    purged_at: BTreeMap<(u16, Option<u64>), Micros>,
+    class_stats: Vec<ClassStats>,
+    /// Work that the caches and the parents have delivered.
     demand: [Rate; 2],
-    retries: f64,
-    known: [BTreeMap<u64, f64>; 2],
-    known_since: Micros,
-    born: Option<Micros>,
-    /// Routers that share a cache of the location, and a parent or the origin.
+    retry_tokens: f64,
+    /// Shortest answer times by object, in microseconds: this generation and the one before.
+    known_times: [BTreeMap<u64, f64>; 2],
+    known_times_since: Micros,
+    started_at: Option<Micros>,
+    /// Routers that share a cache of the location, and routers that share a parent or the origin.
     sharing: [f64; 2],
     seed: u64,
-    /// How full the location's link is, as its caches report it.
-    link: f64,
-    /// Processes beside this one that spend the same budgets of cold members.
-    beside: f64,
+    /// Load of the location's link as its caches report it; may exceed 1.
+    link_load: f64,
+    /// Other processes of the same proxy, which spend the same budgets of cold members.
+    sibling_processes: f64,
 }
 
 impl Router {
-    /// A router that knows its settings and nothing else.
+    /// Creates a router that knows its settings and nothing else. `seed` drives its random choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let pace = settings.classes.iter().map(|c| {
-            let aim = c.target_latency.max(1) as f64;
+        let class_stats = settings.classes.iter().map(|c| {
+            let target = c.target_latency.max(1) as f64;
             ClassStats {
-                sending_time: aim / 2.0,
-                mean_wait: aim,
-                deviation: aim / 4.0,
-                miss_share: MISS_PRIOR,
+                sending_time: target / 2.0,
+                mean_wait: target,
+                deviation: target / 4.0,
+                miss_share: INITIAL_MISS_SHARE,
                 ..ClassStats::default()
             }
         });
         let own = settings.routers_by_zone.get(usize::from(settings.zone)).copied().unwrap_or(1);
         let sharing = [own, settings.routers_by_zone.iter().sum()].map(|n: u32| f64::from(n.max(1)));
-        Router { sharing, pace: pace.collect(), retries: RETRY_BURST, s: settings, seed, ..Router::default() }
+        Router {
+            sharing,
+            class_stats: class_stats.collect(),
+            retry_tokens: RETRY_BURST,
+            settings,
+            seed,
+            ..Router::default()
+        }
     }
 
-    /// So many processes of the same proxy live beside this one: all together keep to its budgets.
+    /// Sets how many other processes of the same proxy live: all together keep to its budgets of cold
+    /// members.
     pub fn set_sibling_processes(&mut self, others: usize) {
-        self.beside = others as f64;
+        self.sibling_processes = others as f64;
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        if self.born.is_none() {
-            (self.born, self.known_since) = (Some(now), now);
-            out.extend(self.s.list_on_request.then_some(Action::Track));
+        if self.started_at.is_none() {
+            (self.started_at, self.known_times_since) = (Some(now), now);
+            out.extend(self.settings.list_on_request.then_some(Action::Track));
         }
         match event {
             Event::Members { form, entries } => self.on_members(form, &entries, out),
             Event::Request(req) => self.on_request(now, req, out),
             Event::Expired(id) => self.close(id, out),
+            // The client has part of an answer: no further attempt and no other final answer follow.
             Event::StreamStarted { request, .. } => {
                 drop(self.jobs.entry(request).and_modify(|j| j.open = false))
             }
             Event::Completed(c) => self.on_completed(now, c, out),
             Event::Timer(token) => self.on_timer(now, token, out),
             Event::Purged { ago, object, group } => {
-                let keep = (self.s.purge_complete_after as f64 * PURGE_MEMORY) as Micros;
-                self.purged.retain(|_, at| *at + keep > now);
-                let at = self.purged.entry((if object.is_some() { 0 } else { group }, object)).or_insert(0);
+                let keep = (self.settings.purge_complete_after as f64 * PURGE_MEMORY_MULTIPLE) as Micros;
+                self.purged_at.retain(|_, at| *at + keep > now);
+                let at =
+                    self.purged_at.entry((if object.is_some() { 0 } else { group }, object)).or_insert(0);
                 *at = (*at).max(now.saturating_sub(ago));
             }
-            Event::Suspected { member, incarnation, valid_for: lasts } => {
-                self.on_rumour(now, member, incarnation, lasts, out)
+            Event::Suspected { member, incarnation, valid_for } => {
+                self.on_suspected(now, member, incarnation, valid_for, out)
             }
-            // A good one tells of the load, no more; a failed one is an own failure.
-            Event::Probed { member, outcome: Outcome::Ok, report } => self.reported(member, &report),
-            Event::Probed { member, outcome, .. } => self.stuck(member, now, outcome),
+            // A probe that ended well only tells the load; one that failed is an own failure.
+            Event::Probed { member, outcome: Outcome::Ok, report } => self.on_load_report(member, &report),
+            Event::Probed { member, outcome, .. } => self.add_strike(member, now, outcome),
             Event::Peer { .. } => {}
         }
     }
 
-    // ---- the list and the ranking ----
+    // ---- the member list and the ranking ----
 
     fn on_members(&mut self, form: ListForm, entries: &[Entry], out: &mut Vec<Action>) {
         if form == ListForm::Failed {
-            return out.extend(self.s.list_on_request.then_some(Action::Track));
+            return out.extend(self.settings.list_on_request.then_some(Action::Track));
         }
         if form != ListForm::Delta {
             self.members.retain(|a, _| entries.iter().any(|e| e.addr == *a));
         }
         for e in entries {
-            let role = self.s.role(e);
-            let limit = Some(self.flows(e) * START_LIMIT).filter(|_| role == Role::Cache);
+            let role = self.settings.role(e);
+            let limit = Some(self.transfer_share(e) * INITIAL_LIMIT_MULTIPLE).filter(|_| role == Role::Cache);
             let (hash, flow) = (member_hash(e.addr), Flow { limit, ..Flow::default() });
-            let fresh = Member { entry: *e, role, hash, tokens_at: e.started_at, flow, ..Member::default() };
+            let new_member =
+                Member { entry: *e, role, hash, cold_tokens_at: e.started_at, flow, ..Member::default() };
             match self.members.get_mut(&e.addr) {
                 _ if e.state == Lifecycle::Gone => drop(self.members.remove(&e.addr)),
                 Some(m) if (m.entry.started_at, m.entry.incarnation) == (e.started_at, e.incarnation) => {
                     m.entry = *e
                 }
-                _ => drop(self.members.insert(e.addr, fresh)),
+                // A member that is new or has started anew: what was learned of its address no longer holds.
+                _ => drop(self.members.insert(e.addr, new_member)),
             }
         }
-        self.origin = self.ranking(Role::Origin).first().map(|(a, _)| *a);
-        self.caches = self.ranking(Role::Cache);
-        self.parents = self.ranking(Role::Parent);
+        self.origin = self.ready_members(Role::Origin).first().map(|(a, _)| *a);
+        self.caches = self.ready_members(Role::Cache);
+        self.parents = self.ready_members(Role::Parent);
         let sum = |list: &[(Addr, f64)]| list.iter().map(|(a, _)| self.weight(*a)).sum::<f64>();
-        let (sums, most) = ([sum(&self.caches), sum(&self.parents)], self.most_weight);
-        self.most_weight = [0, 1].map(|i| sums[i].max(most[i]));
+        let (sums, peaks) = ([sum(&self.caches), sum(&self.parents)], self.peak_weights);
+        self.peak_weights = [0, 1].map(|i| sums[i].max(peaks[i]));
     }
 
-    /// A member's weight; `live` weights change with the load and would reshuffle the objects.
+    /// Returns a member's weight in the ranking. Live weights change with the load and would reshuffle the
+    /// objects, so they count as 1.
     fn weight(&self, a: Addr) -> f64 {
-        let told = matches!(self.s.weight_source, WeightSource::Nominal | WeightSource::Rough);
+        let stable = matches!(self.settings.weight_source, WeightSource::Nominal | WeightSource::Rough);
         let w = self.members.get(&a).map_or(0.0, |m| f64::from(m.entry.weight));
-        Some(w).filter(|&w| told && w > 0.0).unwrap_or(1.0)
+        Some(w).filter(|&w| stable && w > 0.0).unwrap_or(1.0)
     }
 
-    /// The own part of the transfers that a member carries at full pace: a weight counts them, where told.
-    fn flows(&self, e: &Entry) -> f64 {
-        let told = self.s.weight_source == WeightSource::Nominal && e.weight > 0.0;
-        let sharing = self.sharing[usize::from(Some(e.kind) == self.s.parent_kind)];
-        (if told { f64::from(e.weight) } else { START_FLOWS }) / sharing
+    /// Returns this router's share of the transfers that a member carries at full speed. A nominal weight is
+    /// their number.
+    fn transfer_share(&self, e: &Entry) -> f64 {
+        let weighted = self.settings.weight_source == WeightSource::Nominal && e.weight > 0.0;
+        let sharing = self.sharing[usize::from(Some(e.kind) == self.settings.parent_kind)];
+        (if weighted { f64::from(e.weight) } else { DEFAULT_TRANSFERS }) / sharing
     }
 
-    fn ranking(&self, role: Role) -> Vec<(Addr, f64)> {
+    /// Returns the ready members of a role with their CARP load factors.
+    fn ready_members(&self, role: Role) -> Vec<(Addr, f64)> {
         let ready = |m: &&Member| m.role == role && m.entry.state == Lifecycle::Ready;
         let list: Vec<Addr> = self.members.values().filter(ready).map(|m| m.entry.addr).collect();
         let weights: Vec<f64> = list.iter().map(|&a| self.weight(a)).collect();
         list.iter().copied().zip(load_factors(&weights)).collect()
     }
 
-    /// The members of a list, but for some, in the order of their scores for an object, best first.
-    fn ranked(&self, list: &[(Addr, f64)], object: u64, not: &[Addr]) -> Vec<Addr> {
-        let score = |(a, f): &(Addr, f64)| {
+    /// Returns the members of a list, without the excluded ones, by their scores for an object, best first.
+    fn ranked(&self, list: &[(Addr, f64)], object_hash: u64, excluded: &[Addr]) -> Vec<Addr> {
+        let score = |(a, factor): &(Addr, f64)| {
             let hash = self.members.get(a).map_or(0, |m| m.hash);
-            (f * unit(combine(object, hash)), *a)
+            (factor * unit_interval(combine_hashes(object_hash, hash)), *a)
         };
-        let mut order: Vec<(f64, Addr)> = list.iter().filter(|(a, _)| !not.contains(a)).map(score).collect();
+        let mut order: Vec<(f64, Addr)> =
+            list.iter().filter(|(a, _)| !excluded.contains(a)).map(score).collect();
         order.sort_by(|x, y| y.0.total_cmp(&x.0).then(x.1.cmp(&y.1)));
         order.into_iter().map(|(_, a)| a).collect()
     }
 
-    /// Cold share of a member's capacity, if it started lately.
+    /// Returns the share of its capacity that a cold member has now; `None`: it is not cold.
     fn cold_share(&self, m: &Member, now: Micros) -> Option<f64> {
-        let (from, span) = match m.role {
-            Role::Parent => (self.s.parent_cold_start_share, self.s.parent_cold_period),
-            Role::Cache => (self.s.cold_start_share, self.s.cold_period),
+        let (start_share, period) = match m.role {
+            Role::Parent => (self.settings.parent_cold_start_share, self.settings.parent_cold_period),
+            Role::Cache => (self.settings.cold_start_share, self.settings.cold_period),
             _ => return None,
         };
         let age = now.saturating_sub(m.entry.started_at);
-        (m.entry.started_at > 0 && age < span).then(|| from + (1.0 - from) * age as f64 / span as f64)
+        (m.entry.started_at > 0 && age < period)
+            .then(|| start_share + (1.0 - start_share) * age as f64 / period as f64)
     }
 
-    /// What a cold member's budget grows by in a microsecond: this router's usual traffic for it, times the
-    /// multiple and the cold share. All routers doing so keep their sum within the rule.
-    fn budget(&self, m: &Member, share: f64) -> f64 {
+    /// Returns the rate of a cold member's budget, in work per microsecond: this router's usual traffic for
+    /// it times the overload multiple and the cold share. With all routers doing so their sum keeps within
+    /// the rule.
+    fn cold_budget_rate(&self, m: &Member, share: f64) -> f64 {
         let i = usize::from(m.role == Role::Parent);
-        let multiple = [self.s.overload_multiple, self.s.parent_overload_multiple][i];
-        let usual = self.demand[i].peak * self.weight(m.entry.addr) / self.most_weight[i].max(1e-9);
-        let told = self.s.weight_source == WeightSource::Nominal && m.entry.weight > 0.0;
-        let usual = usual.min(if told { self.flows(&m.entry) } else { f64::MAX });
-        let untold = if self.s.weight_source == WeightSource::Off { UNTOLD_SIZE } else { 1.0 };
-        usual * share * multiple * COLD_SAFETY * untold / (1.0 + self.beside)
+        let multiple = [self.settings.overload_multiple, self.settings.parent_overload_multiple][i];
+        let usual = self.demand[i].peak * self.weight(m.entry.addr) / self.peak_weights[i].max(1e-9);
+        let weighted = self.settings.weight_source == WeightSource::Nominal && m.entry.weight > 0.0;
+        let usual = usual.min(if weighted { self.transfer_share(&m.entry) } else { f64::MAX });
+        let unweighted =
+            if self.settings.weight_source == WeightSource::Off { UNWEIGHTED_BUDGET_SHARE } else { 1.0 };
+        usual * share * multiple * COLD_BUDGET_SHARE * unweighted / (1.0 + self.sibling_processes)
     }
 
-    /// Whether a member has room for this work; `take` spends it. Work larger than the burst draws a lot that
-    /// is won as often as the burst covers it, and a lost one empties the purse, as many routers share it.
-    fn afford(&mut self, a: Addr, work: f64, now: Micros, take: bool) -> bool {
+    /// Refills a cold member's token bucket and returns whether it covers this work; with `spend` it is paid
+    /// for. Members that are not cold always do. Work larger than the burst draws a lot, which is won as
+    /// often as the burst covers the work. A lost lot empties the bucket, because many routers share the
+    /// member.
+    fn cold_budget_covers(&mut self, a: Addr, work: f64, now: Micros, spend: bool) -> bool {
         let Some(m) = self.members.get(&a) else { return false };
         let Some(share) = self.cold_share(m, now) else { return true };
-        let rate = self.budget(m, share);
-        let most = rate * self.s.overload_tolerance as f64 * COLD_BURST;
-        let tokens = (m.tokens + rate * now.saturating_sub(m.tokens_at) as f64).min(most);
-        let price = work.min(most);
-        let full = tokens > 0.0 && tokens >= price;
-        let won = unit(mix(self.seed ^ m.hash ^ u64::from(m.lots))) * work < most;
-        let spent = take || full && !won;
-        let (left, lots) = if spent { (tokens - price, m.lots.wrapping_add(1)) } else { (tokens, m.lots) };
-        self.members.entry(a).and_modify(|m| (m.tokens, m.tokens_at, m.lots) = (left, now, lots));
-        full && won
+        let rate = self.cold_budget_rate(m, share);
+        let burst = rate * self.settings.overload_tolerance as f64 * COLD_BURST_SHARE;
+        let tokens = (m.cold_tokens + rate * now.saturating_sub(m.cold_tokens_at) as f64).min(burst);
+        let price = work.min(burst);
+        let covered = tokens > 0.0 && tokens >= price;
+        let won = unit_interval(mix(self.seed ^ m.hash ^ u64::from(m.lots_drawn))) * work < burst;
+        let spent = spend || covered && !won;
+        let (left, lots) =
+            if spent { (tokens - price, m.lots_drawn.wrapping_add(1)) } else { (tokens, m.lots_drawn) };
+        self.members
+            .entry(a)
+            .and_modify(|m| (m.cold_tokens, m.cold_tokens_at, m.lots_drawn) = (left, now, lots));
+        covered && won
     }
 
-    fn fit(&self, a: Addr, now: Micros) -> bool {
-        self.members.get(&a).is_some_and(|m| m.skip.is_none_or(|until| now >= until))
+    /// Returns whether a member is listed and not being skipped; once the skip time is over a trial may pass.
+    fn is_available(&self, a: Addr, now: Micros) -> bool {
+        self.members.get(&a).is_some_and(|m| m.skip_until.is_none_or(|until| now >= until))
     }
 
-    /// The first in rank that is fit, whose slice admits the object and that has room; else the best left.
-    fn choose(&mut self, parents: bool, ask: Ask, not: &[Addr], now: Micros) -> Option<Addr> {
-        let order = self.ranked(if parents { &self.parents } else { &self.caches }, ask.object, not);
-        // A suspect parent comes after the origin, else a dead one takes what a cold one has no room for.
-        let suspects = !parents || self.origin.is_none_or(|o| not.contains(&o) || self.errors(o) > ERRORS[0]);
+    /// Chooses the first cache or parent in rank that is available, whose cold share of the objects includes
+    /// this one and that has room; else the best that is left. Where that loses a lot it empties a cold
+    /// member's bucket.
+    fn choose(&mut self, parents: bool, query: MemberQuery, excluded: &[Addr], now: Micros) -> Option<Addr> {
+        let order =
+            self.ranked(if parents { &self.parents } else { &self.caches }, query.object_hash, excluded);
+        // A skipped parent comes after the origin: otherwise a dead one would take what a cold one has no
+        // room for.
+        let use_skipped = !parents
+            || self.origin.is_none_or(|o| excluded.contains(&o) || self.error_share(o) > MAX_ERROR_SHARE);
         let fits = |r: &Self, a: Addr, pass| {
             let Some(m) = r.members.get(&a) else { return false };
-            let in_slice = unit(mix(ask.object ^ m.hash ^ PRIME)) < r.cold_share(m, now).unwrap_or(1.0);
-            let fit = if pass == 2 { suspects } else { r.fit(a, now) && (pass == 1 || in_slice) };
-            fit && m.flow.admits(ask.room, now)
+            let in_cold_share = unit_interval(mix(query.object_hash ^ m.hash ^ HASH_MULTIPLIER))
+                < r.cold_share(m, now).unwrap_or(1.0);
+            // Pass 0: within the cold share; pass 1: any that is available; pass 2: skipped ones too.
+            let eligible =
+                if pass == 2 { use_skipped } else { r.is_available(a, now) && (pass == 1 || in_cold_share) };
+            eligible && m.flow.admits(query.limit_factor, now)
         };
         let mut tries = (0..3).flat_map(|pass| order.iter().map(move |a| (*a, pass)));
-        tries.find(|(a, p)| fits(self, *a, *p) && self.afford(*a, ask.work, now, false)).map(|(a, _)| a)
+        tries
+            .find(|(a, p)| fits(self, *a, *p) && self.cold_budget_covers(*a, query.cost, now, false))
+            .map(|(a, _)| a)
     }
 
-    /// How far a request may go over the limit: the class of least worth for its work not at all.
-    fn room(&self, req: &Request) -> f64 {
-        let each = self.s.classes.iter().zip(&self.pace);
+    /// Returns the factor on limits for a request: the more its class is worth for its work, relative to the
+    /// class of least value, the further it may exceed them. That class itself may not.
+    fn limit_factor(&self, req: &Request) -> f64 {
+        let each = self.settings.classes.iter().zip(&self.class_stats);
         let least = each.map(|(c, p)| c.value / p.sending_time.max(1.0)).fold(f64::INFINITY, f64::min);
-        let worth = self.s.classes.get(usize::from(req.class)).map_or(0.0, |c| c.value);
-        let own = worth / self.work(req).max(1.0) / least.max(1e-12);
-        own.sqrt().clamp(1.0 / DEARER_ROOM, DEARER_ROOM)
+        let value = self.settings.classes.get(usize::from(req.class)).map_or(0.0, |c| c.value);
+        let own = value / self.sending_time(req).max(1.0) / least.max(1e-12);
+        own.sqrt().clamp(1.0 / MAX_LIMIT_FACTOR, MAX_LIMIT_FACTOR)
     }
 
-    /// Moves a member's limit by its waits: a cache's by its answers (the last warm one keeps a third), a
-    /// source's by its fills: when those are crowded hits go on, and misses are declined, not all late.
-    fn judge(&mut self, now: Micros, a: Addr, wait: Micros, base: f64) {
-        let out: u32 = self.caches.iter().filter_map(|(a, _)| self.members.get(a)).map(|m| m.flow.out).sum();
-        let others = out / self.parents.len().max(1) as u32 / 2;
+    /// Records a wait at a member and moves its limit: a cache's by its answers (the last warm cache keeps a
+    /// third of the default transfers), a source's by its fills. While those are crowded, hits go on and
+    /// misses are declined, rather than all being late.
+    fn record_wait(&mut self, now: Micros, a: Addr, wait: Micros, expected: f64) {
+        let in_flight: u32 =
+            self.caches.iter().filter_map(|(a, _)| self.members.get(a)).map(|m| m.flow.in_flight).sum();
+        let others_in_flight = in_flight / self.parents.len().max(1) as u32 / 2;
         let warm = |c: &Addr| self.members.get(c).is_some_and(|m| self.cold_share(m, now).is_none());
         let last = self.caches.iter().filter(|(c, _)| warm(c)).count() < 2;
         let Some(m) = self.members.get_mut(&a) else { return };
-        let (marks, least, others) = match m.role {
-            Role::Cache if last => (&CACHES, (START_FLOWS / 3.0 / self.sharing[0]).max(1.0), 0),
-            Role::Cache => (&CACHES, 1.0, 0),
-            Role::Origin => (&ORIGIN, LEAST_FILLS / self.sharing[1], others),
-            _ => (&FILLS, LEAST_FILLS / self.sharing[1], others),
+        let (tuning, min_limit, others_in_flight) = match m.role {
+            Role::Cache if last => (&CACHE_TUNING, (DEFAULT_TRANSFERS / 3.0 / self.sharing[0]).max(1.0), 0),
+            Role::Cache => (&CACHE_TUNING, 1.0, 0),
+            Role::Origin => (&ORIGIN_TUNING, MIN_SHARED_FILLS / self.sharing[1], others_in_flight),
+            _ => (&FILL_TUNING, MIN_SHARED_FILLS / self.sharing[1], others_in_flight),
         };
-        m.flow.sample(now, wait as f64, base, marks.span);
-        m.flow.adjust(now, marks, least, others, false);
+        m.flow.add_sample(now, wait as f64, expected, tuning.sample_memory_micros);
+        m.flow.adjust_limit(now, tuning, min_limit, others_in_flight, false);
     }
 
-    /// Skips a member after a failure that says something of it, until one trial passes; `None`: it answered.
-    fn mark(&mut self, now: Micros, a: Addr, why: Option<Outcome>) {
+    /// Records a member's success (`None`) or a failure that is certainly its own. A failure skips the
+    /// member, a success ends the skip once its error share is low enough. Either clears its strikes.
+    fn record_result(&mut self, now: Micros, a: Addr, failure: Option<Outcome>) {
         let Some(m) = self.members.get_mut(&a) else { return };
-        m.errors *= 1.0 - f64::from(u8::from(why.is_none())) * ERROR_GAIN[usize::from(m.skip.is_some())];
-        let trial = m.skip.map(|_| now).filter(|_| m.errors > ERRORS[1]);
-        (m.skip, m.stuck) = (why.map(|_| now + SKIP).or(trial), 0);
-        match why {
-            Some(_) => (m.failed, m.why) = (now, why),
-            // An own good answer outranks what others say.
-            None => (m.good, m.doubt) = (now, 0),
+        let decay = if m.skip_until.is_some() { TRIAL_ERROR_DECAY } else { ERROR_GAIN };
+        m.error_share *= 1.0 - f64::from(u8::from(failure.is_none())) * decay;
+        let trial = m.skip_until.map(|_| now).filter(|_| m.error_share > RECOVERED_ERROR_SHARE);
+        (m.skip_until, m.strikes) = (failure.map(|_| now + SKIP_TIME).or(trial), 0);
+        match failure {
+            Some(_) => (m.last_failed_at, m.last_failure) = (now, failure),
+            // A good answer to this router outranks what other routers say.
+            None => (m.last_good_at, m.suspected_until) = (now, 0),
         }
     }
 
-    /// What others say lowers the number of own failures that a skip needs, and brings forward the verdict on
-    /// what is out there as a trial; it never skips by itself.
-    fn on_rumour(&mut self, now: Micros, a: Addr, incarnation: u64, lasts: Micros, out: &mut Vec<Action>) {
+    /// Takes in that other routers suspect a member. That lowers the number of own failures that a skip needs
+    /// and brings forward the timeouts of the attempts in flight there; it never skips a member by itself.
+    fn on_suspected(
+        &mut self,
+        now: Micros,
+        a: Addr,
+        incarnation: u64,
+        valid_for: Micros,
+        out: &mut Vec<Action>,
+    ) {
         let Some(m) = self.members.get_mut(&a).filter(|m| m.entry.incarnation == incarnation) else { return };
-        let new = now >= std::mem::replace(&mut m.doubt, now + lasts) && lasts > 0;
-        if lasts > 0 && m.stuck >= STRIKES_IN_DOUBT && now < m.struck + SKIP {
-            m.helped += 1;
-            let why = m.why;
-            self.mark(now, a, why);
+        let new = now >= std::mem::replace(&mut m.suspected_until, now + valid_for) && valid_for > 0;
+        if valid_for > 0 && m.strikes >= STRIKES_TO_SKIP_SUSPECTED && now < m.last_strike_at + SKIP_TIME {
+            m.suspicion_skips += 1;
+            let failure = m.last_failure;
+            self.record_result(now, a, failure);
         }
         let jobs = self.jobs.iter().filter(|(_, j)| j.open && new);
-        let out_there = jobs.flat_map(|(id, j)| j.attempts.iter().enumerate().map(move |t| (*id, j, t)));
-        let on_trial: Vec<(RequestId, usize, Micros)> = out_there
+        let all_attempts = jobs.flat_map(|(id, j)| j.attempts.iter().enumerate().map(move |t| (*id, j, t)));
+        let affected: Vec<(RequestId, usize, Micros)> = all_attempts
             .filter(|(.., (_, t))| t.outcome.is_none() && !t.revoked && (t.member == a || t.source == a))
-            .map(|(id, j, (at, t))| (id, at, t.sent + self.verdict(&j.req, t.member, t.source, now)))
+            .map(|(id, j, (at, t))| {
+                (id, at, t.sent_at + self.silence_timeout(&j.req, t.member, t.source, now))
+            })
             .collect();
-        for (id, at, due) in on_trial {
-            self.wake(Timer::Check(id, at), due.saturating_sub(now), out);
+        for (id, at, due) in affected {
+            self.set_timer(Timer::CheckAttempt(id, at), due.saturating_sub(now), out);
         }
     }
 
-    /// What own traffic showed of the members that this router uses, in the order of their addresses.
+    /// Returns what own traffic showed of the members that this router uses, in the order of their addresses.
     pub fn member_health(&self) -> impl Iterator<Item = MemberHealth> + '_ {
         self.members.iter().filter(|(_, m)| m.role != Role::OtherLocation).map(|(a, m)| MemberHealth {
             member: *a,
             incarnation: m.entry.incarnation,
             role: m.role,
-            strikes: m.stuck,
-            skipped: m.skip.is_some(),
-            last_failed_at: m.failed,
-            last_failure: m.why,
-            last_good_at: m.good,
-            suspicion_skips: m.helped,
+            strikes: m.strikes,
+            skipped: m.skip_until.is_some(),
+            last_failed_at: m.last_failed_at,
+            last_failure: m.last_failure,
+            last_good_at: m.last_good_at,
+            suspicion_skips: m.suspicion_skips,
         })
     }
 
+    // ---- requests ----
+
     fn on_request(&mut self, now: Micros, req: Request, out: &mut Vec<Action>) {
         let id = req.id;
-        self.jobs.insert(id, Job { req, open: true, attempts: Vec::new(), lost: Vec::new() });
-        if now.saturating_sub(self.known_since) > MEMORY as Micros {
-            (self.known[1], self.known_since) = (std::mem::take(&mut self.known[0]), now);
+        self.jobs.insert(id, Job { req, open: true, attempts: Vec::new(), excluded: Vec::new() });
+        if now.saturating_sub(self.known_times_since) > RATE_MEMORY_MICROS as Micros {
+            (self.known_times[1], self.known_times_since) = (std::mem::take(&mut self.known_times[0]), now);
         }
-        self.retries = (self.retries + RETRY_SHARE).min(RETRY_BURST);
-        let last = req.expires_at.saturating_sub(self.s.min_event_interval.max(1));
-        if now >= last || !self.send(now, id, out) {
-            return self.answer(id, out);
+        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(RETRY_BURST);
+        // Where events come in batches, the last one before the deadline has to bring the answer.
+        let last = req.expires_at.saturating_sub(self.settings.min_event_interval.max(1));
+        if now >= last || !self.send_attempt(now, id, out) {
+            return self.answer_unserved(id, out);
         }
-        self.wake(Timer::Deadline(id), last - now, out);
-        if req.policy.hedge_after > 0 && self.s.parallel_attempts {
-            self.wake(Timer::Second(id), req.policy.hedge_after, out);
+        self.set_timer(Timer::Deadline(id), last - now, out);
+        if req.policy.hedge_after > 0 && self.settings.parallel_attempts {
+            self.set_timer(Timer::Hedge(id), req.policy.hedge_after, out);
         }
     }
 
     fn class(&self, req: &Request) -> Class {
-        self.s.classes.get(usize::from(req.class)).cloned().unwrap_or_default()
+        self.settings.classes.get(usize::from(req.class)).cloned().unwrap_or_default()
     }
 
-    fn passes(&self, req: &Request) -> bool {
-        req.write || self.s.classes.get(usize::from(req.class)).is_some_and(|c| c.pass_through)
+    /// Returns whether a request runs at the origin and its answer is never kept.
+    fn passes_through(&self, req: &Request) -> bool {
+        req.write || self.settings.classes.get(usize::from(req.class)).is_some_and(|c| c.pass_through)
     }
 
-    fn sized(&self, req: &Request) -> bool {
-        req.size_kb > 0.0 && self.s.transfer_kb_per_s > 0.0
+    fn size_is_known(&self, req: &Request) -> bool {
+        req.size_kb > 0.0 && self.settings.transfer_kb_per_s > 0.0
     }
 
-    /// Sending time of a request, as told, else as seen of the object, else of its class.
-    fn work(&self, req: &Request) -> f64 {
-        if self.sized(req) {
-            return f64::from(req.size_kb) / self.s.transfer_kb_per_s * 1e6;
+    /// Returns the expected sending time of an answer, in microseconds: by its size where that is given, else
+    /// by earlier answers with the object, else the mean of its class.
+    fn sending_time(&self, req: &Request) -> f64 {
+        if self.size_is_known(req) {
+            return f64::from(req.size_kb) / self.settings.transfer_kb_per_s * 1e6;
         }
-        let mean = self.pace.get(usize::from(req.class)).map_or(1.0, |p| p.sending_time);
-        self.known(req.object).unwrap_or(mean)
+        let mean = self.class_stats.get(usize::from(req.class)).map_or(1.0, |p| p.sending_time);
+        self.known_time(req.object).unwrap_or(mean)
     }
 
-    /// The time in which it is wanted.
-    fn wanted(&self, req: &Request) -> f64 {
+    /// Returns the latency within which an answer earns its full value, in microseconds.
+    fn target_latency(&self, req: &Request) -> f64 {
         let class = self.class(req);
-        class.target_latency as f64 + class.target_stretch * self.work(req)
+        class.target_latency as f64 + class.target_stretch * self.sending_time(req)
     }
 
-    /// How long an attempt without an answer counts to have waited for its source: where failures carry no
-    /// notes it may have been a hit whose answer was lost, so that it is late counts, not by how much.
-    fn unanswered(&self, wait: Micros, req: &Request) -> Micros {
-        wait.min(if self.s.all_notes_reported { Micros::MAX } else { self.wanted(req) as Micros })
+    /// Returns how long an attempt without an answer counts to have waited for its source. Where failures
+    /// carry no notes it may have been a hit whose answer was lost, so that it is late counts, but not by how
+    /// much.
+    fn unanswered_wait(&self, wait: Micros, req: &Request) -> Micros {
+        wait.min(if self.settings.all_notes_reported {
+            Micros::MAX
+        } else {
+            self.target_latency(req) as Micros
+        })
     }
 
-    /// What an attempt costs a cold member: the mean of its class, as the rule counts it, and misses.
-    fn cost(&self, req: &Request) -> (f64, f64) {
-        self.pace.get(usize::from(req.class)).map_or((1.0, 1.0), |p| (p.sending_time, p.miss_share))
+    /// Returns what an attempt is expected to cost a cold member, as the rule counts it: the mean work of its
+    /// class and its share of misses.
+    fn expected_cost(&self, req: &Request) -> (f64, f64) {
+        self.class_stats.get(usize::from(req.class)).map_or((1.0, 1.0), |p| (p.sending_time, p.miss_share))
     }
 
-    /// How long an attempt may stay silent before the member or its source is looked at.
-    fn patience(&self, req: &Request) -> Micros {
+    /// Returns how long an attempt may stay silent before its member or source is looked at.
+    fn attempt_timeout(&self, req: &Request) -> Micros {
         let class = self.class(req);
-        let Some(p) = self.pace.get(usize::from(req.class)) else { return class.target_latency.max(1) };
-        let large = (self.work(req) / p.sending_time.max(1.0)).max(1.0);
-        let wait = (p.mean_wait + DEVIATIONS * p.deviation) * large;
+        let Some(p) = self.class_stats.get(usize::from(req.class)) else {
+            return class.target_latency.max(1);
+        };
+        let size_factor = (self.sending_time(req) / p.sending_time.max(1.0)).max(1.0);
+        let wait = (p.mean_wait + TIMEOUT_DEVIATIONS * p.deviation) * size_factor;
         let own = wait.clamp(
             class.target_latency as f64 / 2.0,
             (class.deadline as f64 / 2.0).max(class.target_latency as f64),
@@ -633,406 +802,523 @@
         Some(req.policy.attempt_timeout).filter(|t| *t > 0).unwrap_or(Micros::MAX).min(own as Micros)
     }
 
-    /// How long an attempt is waited for before silence counts against its member or source.
-    fn verdict(&self, req: &Request, member: Addr, source: Addr, now: Micros) -> Micros {
-        let doubted = |a| self.members.get(a).is_some_and(|m: &Member| now < m.doubt);
-        self.patience(req) / if [member, source].iter().any(doubted) { DOUBTED } else { 1 }
+    /// Returns how long an attempt is waited for before silence counts against its member or source: its
+    /// timeout, shorter where other routers suspect one of them.
+    fn silence_timeout(&self, req: &Request, member: Addr, source: Addr, now: Micros) -> Micros {
+        let suspected = |a| self.members.get(a).is_some_and(|m: &Member| now < m.suspected_until);
+        self.attempt_timeout(req)
+            / if [member, source].iter().any(suspected) { SUSPECTED_TIMEOUT_DIVISOR } else { 1 }
     }
 
-    fn wake(&mut self, timer: Timer, after: Micros, out: &mut Vec<Action>) {
+    fn set_timer(&mut self, timer: Timer, after: Micros, out: &mut Vec<Action>) {
         self.next_token = self.next_token.wrapping_add(1);
         self.timers.insert(self.next_token, timer);
         out.push(Action::Wake { token: self.next_token, after: after.clamp(1, u32::MAX.into()) as u32 });
     }
 
-    /// Oldest copy that will do: since the last purge of the object or its group, else as the class has it.
-    fn age(&self, req: &Request, now: Micros) -> u32 {
-        let keep = (self.s.purge_complete_after as f64 * PURGE_MEMORY) as Micros;
+    /// Returns the greatest age of a copy that will do: the time since the last purge of the object or its
+    /// group, else as the class has it (0).
+    fn max_age(&self, req: &Request, now: Micros) -> u32 {
+        let keep = (self.settings.purge_complete_after as f64 * PURGE_MEMORY_MULTIPLE) as Micros;
         let keys = [(0, Some(req.object)), (req.group, None)];
-        let at = keys.iter().filter_map(|k| self.purged.get(k)).filter(|&&at| at + keep > now).max();
-        let since = at.map(|at| now.saturating_sub(*at).saturating_sub(self.s.min_event_interval).max(1));
-        let kept = Some(self.class(req).fresh_for).filter(|&f| f > 0 && at.is_some());
-        u32::try_from(since.into_iter().chain(kept).min().unwrap_or(0)).unwrap_or(u32::MAX)
+        let at = keys.iter().filter_map(|k| self.purged_at.get(k)).filter(|&&at| at + keep > now).max();
+        let since_purge =
+            at.map(|at| now.saturating_sub(*at).saturating_sub(self.settings.min_event_interval).max(1));
+        let fresh_for = Some(self.class(req).fresh_for).filter(|&f| f > 0 && at.is_some());
+        u32::try_from(since_purge.into_iter().chain(fresh_for).min().unwrap_or(0)).unwrap_or(u32::MAX)
     }
 
-    /// An object's sending time, from the quickest answer with it lately.
-    fn known(&self, object: u64) -> Option<f64> {
-        self.known.iter().filter_map(|k| k.get(&object)).copied().reduce(f64::min)
+    /// Returns an object's sending time, in microseconds: the shortest recent answer with it.
+    fn known_time(&self, object: u64) -> Option<f64> {
+        self.known_times.iter().filter_map(|k| k.get(&object)).copied().reduce(f64::min)
     }
 
-    /// The one function that sends: it checks drain, effect, parallel limit, attempts left, purge age and the
-    /// cold budgets, and builds the attempt. False: nothing may be sent.
-    fn send(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) -> bool {
+    /// Sends the next attempt of a request; the only function that sends. It checks drain, effect, parallel
+    /// limit, attempts left, purge age and the budgets of cold members, and builds the attempt. Returns
+    /// false, with nothing sent, where nothing may be sent.
+    fn send_attempt(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let (req, class) = (job.req, self.class(&job.req));
-        let outstanding = job.attempts.iter().filter(|a| a.outcome.is_none()).count();
-        if !job.open || self.spent(job, now) || outstanding > usize::from(self.s.parallel_attempts) {
+        let in_flight = job.attempts.iter().filter(|a| a.outcome.is_none()).count();
+        if !job.open
+            || self.attempts_exhausted(job, now)
+            || in_flight > usize::from(self.settings.parallel_attempts)
+        {
             return false;
         }
-        let ran = job.attempts.iter().find(|a| a.may_have_run()).map(|a| (a.place, a.sent));
-        // While fills are limited, a cache is asked first for what it holds; a miss comes back for a fill.
-        // The same of its parent while the origin is: what parents hold does not wait for it.
-        let last = job.attempts.iter().rfind(|a| !a.unsent());
-        let (again, last) = (last.is_some(), last.filter(|a| a.looked()));
-        let lacks = last.is_some_and(|a| a.held);
-        let open = |a: &Addr| !job.lost.contains(a) && self.caches.iter().any(|(c, _)| c == a);
-        let missed = last.map(|a| a.member).filter(open);
-        let (again, lost) = (again && missed.is_none(), job.lost.clone());
-        let (tries, work) = (job.attempts.len(), self.cost(&req).0);
-        let paid = job.attempts.last().is_some_and(Attempt::unsent);
+        let first_run = job.attempts.iter().find(|a| a.may_have_run()).map(|a| (a.zone_and_cell, a.sent_at));
+        // While fills are limited, a cache is first asked only for what it holds; after a miss the same cache
+        // is asked again with a fill. The same goes for its parent while fills from the origin are limited,
+        // because what parents hold does not wait for the origin.
+        let last = job.attempts.iter().rfind(|a| !a.was_not_sent());
+        let (again, last) = (last.is_some(), last.filter(|a| a.was_lookup_miss()));
+        let source_lacks = last.is_some_and(|a| a.only_held);
+        let still_listed = |a: &Addr| !job.excluded.contains(a) && self.caches.iter().any(|(c, _)| c == a);
+        let missed = last.map(|a| a.member).filter(still_listed);
+        let (again, excluded) = (again && missed.is_none(), job.excluded.clone());
+        let (attempt_index, cost) = (job.attempts.len(), self.expected_cost(&req).0);
+        let already_paid = job.attempts.last().is_some_and(Attempt::was_not_sent);
         // Each part is an object of its own to the ranking, as it is to the caches that keep it.
-        let object = mix(mix(req.object) ^ u64::from(req.part));
-        let ask = Ask { object, work, room: self.room(&req), at: missed };
-        let Some((member, mut source)) = self.route(now, &req, ask, &lost) else { return false };
+        let object_hash = mix(mix(req.object) ^ u64::from(req.part));
+        let query =
+            MemberQuery { object_hash, cost, limit_factor: self.limit_factor(&req), fixed_cache: missed };
+        let Some((member, mut source)) = self.choose_route(now, &req, query, &excluded) else { return false };
         let warm = self.members.get(&member).is_some_and(|m| self.cold_share(m, now).is_none());
-        // A crowded link sheds fills by lot: routers of a location draw alike, however thin their traffic.
-        let crowd = (self.link / ask.room - LINK[0]) / (LINK[1] - LINK[0]);
+        // A crowded link sheds fills by lot: all routers of a location draw with the same odds, however
+        // little traffic each of them has.
+        let shed_share = (self.link_load / query.limit_factor - LINK_LOAD_SHED_START)
+            / (LINK_LOAD_SHED_ALL - LINK_LOAD_SHED_START);
         let limit = self.members.get(&source).and_then(|m| m.flow.limit);
-        let limited = source != member && (crowd > 0.0 || limit.is_some());
-        let look = missed.is_none() && warm || unit(mix(self.seed ^ id)) < crowd;
-        source = if limited && look && !self.passes(&req) { member } else { source };
-        let tight = self.origin.and_then(|o| self.members.get(&o)).filter(|m| m.flow.limit.is_some());
-        let tight = tight.filter(|o| source != member && source != o.entry.addr && !self.passes(&req));
-        let held = tight.is_some_and(|o| !o.flow.admits(ask.room, now));
-        let place = self.members.get(&member).map_or((0, 0), |m| (m.entry.zone, m.entry.cell));
-        let cell = |p: (u16, u16)| class.dedup_group == DedupGroup::Zone || p.1 == place.1;
-        let same = |p: (u16, u16)| class.dedup_group == DedupGroup::All || p.0 == place.0 && cell(p);
-        // Once an attempt may have run: keyed requests stay in their group and window, unsafe ones stop.
-        let end = ran.map(|(first, sent)| match class.effect {
+        let limited = source != member && (shed_share > 0.0 || limit.is_some());
+        let look_first = missed.is_none() && warm || unit_interval(mix(self.seed ^ id)) < shed_share;
+        source = if limited && look_first && !self.passes_through(&req) { member } else { source };
+        let limited_origin =
+            self.origin.and_then(|o| self.members.get(&o)).filter(|m| m.flow.limit.is_some());
+        let limited_origin = limited_origin
+            .filter(|o| source != member && source != o.entry.addr && !self.passes_through(&req));
+        let only_held = limited_origin.is_some_and(|o| !o.flow.admits(query.limit_factor, now));
+        let zone_and_cell = self.members.get(&member).map_or((0, 0), |m| (m.entry.zone, m.entry.cell));
+        let same_cell = |p: (u16, u16)| class.dedup_group == DedupGroup::Zone || p.1 == zone_and_cell.1;
+        let same_group =
+            |p: (u16, u16)| class.dedup_group == DedupGroup::All || p.0 == zone_and_cell.0 && same_cell(p);
+        // Once an attempt may have run, a keyed request stays in its group and window, and one that must not
+        // be repeated gets no further attempt.
+        let send_end = first_run.map(|(first, sent_at)| match class.effect {
             Effect::Retryable => Micros::MAX,
-            Effect::Dedup if same(first) => {
-                sent.saturating_add(class.dedup_window) - self.s.min_event_interval.min(sent)
+            Effect::Dedup if same_group(first) => {
+                sent_at.saturating_add(class.dedup_window) - self.settings.min_event_interval.min(sent_at)
             }
             _ => 0,
         });
-        let over = end.is_some_and(|end| now >= end);
-        if over || missed.is_some() && source == member || lacks && held {
+        let over = send_end.is_some_and(|end| now >= end);
+        // A second look after a miss would find nothing: neither at the cache nor at its source.
+        if over || missed.is_some() && source == member || source_lacks && only_held {
             return false;
         }
-        let far = tight.filter(|_| !held).map(|o| o.entry.addr);
-        self.retries -= f64::from(u8::from(again && !paid));
+        let behind = limited_origin.filter(|_| !only_held).map(|o| o.entry.addr);
+        self.retry_tokens -= f64::from(u8::from(again && !already_paid));
         let fill = source != member && (missed.is_some() || limited);
-        let counted: Vec<Addr> = Some(source).filter(|_| fill).into_iter().chain(far).collect();
-        for a in counted.iter().chain([&member]) {
-            self.members.entry(*a).and_modify(|m| m.flow.out += 1);
+        let counted_at: Vec<Addr> = Some(source).filter(|_| fill).into_iter().chain(behind).collect();
+        for a in counted_at.iter().chain([&member]) {
+            self.members.entry(*a).and_modify(|m| m.flow.in_flight += 1);
         }
-        self.afford(member, work, now, true);
+        self.cold_budget_covers(member, cost, now, true);
         if source != member {
-            let work = if fill { work } else { self.fill_work(member, &req, now) };
-            self.afford(source, work, now, true);
+            let cost = if fill { cost } else { self.expected_fill_cost(member, &req, now) };
+            self.cold_budget_covers(source, cost, now, true);
         }
-        let passes = self.passes(&req);
-        // What was served before is worth more than what is asked for once.
-        let keep = if passes { 0 } else { 1 + u8::from(self.known(req.object).is_some()) };
-        let new = Attempt { member, source, place, sent: now, outcome: None, revoked: false, held, counted };
+        let passes = self.passes_through(&req);
+        // An object that was served before is kept at a higher rank than one that is asked for once.
+        let keep = if passes { 0 } else { 1 + u8::from(self.known_time(req.object).is_some()) };
+        let new = Attempt {
+            member,
+            source,
+            zone_and_cell,
+            sent_at: now,
+            outcome: None,
+            revoked: false,
+            only_held,
+            counted_at,
+        };
         self.jobs.entry(id).and_modify(|j| j.attempts.push(new));
+        // What goes to a skipped member is a trial; the next one has to wait as long again.
         for a in [member, source] {
-            self.members.entry(a).and_modify(|m| m.skip = m.skip.map(|_| now + SKIP));
+            self.members.entry(a).and_modify(|m| m.skip_until = m.skip_until.map(|_| now + SKIP_TIME));
         }
         out.push(Action::Get(Get {
             request: id,
             member,
             source,
             keep,
-            age: self.age(&req, now),
-            // A look at what is held must not wait on a fill under way: that fill may hang.
-            join: self.s.fill_joining && !passes && !again && source != member,
+            age: self.max_age(&req, now),
+            // A look at what is held must not wait for a fill under way, which may hang.
+            join: self.settings.fill_joining && !passes && !again && source != member,
             renew: class.fresh_for > 0 && !passes,
-            only_held: held,
-            send_by: end.filter(|end| *end < Micros::MAX).unwrap_or(0),
+            only_held,
+            send_by: send_end.filter(|end| *end < Micros::MAX).unwrap_or(0),
             ..Get::default()
         }));
-        self.wake(Timer::Check(id, tries), self.verdict(&req, member, source, now), out);
+        self.set_timer(
+            Timer::CheckAttempt(id, attempt_index),
+            self.silence_timeout(&req, member, source, now),
+            out,
+        );
         true
     }
 
-    /// Work that a source is expected to get from a request: all of it from a cold cache or after a purge.
-    fn fill_work(&self, member: Addr, req: &Request, now: Micros) -> f64 {
-        let (cost, miss) = self.cost(req);
+    /// Returns the work that a source is expected to get from a request: the whole cost where the cache is
+    /// cold, the request passes through or a purge outdated the copies, else the cost times the share of
+    /// misses.
+    fn expected_fill_cost(&self, member: Addr, req: &Request, now: Micros) -> f64 {
+        let (cost, miss_share) = self.expected_cost(req);
         let cold = self.members.get(&member).is_some_and(|m| self.cold_share(m, now).is_some());
-        let sure = cold || self.passes(req) || self.age(req, now) > 0;
-        cost * if sure { 1.0 } else { miss }
+        let certain = cold || self.passes_through(req) || self.max_age(req, now) > 0;
+        cost * if certain { 1.0 } else { miss_share }
     }
 
-    /// Where a request goes and where a miss is filled from.
-    fn route(&mut self, now: Micros, req: &Request, ask: Ask, lost: &[Addr]) -> Option<(Addr, Addr)> {
-        let origin = self.origin.filter(|a| !lost.contains(a));
-        if self.passes(req) {
-            let to =
-                origin.filter(|_| self.s.direct).or_else(|| self.choose(self.s.direct, ask, lost, now))?;
-            // A suspect origin is no better by way of a parent, which would only ask it more often.
-            let round = self.origin.is_none_or(|o| self.fit(o, now));
-            let source = origin.or_else(|| self.choose(true, ask, lost, now).filter(|_| round))?;
+    /// Chooses where a request goes and where a miss is filled from; the same member twice: no fill.
+    fn choose_route(
+        &mut self,
+        now: Micros,
+        req: &Request,
+        query: MemberQuery,
+        excluded: &[Addr],
+    ) -> Option<(Addr, Addr)> {
+        let origin = self.origin.filter(|a| !excluded.contains(a));
+        if self.passes_through(req) {
+            let to = origin
+                .filter(|_| self.settings.direct)
+                .or_else(|| self.choose(self.settings.direct, query, excluded, now))?;
+            // A skipped origin is no better by way of a parent, which would only ask it more often.
+            let origin_available = self.origin.is_none_or(|o| self.is_available(o, now));
+            let source =
+                origin.or_else(|| self.choose(true, query, excluded, now).filter(|_| origin_available))?;
             return Some((to, source));
         }
-        let Some(cache) = ask.at.or_else(|| self.choose(false, ask, lost, now)) else {
-            // No cache is fit: straight to a parent where that is allowed, else nothing.
-            let direct = self.s.direct && !self.caches.iter().any(|(a, _)| self.fit(*a, now));
-            return self.choose(true, ask, lost, now).or(origin).filter(|_| direct).map(|a| (a, a));
+        let Some(cache) = query.fixed_cache.or_else(|| self.choose(false, query, excluded, now)) else {
+            // No cache takes it. If that is because all are skipped, it goes straight to a parent or the
+            // origin where that is allowed.
+            let direct = self.settings.direct && !self.caches.iter().any(|(a, _)| self.is_available(*a, now));
+            return self.choose(true, query, excluded, now).or(origin).filter(|_| direct).map(|a| (a, a));
         };
-        let fill = self.fill_work(cache, req, now);
-        // With every parent full the way in is: the origin is for what lost or cold ones leave.
-        let full = |a: Addr| self.members.get(&a).is_some_and(|m| !m.flow.admits(ask.room, now));
-        let all = !self.parents.is_empty() && self.parents.iter().all(|(p, _)| full(*p));
-        let origin = origin.filter(|o| !all && !full(*o));
-        let source = self.choose(true, Ask { work: fill, ..ask }, lost, now).or(origin).unwrap_or(cache);
+        let fill_cost = self.expected_fill_cost(cache, req, now);
+        // With every parent at its limit the whole way in is crowded, and the origin is not used instead: it
+        // is for what excluded or cold parents leave.
+        let full = |a: Addr| self.members.get(&a).is_some_and(|m| !m.flow.admits(query.limit_factor, now));
+        let all_full = !self.parents.is_empty() && self.parents.iter().all(|(p, _)| full(*p));
+        let origin = origin.filter(|o| !all_full && !full(*o));
+        let source = self
+            .choose(true, MemberQuery { cost: fill_cost, ..query }, excluded, now)
+            .or(origin)
+            .unwrap_or(cache);
         Some((cache, source))
     }
 
-    /// Another attempt after a loss, within the retry budget unless free; else the final answer, at once. The
-    /// pause that the terms ask for comes before it, once, where an attempt may follow.
-    fn again(&mut self, now: Micros, id: RequestId, free: bool, paused: bool, out: &mut Vec<Action>) {
+    /// Sends another attempt after a failed one, within the retry budget unless `free`; else gives the final
+    /// answer at once. The retry delay of the request's policy comes first, once (`delayed`: it is over),
+    /// where an attempt may follow.
+    fn retry_or_answer(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        free: bool,
+        delayed: bool,
+        out: &mut Vec<Action>,
+    ) {
         let Some(job) = self.jobs.get(&id).filter(|j| j.open) else { return };
         let waiting = job.attempts.iter().any(|a| a.outcome.is_none() && !a.revoked);
-        if waiting && (paused || !self.s.parallel_attempts) {
+        if waiting && (delayed || !self.settings.parallel_attempts) {
             return;
         }
-        let (pause, then) = (job.req.policy.retry_delay, now + job.req.policy.retry_delay);
-        let may = self.retries >= 1.0 && self.harmless(job) && !self.spent(job, then);
-        if pause > 0 && !free && !waiting && !paused {
-            return if may { self.wake(Timer::Again(id), pause, out) } else { self.answer(id, out) };
+        let (delay, retry_at) = (job.req.policy.retry_delay, now + job.req.policy.retry_delay);
+        let allowed = self.retry_tokens >= 1.0
+            && self.repeat_is_harmless(job)
+            && !self.attempts_exhausted(job, retry_at);
+        if delay > 0 && !free && !waiting && !delayed {
+            return if allowed {
+                self.set_timer(Timer::Retry(id), delay, out)
+            } else {
+                self.answer_unserved(id, out)
+            };
         }
-        let sent = (free || self.retries >= 1.0) && self.send(now, id, out);
+        let sent = (free || self.retry_tokens >= 1.0) && self.send_attempt(now, id, out);
         if !sent && !waiting {
-            self.answer(id, out);
+            self.answer_unserved(id, out);
         }
     }
 
-    /// No further attempt may leave: too many have, or the time is up.
-    fn spent(&self, job: &Job, now: Micros) -> bool {
-        let tries = job.attempts.iter().filter(|a| !a.looked() && !a.unsent()).count();
-        let (most, all) = (job.req.policy.attempt_limit as usize, self.s.max_attempts.max(1) as usize);
-        job.attempts.len() >= all
-            || most > 0 && tries >= most
-            || now + self.s.min_event_interval >= job.req.expires_at
+    /// Returns whether no further attempt may be sent: there were too many, or the time is up. Attempts that
+    /// only looked for what is held, or were not sent, do not count towards the policy's limit.
+    fn attempts_exhausted(&self, job: &Job, now: Micros) -> bool {
+        let counted_attempts =
+            job.attempts.iter().filter(|a| !a.was_lookup_miss() && !a.was_not_sent()).count();
+        let (policy_limit, total_limit) =
+            (job.req.policy.attempt_limit as usize, self.settings.max_attempts.max(1) as usize);
+        job.attempts.len() >= total_limit
+            || policy_limit > 0 && counted_attempts >= policy_limit
+            || now + self.settings.min_event_interval >= job.req.expires_at
     }
 
-    /// Whether a repeat does no harm, whatever became of the attempts so far.
-    fn harmless(&self, job: &Job) -> bool {
+    /// Returns whether a repeat does no harm, whatever became of the attempts so far.
+    fn repeat_is_harmless(&self, job: &Job) -> bool {
         let class = self.class(&job.req);
-        let dropped = class.effect == Effect::Dedup && class.dedup_group == DedupGroup::All;
-        let ran = job.attempts.iter().any(Attempt::may_have_run);
-        !ran || dropped || class.effect == Effect::Retryable
+        let deduplicated = class.effect == Effect::Dedup && class.dedup_group == DedupGroup::All;
+        let may_have_run = job.attempts.iter().any(Attempt::may_have_run);
+        !may_have_run || deduplicated || class.effect == Effect::Retryable
     }
 
-    /// The first attempt has been out for as long as the terms allow: a second copy goes out, elsewhere.
-    fn second(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends a second copy of a request to another member, when the only attempt has been in flight for as
+    /// long as the policy allows.
+    fn send_hedge(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let alone = |j: &&mut Job| j.open && j.attempts.iter().filter(|a| a.outcome.is_none()).count() == 1;
         let Some(j) = self.jobs.get_mut(&id).filter(alone) else { return };
         let Some(a) = j.attempts.last().filter(|a| a.outcome.is_none() && !a.revoked) else { return };
-        j.lost.push(a.member);
-        // Where no copy can go out, its member is not left out later either.
-        if self.retries < 1.0 || !self.send(now, id, out) {
-            self.jobs.entry(id).and_modify(|j| j.lost.truncate(j.lost.len().max(1) - 1));
+        j.excluded.push(a.member);
+        // Where no copy can be sent, later attempts may use the first one's member.
+        if self.retry_tokens < 1.0 || !self.send_attempt(now, id, out) {
+            self.jobs.entry(id).and_modify(|j| j.excluded.truncate(j.excluded.len().max(1) - 1));
         }
     }
 
-    /// The final answer where none came from a member: declined where a repeat is harmless, else failed.
-    fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Gives the final answer where none came from a member, and closes the request: declined where a repeat
+    /// is harmless, else failed.
+    fn answer_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|j| j.open) else { return };
-        let retry_after = if self.s.retry_after { STAY_AWAY.min(self.s.max_retry_after) as u32 } else { 0 };
-        let harmless = self.harmless(job);
+        let retry_after =
+            if self.settings.retry_after { RETRY_AFTER.min(self.settings.max_retry_after) as u32 } else { 0 };
+        let harmless = self.repeat_is_harmless(job);
         out.push(if harmless { Action::Decline { request: id, retry_after } } else { Action::Fail(id) });
         self.close(id, out);
     }
 
-    /// The request is over: withdraw what is still out, keep the record until the outcomes are in.
+    /// Closes a request: withdraws the attempts in flight and keeps its record until their outcomes are in.
     fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.open = false;
-        let still = job.attempts.iter_mut().enumerate().filter(|(_, a)| self.s.cancel && a.outcome.is_none());
-        let new = still.filter_map(|(i, a)| (!std::mem::replace(&mut a.revoked, true)).then_some(i as u16));
-        out.extend(new.map(|attempt| Action::Revoke { request: id, attempt }));
+        let in_flight =
+            job.attempts.iter_mut().enumerate().filter(|(_, a)| self.settings.cancel && a.outcome.is_none());
+        let withdrawn =
+            in_flight.filter_map(|(i, a)| (!std::mem::replace(&mut a.revoked, true)).then_some(i as u16));
+        out.extend(withdrawn.map(|attempt| Action::Revoke { request: id, attempt }));
         if job.attempts.iter().all(|a| a.outcome.is_some()) {
             self.jobs.remove(&id);
         }
     }
 
+    // ---- outcomes ----
+
     fn on_completed(&mut self, now: Micros, c: Completed, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&c.request) else { return };
-        let open = |a: &&mut Attempt| a.outcome.is_none();
-        let Some(at) = job.attempts.get_mut(usize::from(c.attempt)).filter(open) else { return };
+        let pending = |a: &&mut Attempt| a.outcome.is_none();
+        let Some(at) = job.attempts.get_mut(usize::from(c.attempt)).filter(pending) else { return };
         at.outcome = Some(c.outcome);
         let (attempt, req) = (at.clone(), job.req);
-        for a in attempt.counted.iter().chain([&attempt.member]) {
+        for a in attempt.counted_at.iter().chain([&attempt.member]) {
             let Some(flow) = self.members.get_mut(a).map(|m| &mut m.flow) else { continue };
-            (flow.out, flow.ended) = (flow.out.saturating_sub(1), now);
+            (flow.in_flight, flow.last_ended_at) = (flow.in_flight.saturating_sub(1), now);
         }
-        self.learn(now, &c, &attempt, &req);
-        let its = self.errors(attempt.source) > self.errors(attempt.member);
+        self.learn_from_outcome(now, &c, &attempt, &req);
+        let source_errs_more = self.error_share(attempt.source) > self.error_share(attempt.member);
         let Some(job) = self.jobs.get_mut(&c.request) else { return };
         if c.request_done || c.outcome == Outcome::Ok || !job.open {
             return self.close(c.request, out);
         }
-        let (looked, unsent) = (attempt.looked(), attempt.unsent());
-        // One that is taken back twice has no room: the next in rank gets its turn, where there is one.
-        let next = |(a, _): &(Addr, f64)| *a != attempt.member && !job.lost.contains(a);
-        let twice = job.attempts.iter().filter(|a| a.unsent() && a.member == attempt.member).count() > 1;
-        let spared = looked || unsent && !(twice && self.caches.iter().any(next));
-        // What is left out on the next attempt: the source where the fill failed, else the member.
+        let (lookup_miss, not_sent) = (attempt.was_lookup_miss(), attempt.was_not_sent());
+        // A member whose attempt is taken back unsent twice has no room: the next in rank gets its turn, if
+        // there is one.
+        let alternative = |(a, _): &(Addr, f64)| *a != attempt.member && !job.excluded.contains(a);
+        let twice =
+            job.attempts.iter().filter(|a| a.was_not_sent() && a.member == attempt.member).count() > 1;
+        let spared = lookup_miss || not_sent && !(twice && self.caches.iter().any(alternative));
+        // What the next attempt leaves out: the source where the fill failed, else the member.
         let blamed = match c.note {
             Note::OriginFailed => self.origin.unwrap_or(attempt.source),
             Note::SourceRefused | Note::SourceFailed | Note::SourceMiss => attempt.source,
-            _ if c.outcome == Outcome::Miss || c.outcome == Outcome::Error && its => attempt.source,
+            _ if c.outcome == Outcome::Miss || c.outcome == Outcome::Error && source_errs_more => {
+                attempt.source
+            }
             _ => attempt.member,
         };
-        job.lost.extend(Some(blamed).filter(|_| !attempt.revoked && !spared));
-        self.again(now, c.request, looked || unsent, false, out);
+        job.excluded.extend(Some(blamed).filter(|_| !attempt.revoked && !spared));
+        self.retry_or_answer(now, c.request, lookup_miss || not_sent, false, out);
     }
 
-    /// Takes in a load report. One that was asked for is too old to clear a cache of being crowded.
-    fn reported(&mut self, a: Addr, report: &Report) {
-        let told = &report.values[..usize::from(report.count.min(4))];
-        let used = |i: Option<usize>| i.and_then(|i| told.get(i)).copied();
-        if let Some((cpu, m)) = used(self.s.columns.cpu).zip(self.members.get_mut(&a)) {
-            let (x1, calm) =
-                (f64::from(used(self.s.columns.link_load).unwrap_or(0.0)), self.s.reports_inline);
-            m.flow.easy = calm && x1.max(cpu.into()) < EASY && m.flow.pace() < 2.0 * CACHES.crowded;
-            self.link += f64::from(u8::from(m.role == Role::Cache)) * (x1 - self.link) / 2.0;
+    /// Takes in a member's load report. Where reports have to be asked for, they are too old to show that a
+    /// cache is not crowded.
+    fn on_load_report(&mut self, a: Addr, report: &Report) {
+        let values = &report.values[..usize::from(report.count.min(4))];
+        let value = |i: Option<usize>| i.and_then(|i| values.get(i)).copied();
+        if let Some((cpu, m)) = value(self.settings.columns.cpu).zip(self.members.get_mut(&a)) {
+            let (link_load, current) = (
+                f64::from(value(self.settings.columns.link_load).unwrap_or(0.0)),
+                self.settings.reports_inline,
+            );
+            m.flow.low_usage = current
+                && link_load.max(cpu.into()) < LOW_USAGE
+                && m.flow.wait_ratio() < 2.0 * CACHE_TUNING.crowded_ratio;
+            self.link_load += f64::from(u8::from(m.role == Role::Cache)) * (link_load - self.link_load) / 2.0;
         }
     }
 
-    /// What an outcome teaches of the member, its source and the class, also when the request is over.
-    fn learn(&mut self, now: Micros, c: &Completed, a: &Attempt, req: &Request) {
+    /// Records what an outcome shows of the member, its source and the class, also when the request is over.
+    fn learn_from_outcome(&mut self, now: Micros, c: &Completed, a: &Attempt, req: &Request) {
         if !matches!(c.outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Timeout) {
-            self.members.entry(a.member).and_modify(|m| m.last_reply = now);
+            self.members.entry(a.member).and_modify(|m| m.last_reply_at = now);
         }
-        self.reported(a.member, &c.report);
+        self.on_load_report(a.member, &c.report);
         let filled = matches!(c.note, Note::Filled | Note::FilledOrigin | Note::Joined);
-        // A limited fill that was given up counts as well: else only the quick ones would be seen.
-        let work = self.work(req);
-        // A crowded parent delays what comes from behind it as well: only a roomy one shows a crowded origin.
-        let near = self.members.get(&a.source).is_some_and(|m| m.flow.pace() < FILLS.roomy);
-        let behind = near && matches!(c.note, Note::FilledOrigin | Note::OriginFailed);
-        if a.source != a.member && !a.unsent() && (filled || !a.held && (behind || !a.counted.is_empty())) {
-            let counted = a.counted.last().copied().unwrap_or(a.source);
-            // An unseen object may be large: its first byte's wait tells; a told size, the time of sending.
-            let known = self.sized(req) || self.known(req.object).is_some() || c.source_wait == 0;
-            let wait = if known { c.elapsed } else { c.elapsed.min(c.source_wait + work as Micros) };
-            let wait = wait.saturating_sub(if self.sized(req) { work as Micros } else { 0 });
-            let wait = if filled { wait } else { self.unanswered(wait, req) };
-            self.judge(now, self.origin.filter(|_| behind).unwrap_or(counted), wait, self.wanted(req));
+        let sending_time = self.sending_time(req);
+        // A crowded parent also delays what comes from the origin behind it: only a parent with spare
+        // capacity shows that the origin is crowded.
+        let parent_has_room =
+            self.members.get(&a.source).is_some_and(|m| m.flow.wait_ratio() < FILL_TUNING.spare_ratio);
+        let from_origin = parent_has_room && matches!(c.note, Note::FilledOrigin | Note::OriginFailed);
+        // A limited fill that was given up counts as well: otherwise only the quick ones would be seen.
+        if a.source != a.member
+            && !a.was_not_sent()
+            && (filled || !a.only_held && (from_origin || !a.counted_at.is_empty()))
+        {
+            let counted = a.counted_at.last().copied().unwrap_or(a.source);
+            // An object not seen before may be large: then the wait for its first byte counts. Where the size
+            // is given, the time of sending it does not count.
+            let known =
+                self.size_is_known(req) || self.known_time(req.object).is_some() || c.source_wait == 0;
+            let wait = if known { c.elapsed } else { c.elapsed.min(c.source_wait + sending_time as Micros) };
+            let wait = wait.saturating_sub(if self.size_is_known(req) { sending_time as Micros } else { 0 });
+            let wait = if filled { wait } else { self.unanswered_wait(wait, req) };
+            self.record_wait(
+                now,
+                self.origin.filter(|_| from_origin).unwrap_or(counted),
+                wait,
+                self.target_latency(req),
+            );
         }
-        let (why, untold) = (Some(c.outcome), c.note == Note::None);
-        let silent = self.members.get(&a.member).is_none_or(|m| m.last_reply <= a.sent);
+        let (failure, no_note) = (Some(c.outcome), c.note == Note::None);
+        let silent = self.members.get(&a.member).is_none_or(|m| m.last_reply_at <= a.sent_at);
         match c.outcome {
             Outcome::Ok => {
-                self.mark(now, a.member, None);
-                let hit = matches!(c.note, Note::Hit | Note::Stale) || (!self.s.hits_reported && !filled);
-                let known = self.known[0].entry(req.object).or_insert(f64::INFINITY);
+                self.record_result(now, a.member, None);
+                let hit =
+                    matches!(c.note, Note::Hit | Note::Stale) || (!self.settings.hits_reported && !filled);
+                let known = self.known_times[0].entry(req.object).or_insert(f64::INFINITY);
                 *known = known.min(c.elapsed as f64);
-                let (sized, quickest) = (self.sized(req), self.work(req));
-                if let Some(p) = self.pace.get_mut(usize::from(req.class)) {
+                let (size_is_known, shortest) = (self.size_is_known(req), self.sending_time(req));
+                if let Some(p) = self.class_stats.get_mut(usize::from(req.class)) {
                     let wait = c.elapsed as f64;
-                    p.deviation += GAIN * ((wait - p.mean_wait).abs() - p.deviation);
-                    p.mean_wait += GAIN * (wait - p.mean_wait);
-                    let sourced = f64::from(u8::from(a.source != a.member));
-                    p.miss_share += sourced * GAIN * (f64::from(u8::from(filled)) - p.miss_share);
-                    if hit || a.source == a.member || sized {
+                    p.deviation += CLASS_GAIN * ((wait - p.mean_wait).abs() - p.deviation);
+                    p.mean_wait += CLASS_GAIN * (wait - p.mean_wait);
+                    let with_source = f64::from(u8::from(a.source != a.member));
+                    p.miss_share += with_source * CLASS_GAIN * (f64::from(u8::from(filled)) - p.miss_share);
+                    if hit || a.source == a.member || size_is_known {
                         p.samples += 1;
                         p.sending_time +=
-                            (quickest - p.sending_time) * SIZE_GAIN.max(1.0 / f64::from(p.samples));
+                            (shortest - p.sending_time) * SENDING_TIME_GAIN.max(1.0 / f64::from(p.samples));
                     }
                 }
-                // Before a class's sending time is known, a wait says nothing of crowding.
-                let seen = self.pace.get(usize::from(req.class)).map_or(0, |p| p.samples);
-                if hit && (sized || seen > WORK_SAMPLES) {
-                    self.judge(now, a.member, c.elapsed, work.max(1.0));
+                // Before the sending time of a class is known, a wait does not show crowding.
+                let samples = self.class_stats.get(usize::from(req.class)).map_or(0, |p| p.samples);
+                if hit && (size_is_known || samples > MIN_SENDING_TIME_SAMPLES) {
+                    self.record_wait(now, a.member, c.elapsed, sending_time.max(1.0));
                 }
-                // What was delivered shows what they can bear; demand, which crowds them, would not.
-                let (cost, miss) = self.cost(req);
-                self.demand[0].add(now, self.born, if self.passes(req) { 0.0 } else { cost });
-                let share = if self.s.hits_reported { f64::from(u8::from(filled)) } else { miss };
+                // The demand counts what was delivered, which shows what the members can bear; what was asked
+                // for may be what crowds them.
+                let (cost, miss_share) = self.expected_cost(req);
+                self.demand[0].add(now, self.started_at, if self.passes_through(req) { 0.0 } else { cost });
+                let fill_share =
+                    if self.settings.hits_reported { f64::from(u8::from(filled)) } else { miss_share };
                 if self.parents.iter().any(|(p, _)| *p == a.source) {
-                    self.demand[1].add(now, self.born, cost * share);
+                    self.demand[1].add(now, self.started_at, cost * fill_share);
                 }
                 if let Some(m) = self.members.get_mut(&a.source).filter(|_| filled) {
-                    m.last_fill = now;
-                    self.mark(now, a.source, None);
+                    m.last_fill_at = now;
+                    self.record_result(now, a.source, None);
                 }
             }
-            Outcome::ConnectFailed => self.mark(now, a.member, why),
-            // One broken connection takes several attempts with it and is no member that is down.
-            Outcome::Reset => self.stuck(a.member, now, c.outcome),
-            Outcome::Timeout if silent => self.mark(now, a.member, why),
-            Outcome::Error if !self.s.all_notes_reported => self.failed(now, a),
-            Outcome::Refused if untold && self.s.all_notes_reported => {
-                self.members.entry(a.member).and_modify(|m| m.flow.adjust(now, &CACHES, 1.0, 0, true));
+            Outcome::ConnectFailed => self.record_result(now, a.member, failure),
+            // One broken connection ends several attempts and does not show that the member is down.
+            Outcome::Reset => self.add_strike(a.member, now, c.outcome),
+            Outcome::Timeout if silent => self.record_result(now, a.member, failure),
+            Outcome::Error if !self.settings.all_notes_reported => self.attribute_error(now, a),
+            // The member itself refused: it has no room.
+            Outcome::Refused if no_note && self.settings.all_notes_reported => {
+                self.members
+                    .entry(a.member)
+                    .and_modify(|m| m.flow.adjust_limit(now, &CACHE_TUNING, 1.0, 0, true));
+            }
+            // Without a note either the fill or the member may have failed, so one such sign is not enough.
+            Outcome::Refused if no_note && a.source != a.member => self.add_strike(a.source, now, c.outcome),
+            _ if matches!(c.note, Note::SourceRefused | Note::SourceFailed) => {
+                self.record_result(now, a.source, failure)
             }
-            // Nothing told: the fill or the member may have failed, so one such sign is not enough.
-            Outcome::Refused if untold && a.source != a.member => self.stuck(a.source, now, c.outcome),
-            _ if matches!(c.note, Note::SourceRefused | Note::SourceFailed) => self.mark(now, a.source, why),
             _ => {}
         }
     }
 
-    fn errors(&self, a: Addr) -> f64 {
-        self.members.get(&a).map_or(0.0, |m| m.errors)
+    fn error_share(&self, a: Addr) -> f64 {
+        self.members.get(&a).map_or(0.0, |m| m.error_share)
     }
 
-    /// An error that carries no note is the member's own or its source's: shared by what each did lately.
-    fn failed(&mut self, now: Micros, a: &Attempt) {
-        let [own, its] = [a.member, a.source].map(|m| self.errors(m) + BLAMELESS);
+    /// Records an error that carries no note. It is the member's own or its source's: it is divided between
+    /// them by their recent error shares, and a parent with too many is skipped.
+    fn attribute_error(&mut self, now: Micros, a: &Attempt) {
+        let [own, its] = [a.member, a.source].map(|m| self.error_share(m) + BASE_ERROR_SHARE);
         let part = if a.source == a.member { 1.0 } else { own / (own + its) };
         for (a, part) in [(a.member, part), (a.source, 1.0 - part)] {
             let Some(m) = self.members.get_mut(&a).filter(|_| part > 0.0) else { continue };
-            m.errors += ERROR_GAIN[0] * (part - m.errors);
-            // An error of a cache costs one more attempt, a skip of it the copies that it holds.
-            if m.errors > ERRORS[0] && m.role == Role::Parent {
-                self.mark(now, a, Some(Outcome::Error));
+            m.error_share += ERROR_GAIN * (part - m.error_share);
+            // A cache is not skipped: its error costs one more attempt, while a skip costs the copies that it
+            // holds.
+            if m.error_share > MAX_ERROR_SHARE && m.role == Role::Parent {
+                self.record_result(now, a, Some(Outcome::Error));
             }
         }
     }
 
-    /// Counts a sign that may have another cause, what comes together once; some in a row make suspect.
-    fn stuck(&mut self, a: Addr, now: Micros, why: Outcome) {
-        let Some(m) = self.members.get_mut(&a).filter(|m| now >= m.struck + TOGETHER) else { return };
-        (m.stuck, m.struck, m.failed, m.why) = (m.stuck + 1, now, now, Some(why));
-        if m.stuck >= if now < m.doubt { STRIKES_IN_DOUBT } else { STRIKES } {
-            m.helped += u32::from(m.stuck < STRIKES);
-            self.mark(now, a, Some(why));
+    /// Adds a strike: a sign of failure that may have another cause. Strikes that come together count as one;
+    /// after some in a row the member is skipped.
+    fn add_strike(&mut self, a: Addr, now: Micros, outcome: Outcome) {
+        let Some(m) = self.members.get_mut(&a).filter(|m| now >= m.last_strike_at + STRIKE_MERGE_WINDOW)
+        else {
+            return;
+        };
+        (m.strikes, m.last_strike_at, m.last_failed_at, m.last_failure) =
+            (m.strikes + 1, now, now, Some(outcome));
+        if m.strikes >= if now < m.suspected_until { STRIKES_TO_SKIP_SUSPECTED } else { STRIKES_TO_SKIP } {
+            m.suspicion_skips += u32::from(m.strikes < STRIKES_TO_SKIP);
+            self.record_result(now, a, Some(outcome));
         }
     }
 
+    // ---- timers ----
+
     fn on_timer(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
         match self.timers.remove(&token) {
-            Some(Timer::Deadline(id)) => self.answer(id, out),
-            Some(Timer::Check(id, at)) => self.check(now, id, at, out),
-            Some(Timer::Again(id)) => self.again(now, id, false, true, out),
-            Some(Timer::Second(id)) => self.second(now, id, out),
+            Some(Timer::Deadline(id)) => self.answer_unserved(id, out),
+            Some(Timer::CheckAttempt(id, at)) => self.check_attempt(now, id, at, out),
+            Some(Timer::Retry(id)) => self.retry_or_answer(now, id, false, true, out),
+            Some(Timer::Hedge(id)) => self.send_hedge(now, id, out),
             None => {}
         }
     }
 
-    /// An attempt has outlasted patience: silence since the send tells hanging from a large object.
-    fn check(&mut self, now: Micros, id: RequestId, at: usize, out: &mut Vec<Action>) {
+    /// Handles an attempt that has outlasted its timeout. If the member, or the source, has answered nothing
+    /// at all since it was sent, it hangs: that counts against it and the request is tried elsewhere.
+    /// Otherwise the object may just be large, and the attempt is looked at again later.
+    fn check_attempt(&mut self, now: Micros, id: RequestId, at: usize, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|j| j.open) else { return };
         let Some(a) = job.attempts.get(at).filter(|a| a.outcome.is_none()).cloned() else { return };
         let (req, last, mut blamed) = (job.req, job.attempts.len() == at + 1, None);
-        let waited = self.unanswered(now.saturating_sub(a.sent), &req);
-        let unheard = self.origin.filter(|o| self.members.get(o).is_some_and(|m| m.flow.seen < a.sent));
-        if self.members.get(&a.member).is_none_or(|m| m.last_reply <= a.sent) {
-            self.mark(now, a.member, Some(Outcome::Timeout));
+        let waited = self.unanswered_wait(now.saturating_sub(a.sent_at), &req);
+        let origin_unsampled =
+            self.origin.filter(|o| self.members.get(o).is_some_and(|m| m.flow.last_sample_at < a.sent_at));
+        if self.members.get(&a.member).is_none_or(|m| m.last_reply_at <= a.sent_at) {
+            self.record_result(now, a.member, Some(Outcome::Timeout));
             blamed = Some(a.member);
-        } else if a.source != a.member && self.members.get(&a.source).is_some_and(|m| m.last_fill < a.sent) {
-            self.stuck(a.source, now, Outcome::Timeout);
-            self.judge(now, a.source, waited, self.wanted(&req));
-            blamed = self.members.get(&a.source).filter(|m| m.skip.is_some()).map(|m| m.entry.addr);
-        } else if let Some(o) = unheard.filter(|_| a.source != a.member && !a.held && self.link < LINK[0]) {
-            // The parent fills others: what it lacks waits for the origin, which the end would tell too late.
-            self.judge(now, o, waited, self.wanted(&req));
+        } else if a.source != a.member
+            && self.members.get(&a.source).is_some_and(|m| m.last_fill_at < a.sent_at)
+        {
+            self.add_strike(a.source, now, Outcome::Timeout);
+            self.record_wait(now, a.source, waited, self.target_latency(&req));
+            blamed = self.members.get(&a.source).filter(|m| m.skip_until.is_some()).map(|m| m.entry.addr);
+        } else if let Some(o) = origin_unsampled
+            .filter(|_| a.source != a.member && !a.only_held && self.link_load < LINK_LOAD_SHED_START)
+        {
+            // The parent fills other requests, so what it lacks is waiting for the origin. The outcome of the
+            // attempt would show that too late.
+            self.record_wait(now, o, waited, self.target_latency(&req));
         }
-        let fragile = self.class(&req).effect == Effect::NotRetryable;
-        if let Some(b) = blamed.filter(|_| last && !fragile && self.retries >= 1.0) {
-            self.jobs.entry(id).and_modify(|j| j.lost.push(b));
-            if self.s.parallel_attempts {
-                self.send(now, id, out);
+        let not_retryable = self.class(&req).effect == Effect::NotRetryable;
+        if let Some(b) = blamed.filter(|_| last && !not_retryable && self.retry_tokens >= 1.0) {
+            self.jobs.entry(id).and_modify(|j| j.excluded.push(b));
+            if self.settings.parallel_attempts {
+                self.send_attempt(now, id, out);
             } else if let Some(a) = self.jobs.get_mut(&id).and_then(|j| j.attempts.get_mut(at)) {
-                let again = std::mem::replace(&mut a.revoked, self.s.cancel) || !self.s.cancel;
-                out.extend((!again).then_some(Action::Revoke { request: id, attempt: at as u16 }));
+                let already_revoked =
+                    std::mem::replace(&mut a.revoked, self.settings.cancel) || !self.settings.cancel;
+                out.extend((!already_revoked).then_some(Action::Revoke { request: id, attempt: at as u16 }));
             }
             return;
         }
-        self.wake(Timer::Check(id, at), self.verdict(&req, a.member, a.source, now), out);
+        self.set_timer(Timer::CheckAttempt(id, at), self.silence_timeout(&req, a.member, a.source, now), out);
     }
 }
--- a/src/rules/learned.rs
+++ b/src/rules/learned.rs
@@ -10,7 +10,7 @@
 /// Purges that are taken over, at most.
 pub const MAX_PURGES: usize = 20_000;
 /// A time or rate beyond this is no measurement.
-const MOST: f64 = 1e12;
+const MAX_FIGURE: f64 = 1e12;
 
 /// What is known of a class: its sending time and samples of it, the wait and its deviation, the share of misses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -86,42 +86,47 @@
 }
 
 fn usable(x: f64) -> bool {
-    (0.0..MOST).contains(&x)
+    (0.0..MAX_FIGURE).contains(&x)
 }
 
 impl Router {
     /// What was learned so far.
     pub fn learned(&self) -> Learned {
-        let members = self.members.values().filter(|m| m.flow.seen > 0 || m.skip.is_some() || m.stuck > 0);
+        let members = self
+            .members
+            .values()
+            .filter(|m| m.flow.last_sample_at > 0 || m.skip_until.is_some() || m.strikes > 0);
         let member = |m: &super::Member| MemberLearned {
             member: m.entry.addr,
             incarnation: m.entry.incarnation,
-            mean_wait: m.flow.wait,
-            expected_wait: m.flow.base,
-            last_sample_at: m.flow.seen,
+            mean_wait: m.flow.mean_wait,
+            expected_wait: m.flow.expected_wait,
+            last_sample_at: m.flow.last_sample_at,
             limit: m.flow.limit,
-            limit_cut_at: m.flow.cut,
-            skip_until: m.skip,
-            strikes: m.stuck,
-            last_strike_at: m.struck,
+            limit_cut_at: m.flow.limit_cut_at,
+            skip_until: m.skip_until,
+            strikes: m.strikes,
+            last_strike_at: m.last_strike_at,
         };
-        let all =
-            self.known[0].iter().chain(self.known[1].iter().filter(|k| !self.known[0].contains_key(k.0)));
+        let all = self.known_times[0]
+            .iter()
+            .chain(self.known_times[1].iter().filter(|k| !self.known_times[0].contains_key(k.0)));
         Learned {
-            classes: self.pace.clone(),
-            demand: [0, 1].map(|i| (self.demand[i].sum, self.demand[i].last, self.demand[i].peak)),
+            classes: self.class_stats.clone(),
+            demand: [0, 1]
+                .map(|i| (self.demand[i].decayed_sum, self.demand[i].updated_at, self.demand[i].peak)),
             members: members.map(member).collect(),
             objects: all.map(|(o, x)| (*o, *x)).filter(|(_, x)| usable(*x)).take(MAX_OBJECTS).collect(),
-            purges: self.purged.iter().map(|((g, o), at)| (*g, *o, *at)).collect(),
-            link_load: self.link,
-            started_at: self.born.unwrap_or(0),
+            purges: self.purged_at.iter().map(|((g, o), at)| (*g, *o, *at)).collect(),
+            link_load: self.link_load,
+            started_at: self.started_at.unwrap_or(0),
         }
     }
 
     /// Takes over what another router learned, once its members are listed here. Budgets of cold members begin empty:
     /// the other router may still spend its own.
     pub fn restore_learned(&mut self, now: Micros, l: &Learned) {
-        for (p, c) in self.pace.iter_mut().zip(&l.classes) {
+        for (p, c) in self.class_stats.iter_mut().zip(&l.classes) {
             let good = [c.sending_time, c.mean_wait, c.deviation].into_iter().all(usable)
                 && (0.0..=1.0).contains(&c.miss_share);
             if good && c.samples > 0 && c.sending_time > 0.0 {
@@ -130,7 +135,7 @@
         }
         for (rate, (sum, last, peak)) in self.demand.iter_mut().zip(l.demand) {
             if usable(sum) && usable(peak) && last <= now && peak > rate.peak {
-                *rate = Rate { sum, last, peak };
+                *rate = Rate { decayed_sum: sum, updated_at: last, peak };
             }
         }
         for m in &l.members {
@@ -140,31 +145,33 @@
             };
             let told = [m.mean_wait, m.expected_wait, m.limit.unwrap_or(0.0)].into_iter().all(usable)
                 && m.last_sample_at <= now;
-            if told && own.flow.seen < m.last_sample_at {
-                let (out, easy) = (own.flow.out, own.flow.easy);
+            if told && own.flow.last_sample_at < m.last_sample_at {
+                let (out, easy) = (own.flow.in_flight, own.flow.low_usage);
                 own.flow = Flow {
-                    wait: m.mean_wait,
-                    base: m.expected_wait,
-                    seen: m.last_sample_at,
+                    mean_wait: m.mean_wait,
+                    expected_wait: m.expected_wait,
+                    last_sample_at: m.last_sample_at,
                     limit: m.limit,
                     ..Flow::default()
                 };
-                (own.flow.out, own.flow.easy, own.flow.cut) = (out, easy, m.limit_cut_at.min(now));
+                (own.flow.in_flight, own.flow.low_usage, own.flow.limit_cut_at) =
+                    (out, easy, m.limit_cut_at.min(now));
             }
             // A skip is over in a few seconds; one that lasts for longer is none.
-            if own.good == 0 {
-                own.skip = m.skip_until.map(|at| at.min(now + super::SKIP));
-                (own.stuck, own.struck) = (m.strikes.min(super::STRIKES), m.last_strike_at.min(now));
+            if own.last_good_at == 0 {
+                own.skip_until = m.skip_until.map(|at| at.min(now + super::SKIP_TIME));
+                (own.strikes, own.last_strike_at) =
+                    (m.strikes.min(super::STRIKES_TO_SKIP), m.last_strike_at.min(now));
             }
-            own.tokens_at = now;
+            own.cold_tokens_at = now;
         }
         let objects = l.objects.iter().filter(|(_, x)| usable(*x)).take(MAX_OBJECTS);
-        self.known[1].extend(objects.copied());
+        self.known_times[1].extend(objects.copied());
         for (group, object, at) in l.purges.iter().take(MAX_PURGES) {
-            let own = self.purged.entry((*group, *object)).or_insert(0);
+            let own = self.purged_at.entry((*group, *object)).or_insert(0);
             *own = (*own).max((*at).min(now));
         }
-        self.link = if usable(l.link_load) { l.link_load } else { 0.0 };
-        self.born = Some(l.started_at).filter(|b| *b > 0 && *b <= now).or(self.born);
+        self.link_load = if usable(l.link_load) { l.link_load } else { 0.0 };
+        self.started_at = Some(l.started_at).filter(|b| *b > 0 && *b <= now).or(self.started_at);
     }
 }
