--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! nickelgate decides, for one cache router, where each object is served, kept and filled from.
 //!
-//! The crate does no input or output. Feed a [`Router`] with [`Event`]s and carry out the [`Action`]s that it
-//! appends. All decisions are in [`rules`]; the vocabulary that an embedder needs is in [`interface`].
-//! The same events always lead to the same actions.
+//! The crate does no I/O. An embedder feeds a [`Router`] with [`Event`]s and carries out the [`Action`]s that
+//! it appends. All decisions are in [`rules`]; the types that an embedder needs are in [`interface`]. The
+//! same events always lead to the same actions.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
