--- a/src/rules.rs
+++ b/src/rules.rs
@@ -464,7 +464,7 @@
             Event::Expired(id) => self.close(id, out),
             // The client has part of an answer: no further attempt and no other final answer follow.
             Event::StreamStarted { request, .. } => {
-                drop(self.jobs.entry(request).and_modify(|j| j.open = false))
+                self.jobs.entry(request).and_modify(|j| j.open = false);
             }
             Event::Completed(c) => self.on_completed(now, c, out),
             Event::Timer(token) => self.on_timer(now, token, out),
--- a/tests/absent_information.rs
+++ b/tests/absent_information.rs
@@ -1,4 +1,4 @@
-//! Settings and lists that lack a thing, and events that fit nothing.
+//! Settings and lists with parts missing, and events that refer to nothing known.
 mod common;
 use common::*;
 use nickelgate::*;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_parents_and_origin_a_cache_gives_what_it_holds() {
+fn without_parents_and_origin_a_cache_serves_what_it_holds() {
     let s = Settings { parent_kind: None, origin_kind: None, ..settings() };
     let mut b = Bench::new(s, vec![cache(1)]);
     let get = b.served(0, 3).expect("served");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn where_changes_must_be_asked_for_they_are_asked_for() {
+fn list_changes_are_subscribed_to_where_that_is_needed() {
     let mut r = Router::new(Settings { list_on_request: true, ..settings() }, 1);
     let mut out = Vec::new();
     r.handle(T0, Event::Members { form: ListForm::Cached, entries: fleet() }, &mut out);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests of the module.
+//! Builders and a test bench for the router, shared by the tests of the crate.
 #![allow(dead_code)]
 use nickelgate::*;
 
@@ -6,6 +6,7 @@
 pub const S: Micros = 1_000_000;
 /// The clock at the start of every test.
 pub const T0: Micros = 1_000 * S;
+/// The zone of the router under test and its caches.
 pub const HOME: u16 = 3;
 
 pub fn addr(n: u8) -> Addr {
@@ -24,6 +25,7 @@
     Entry { addr: addr(250), zone: 0, kind: 3, ..Entry::default() }
 }
 
+/// Sets when a member started; each start is an incarnation of its own.
 pub fn since(mut e: Entry, at: Micros) -> Entry {
     (e.started_at, e.incarnation) = (at, at);
     e
@@ -98,7 +100,7 @@
     }
 }
 
-/// A router under test with its clock.
+/// A router under test with its clock and the ids of its requests.
 pub struct Bench {
     pub r: Router,
     pub now: Micros,
@@ -121,16 +123,18 @@
     pub fn list(&mut self, form: ListForm, entries: Vec<Entry>) -> Vec<Action> {
         self.event(Event::Members { form, entries })
     }
-    /// A request for an object; its id and what the router does at once.
+    /// Sends a request for an object; returns its id and the actions that follow at once.
     pub fn ask(&mut self, class: u8, object: u64) -> (u64, Vec<Action>) {
         let due = self.now + [6 * S, 2500 * MS, 3 * S][usize::from(class.min(2))];
         self.ask_with(Request { class, object, expires_at: due, write: class == 2, ..Request::default() })
     }
+    /// Sends the given request under the next id.
     pub fn ask_with(&mut self, req: Request) -> (u64, Vec<Action>) {
         self.next += 1;
         let out = self.event(Event::Request(Request { id: self.next, ..req }));
         (self.next, out)
     }
+    /// Ends an attempt after 100 ms; returns the actions that follow.
     pub fn end(&mut self, get: Get, attempt: u16, outcome: Outcome, note: Note) -> Vec<Action> {
         self.end_after(100 * MS, get, attempt, outcome, note)
     }
@@ -154,8 +158,8 @@
             report: self.report,
         }))
     }
-    /// Asks, and ends each attempt as `how` says (after how long, outcome, note) until none follows: the final
-    /// answers among what the ends brought.
+    /// Sends a request and ends each attempt as `how` says (after how long, outcome, note) until none
+    /// follows. Returns the number of final answers among the actions that followed the ends.
     pub fn play(
         &mut self,
         class: u8,
@@ -172,7 +176,7 @@
         }
         answers
     }
-    /// Asks and answers with a hit: the member and source that were chosen.
+    /// Sends a request and ends its attempt with a hit; returns the attempt.
     pub fn served(&mut self, class: u8, object: u64) -> Option<Get> {
         let (_, out) = self.ask(class, object);
         let get = *gets(&out).first()?;
@@ -181,14 +185,17 @@
     }
 }
 
+/// Returns the attempts among the actions.
 pub fn gets(out: &[Action]) -> Vec<Get> {
     out.iter().filter_map(|a| if let Action::Get(g) = a { Some(*g) } else { None }).collect()
 }
 
+/// Counts the final answers among the actions.
 pub fn finals(out: &[Action]) -> usize {
     out.iter().filter(|a| matches!(a, Action::Decline { .. } | Action::Fail(_))).count()
 }
 
+/// Returns the timers among the actions: token and delay.
 pub fn wakes(out: &[Action]) -> Vec<(u32, u32)> {
     let wake = |a: &Action| if let Action::Wake { token, after } = a { Some((*token, *after)) } else { None };
     out.iter().filter_map(wake).collect()
--- a/tests/five_rules.rs
+++ b/tests/five_rules.rs
@@ -1,4 +1,5 @@
-//! The five rules at their edges, by the module alone.
+//! The five rules that the router guarantees, at their edges: one final answer for each request, no effect
+//! twice, drains, budgets of cold members, purges.
 mod common;
 use common::*;
 use nickelgate::*;
@@ -16,12 +17,12 @@
     assert_eq!(finals(&end), 1);
     assert!(end.contains(&Action::Revoke { request: id, attempt: 0 }), "nothing is left running");
     let late = b.end(gets(&out)[0], 0, Outcome::Timeout, Note::None);
-    assert!(late.is_empty(), "a late outcome only teaches");
+    assert!(late.is_empty(), "a late outcome leads to no action");
     assert!(b.event(Event::Timer(token)).is_empty());
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_answered_at_once() {
+fn a_timeout_at_the_deadline_is_answered_at_once() {
     let mut b = Bench::new(settings(), fleet());
     let (_, out) = b.ask(1, 1);
     b.now += 2500 * MS;
@@ -52,7 +53,8 @@
 
 // ---- 2: no effect happens twice ----
 
-fn cell_write(group: DedupGroup, effect: Effect) -> Bench {
+/// A router whose writes have this group and effect, with three caches in different cells.
+fn router_with_writes(group: DedupGroup, effect: Effect) -> Bench {
     let mut s = settings();
     s.direct = false;
     (s.classes[2].dedup_group, s.classes[2].effect) = (group, effect);
@@ -76,7 +78,7 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell_and_is_failed_not_declined() {
-    let mut b = cell_write(DedupGroup::Cell, Effect::Dedup);
+    let mut b = router_with_writes(DedupGroup::Cell, Effect::Dedup);
     let (id, out) = b.ask(2, 1);
     let first = gets(&out)[0];
     let next = b.end(first, 0, Outcome::Error, Note::None);
@@ -95,7 +97,7 @@
         (Outcome::Timeout, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut b = cell_write(DedupGroup::All, Effect::NotRetryable);
+        let mut b = router_with_writes(DedupGroup::All, Effect::NotRetryable);
         let (id, out) = b.ask(2, 1);
         let next = b.end(gets(&out)[0], 0, outcome, Note::None);
         assert_eq!(!gets(&next).is_empty(), again, "{outcome:?}");
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn no_second_attempt_while_one_is_out_where_that_is_not_allowed() {
+fn no_second_attempt_while_one_is_in_flight_where_that_is_not_allowed() {
     let mut b = Bench::new(Settings { parallel_attempts: false, ..settings() }, fleet());
     let (id, out) = b.ask(0, 1);
     let mut sent = gets(&out).len();
@@ -126,7 +128,7 @@
     for how in [Lifecycle::Draining, Lifecycle::Gone] {
         let mut b = Bench::new(settings(), fleet());
         b.list(ListForm::Delta, vec![state(cache(1), how), state(parent(100), how), state(origin(), how)]);
-        // A write goes to the origin or by way of it.
+        // A write is served or filled by the origin, unless that drains.
         let out = b.ask(2, 7).1;
         assert!(gets(&out).iter().all(|g| ![g.member, g.source].contains(&origin().addr)), "{out:?}");
         for o in 0..200 {
@@ -167,9 +169,9 @@
     assert!(b.served(0, 1).is_some());
 }
 
-// ---- 4: no cold member is pushed over ----
+// ---- 4: no cold member is overloaded ----
 
-/// Work sent to `to` in the worst window of `span`, in sending times of one video of the given size.
+/// Returns the most work that was sent in any window of `span`, in seconds of sending time.
 fn worst_window(sent: &[(Micros, f64)], span: Micros) -> f64 {
     let sum = |i: usize| -> f64 {
         sent[i..].iter().take_while(|(t, _)| *t < sent[i].0 + span).map(|(_, w)| w).sum()
@@ -177,7 +179,9 @@
     (0..sent.len()).map(sum).fold(0.0, f64::max)
 }
 
-/// One router, 20 videos a second of 300 ms (three caches of 6: a third of what they carry), all objects alike hot.
+/// Sends 20 requests a second for videos of 300 ms (a third of what three caches of weight 6 carry), all
+/// objects equally often. Returns when work went to `to`, also as a source where `as_source` is set, and how
+/// much.
 fn drive(b: &mut Bench, seconds: u64, to: Addr, as_source: bool) -> Vec<(Micros, f64)> {
     let mut sent = Vec::new();
     for i in 0..seconds * 20 {
@@ -201,17 +205,17 @@
     drive(&mut b, 10, addr(1), false);
     b.list(ListForm::Delta, vec![since(cache(1), b.now)]);
     let early = drive(&mut b, 2, addr(1), false);
-    // 2 x the cold share after two seconds x 6 transfers x 2 s
+    // 2 x the cold share after two seconds x 6 transfers x 2 s.
     assert!(worst_window(&early, 2 * S) <= 2.0 * 0.31 * 6.0 * 2.0);
     let later = drive(&mut b, 16, addr(1), false);
-    assert!(later.len() > 20, "it is eased in");
+    assert!(later.len() > 20, "its load rises gradually");
     let done = drive(&mut b, 5, addr(1), false);
     assert!(done.len() > 20, "and warm in the end");
 }
 
 #[test]
 fn hot_small_parts_count_as_much_as_the_rule_counts_them() {
-    // Found by a drawn day: an object of small parts was charged its own size, the rule counts class means.
+    // The cold budget was charged the size of a small part, while the rule counts the mean of its class.
     let mut b = Bench::new(Settings { overload_multiple: 1.0, ..settings() }, fleet());
     drive(&mut b, 10, addr(1), false);
     b.list(
@@ -239,12 +243,13 @@
     b.list(ListForm::Delta, vec![since(parent(100), b.now)]);
     let sent = drive(&mut b, 2, addr(100), true);
     assert!(worst_window(&sent, 2 * S) <= 2.0 * 0.18 * 12.0 * 2.0);
-    assert!(!drive(&mut b, 20, addr(100), true).is_empty(), "it is eased in");
+    assert!(!drive(&mut b, 20, addr(100), true).is_empty(), "its load rises gradually");
 }
 
-/// Work that all routers together send to one cold parent as fills in the worst 2 s, over what the rule allows there at
-/// its age then, one piece of work off for chance. Each router gets its part of 200 videos a second of 300 ms,
-/// all missing, for `calm` seconds; then the first parents restart, and after half a second all ask at once.
+/// Returns the work that all routers together send to one cold parent as fills in the worst 2 s, relative to
+/// what the rule allows at its age, less one piece of work for chance. Each router gets its part of 200
+/// videos a second of 300 ms, which all miss, for `calm` seconds; then the first parents restart, and half a
+/// second later all routers send a request at once.
 fn sum_over_routers(routers: usize, weights: WeightSource, calm: u64, restarted: u8) -> f64 {
     let parents: Vec<Entry> = (100..104).map(parent).collect();
     let weight = if weights == WeightSource::Off { 0.0 } else { 15.0 };
@@ -304,21 +309,25 @@
 }
 
 #[test]
-fn all_routers_together_do_not_push_a_cold_parent_over_however_many_they_are() {
-    // ortho-scans-later: each of 155 routers let one piece through on credit, 4 times what the parent bore.
+fn any_number_of_routers_together_does_not_overload_a_cold_parent() {
+    // Each of 155 routers let one piece of work through on credit, which was 4 times what the cold parent
+    // could bear.
     for routers in [2, 50, 250] {
         for (weights, calm) in [(WeightSource::Off, 20), (WeightSource::Nominal, 20), (WeightSource::Off, 0)]
         {
             let worst = sum_over_routers(routers, weights, calm, 1);
             assert!(worst <= 1.0, "{routers} routers, {weights:?}, {calm} s: {worst:.2} of the rule");
-            assert!(worst > 0.02 || calm == 0, "{routers} routers, {weights:?}: nothing is eased in");
+            assert!(
+                worst > 0.02 || calm == 0,
+                "{routers} routers, {weights:?}: the cold parent gets nothing"
+            );
         }
     }
 }
 
 #[test]
-fn a_whole_hub_that_restarts_at_once_is_not_pushed_over() {
-    // mass_restart: three of four parents return cold within a moment; the one left takes what it can.
+fn most_parents_restarting_at_once_are_not_overloaded() {
+    // Three of four parents come back cold at the same moment; the remaining one takes what it can.
     for routers in [2, 50, 250] {
         let worst = sum_over_routers(routers, WeightSource::Off, 20, 3);
         assert!(worst <= 1.0, "{routers} routers: {worst:.2} of the rule");
@@ -335,7 +344,7 @@
 
 #[test]
 fn refused_requests_that_come_again_do_not_raise_the_cold_budget() {
-    // Found by search: a location came back cold as a whole, and the budget grew with every client retry.
+    // All caches of a location came back cold, and the budget grew with every retry of the clients.
     let cold: Vec<Entry> = fleet().into_iter().map(|e| if e.kind == 0 { since(e, T0) } else { e }).collect();
     let count = |repeats: u64| {
         let s = Settings { direct: false, weight_source: WeightSource::Off, ..settings() };
@@ -393,7 +402,7 @@
 }
 
 #[test]
-fn purges_told_again_after_a_restart_count_from_their_own_time() {
+fn purges_reported_again_after_a_restart_count_from_their_own_time() {
     let mut b = Bench::new(settings(), fleet());
     b.event(Event::Purged { ago: 5 * S, object: Some(7), group: 0 });
     b.event(Event::Purged { ago: 2 * S, object: Some(7), group: 0 });
@@ -403,7 +412,7 @@
 }
 
 #[test]
-fn a_purge_never_makes_a_fresh_time_longer() {
+fn a_purge_never_extends_the_fresh_time() {
     let mut s = settings();
     s.classes[1].fresh_for = S;
     let mut b = Bench::new(s, fleet());
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,16 +1,17 @@
-//! Guards against members and ways that fail, each named after the failure found.
+//! Guards against failures that were found with members and routes that fail or are crowded. Each test names
+//! the behaviour that it protects; its first comment says how the failure came about.
 mod common;
 use common::*;
 use nickelgate::*;
 
-/// Objects whose home is the given cache.
-fn at_home(b: &mut Bench, home: Addr, n: usize) -> Vec<u64> {
-    (0..10_000).filter(|&o| b.served(1, o).is_some_and(|g| g.member == home)).take(n).collect()
+/// Returns up to `n` objects that the given cache serves by rank.
+fn objects_served_by(b: &mut Bench, serving_cache: Addr, n: usize) -> Vec<u64> {
+    (0..10_000).filter(|&o| b.served(1, o).is_some_and(|g| g.member == serving_cache)).take(n).collect()
 }
 
 #[test]
-fn a_dead_parent_does_not_take_what_a_cold_one_has_no_room_for() {
-    // ortho-scans big-1: one parent silent and gone, the other cold; every fill waited for the dead one.
+fn a_dead_parent_does_not_get_what_a_cold_one_has_no_room_for() {
+    // One parent was dead and silent, the other one cold, and every fill waited for the dead one.
     let list = fleet().into_iter().map(|e| if e.addr == addr(101) { since(e, T0) } else { e }).collect();
     let mut b = Bench::new(Settings { direct: false, ..settings() }, list);
     let mut dead = 0;
@@ -34,17 +35,17 @@
 #[test]
 fn a_crowded_cache_spills_to_the_next_in_rank_and_keeps_its_other_objects() {
     let mut b = Bench::new(settings(), fleet());
-    let hot = at_home(&mut b, addr(1), 1)[0];
+    let hot = objects_served_by(&mut b, addr(1), 1)[0];
     let out: Vec<Addr> = (0..20).map(|_| gets(&b.ask(0, hot).1)[0].member).collect();
-    assert!(out[..8].iter().all(|a| *a == addr(1)), "within its limit the home has it");
+    assert!(out[..8].iter().all(|a| *a == addr(1)), "within its limit the first in rank gets it");
     assert!(out.iter().any(|a| *a != addr(1)), "over it the next in rank");
 }
 
 #[test]
-fn overload_is_declined_early_and_the_class_of_least_worth_for_its_work_first() {
+fn overload_is_declined_early_and_the_class_of_least_value_for_its_work_first() {
     let mut b = Bench::new(settings(), fleet());
     for o in 0..100 {
-        // Teach the sending times: a video takes 300 ms, a page 50 ms.
+        // Lets the router learn the sending times: a video takes 300 ms, a page 50 ms.
         let (due, kb) = (b.now + 2 * S, [1500.0, 250.0]);
         for class in [0u8, 1] {
             b.now += 20 * MS;
@@ -66,13 +67,13 @@
         finals(&b.ask_with(req).1) == 1
     };
     let held = (0..200).take_while(|_| !declined(&mut b, 0)).count();
-    assert!((10..100).contains(&held), "{held} videos were taken at once");
+    assert!((10..100).contains(&held), "{held} videos were accepted at once");
     assert!(!declined(&mut b, 1), "a page still is");
 }
 
 #[test]
 fn slow_fills_are_limited_and_hits_go_on() {
-    // i64720b: fills crowded the way in, and hits waited behind them.
+    // Fills crowded the link of the location, and hits waited behind them.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
     for o in 0..60 {
         let (_, out) = b.ask(0, o);
@@ -83,12 +84,12 @@
     }
     let (id, out) = b.ask(0, 1000);
     let look = gets(&out)[0];
-    assert_eq!(look.source, look.member, "asked for what it holds");
-    assert!(!look.join, "a look must not wait on a fill that may hang");
+    assert_eq!(look.source, look.member, "asked only for what it holds");
+    assert!(!look.join, "a look at what is held must not wait for a fill that may hang");
     let fill = b.end(look, 0, Outcome::Miss, Note::None);
     let fill = gets(&fill)[0];
     assert_eq!((fill.request, fill.member), (id, look.member));
-    assert_ne!(fill.source, fill.member, "a miss comes back for a fill");
+    assert_ne!(fill.source, fill.member, "after the miss the cache is asked to fill");
     let mut declined = 0;
     for o in 2000..2030 {
         let (_, out) = b.ask(0, o);
@@ -101,20 +102,20 @@
 }
 
 #[test]
-fn a_hung_member_is_told_by_silence_and_skipped() {
+fn a_hanging_member_is_recognised_by_its_silence_and_skipped() {
     let mut b = Bench::new(settings(), fleet());
-    let mine = at_home(&mut b, addr(1), 5);
-    let (_, out) = b.ask(1, mine[0]);
+    let own_objects = objects_served_by(&mut b, addr(1), 5);
+    let (_, out) = b.ask(1, own_objects[0]);
     let check = wakes(&out).into_iter().min_by_key(|w| w.1).expect("a check");
     b.now += u64::from(check.1);
     let next = b.event(Event::Timer(check.0));
     assert_eq!(gets(&next).len(), 1);
     assert_ne!(gets(&next)[0].member, addr(1));
-    assert_ne!(b.served(1, mine[1]).expect("served").member, addr(1), "new requests skip it");
+    assert_ne!(b.served(1, own_objects[1]).expect("served").member, addr(1), "new requests skip it");
 }
 
 #[test]
-fn with_every_cache_suspect_traffic_still_flows() {
+fn with_every_cache_skipped_requests_are_still_sent() {
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
     for o in 0..6 {
         let (_, out) = b.ask(0, o);
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn state_is_forgotten_when_requests_end() {
+fn state_is_dropped_when_requests_end() {
     let mut b = Bench::new(settings(), fleet());
     let size = |b: &Bench| format!("{:?}", b.r).len();
     let run = |b: &mut Bench| {
@@ -171,35 +172,35 @@
 }
 
 #[test]
-fn a_large_object_of_untold_size_is_known_again_and_stops_first() {
-    // Overload of ortho-scans: a few large objects held most of the link; sizes are told nowhere.
+fn a_large_object_of_unreported_size_is_recognised_and_declined_first() {
+    // In an overload without reported sizes a few large objects took most of the link.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
-    let teach = |b: &mut Bench, object: u64, elapsed: Micros| {
+    let learn = |b: &mut Bench, object: u64, elapsed: Micros| {
         let (_, out) = b.ask(0, object);
         let get = gets(&out)[0];
         b.now += elapsed;
         b.end_after(elapsed, get, 0, Outcome::Ok, Note::Hit);
     };
     for o in 0..60 {
-        teach(&mut b, o, 200 * MS);
+        learn(&mut b, o, 200 * MS);
     }
-    teach(&mut b, 500, 2 * S);
+    learn(&mut b, 500, 2 * S);
     let declined = |b: &mut Bench, object: u64| finals(&b.ask(0, object).1) == 1;
     let held = (0..200).take_while(|_| !declined(&mut b, 500)).count();
-    assert!((3..100).contains(&held), "{held} were taken at once");
-    assert!(!declined(&mut b, 7), "one of usual size still is");
+    assert!((3..100).contains(&held), "{held} were accepted at once");
+    assert!(!declined(&mut b, 7), "an object of usual size still is");
 }
 
 #[test]
 fn one_slow_parent_does_not_limit_the_fills_of_the_others() {
-    // A drawn deploy+slow day: fills of one parent took 2 s, and all misses were declined with it.
+    // Fills from one parent took 2 s, and the misses of all parents were declined.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
-    let mut homes = [None, None];
+    let mut objects = [None, None];
     for o in 0..200 {
         let (_, out) = b.ask(0, o);
         let get = gets(&out)[0];
         let slow = get.source == addr(100) || get.source == get.member;
-        homes[usize::from(slow)] = homes[usize::from(slow)].or(Some(o));
+        objects[usize::from(slow)] = objects[usize::from(slow)].or(Some(o));
         b.now += 300 * MS;
         b.end_after(
             if slow { 3 * S } else { 300 * MS },
@@ -209,12 +210,15 @@
             Note::Filled,
         );
     }
-    let quick = homes[0].expect("an object of the quick parent");
+    let quick = objects[0].expect("an object of the quick parent");
     let get = gets(&b.ask(0, quick).1)[0];
-    assert_eq!(get.source, addr(101), "the quick parent's fills go on at once");
-    let slow = homes[1].expect("an object of the slow parent");
+    assert_eq!(get.source, addr(101), "fills from the quick parent are sent at once");
+    let slow = objects[1].expect("an object of the slow parent");
     let looks = gets(&b.ask(0, slow).1);
-    assert!(looks.iter().all(|g| g.source != addr(100)), "the slow one's are asked for what is held");
+    assert!(
+        looks.iter().all(|g| g.source != addr(100)),
+        "what the slow parent would fill is first looked for at the cache"
+    );
 }
 
 #[test]
@@ -233,7 +237,7 @@
 
 #[test]
 fn the_least_limit_of_one_is_not_multiplied_by_the_routers_that_share_a_parent() {
-    // clinic-cache-later big-1: 125 routers had at least one fill each at a parent that bears forty.
+    // Each of 125 routers always had at least one fill in flight at a parent that bears forty.
     let mut b =
         Bench::new(Settings { direct: false, routers_by_zone: vec![0, 0, 0, 100], ..settings() }, fleet());
     let mut slow = 0;
@@ -249,18 +253,18 @@
             }
         });
     }
-    // At least one out at every time would be one for each request here: all end at once.
-    assert!((1..=100).contains(&slow), "{slow} of 200 misses were filled over a crowded way");
+    // Every fill ends at once here, so with at least one allowed in flight each request would be filled.
+    assert!((1..=100).contains(&slow), "{slow} of 200 misses were filled from a crowded source");
 }
 
 #[test]
 fn a_crowded_origin_does_not_stop_what_parents_hold() {
-    // ortho-scans-later big-1: three parents died, what the others lacked crowded the origin.
+    // Three parents died, and what the others did not hold crowded the origin.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
     for o in 0..100 {
         b.now += 100 * MS;
         for g in gets(&b.ask(0, o).1) {
-            // What the parent holds is quick, what comes from behind it is not.
+            // What the parent holds comes quickly, what it gets from the origin does not.
             let behind = o % 2 == 0 && !g.only_held;
             let (after, note) = if behind { (3 * S, Note::FilledOrigin) } else { (200 * MS, Note::Filled) };
             b.end_after(after, g, 0, Outcome::Ok, note);
@@ -271,7 +275,8 @@
         b.now += 10 * MS;
         for g in gets(&b.ask(0, o).1) {
             assert_ne!(g.source, g.member, "none is turned away before a parent was asked");
-            // The few that the origin has room for are still out; the others ask for what the parent holds.
+            // The few fills that the origin has room for stay in flight; the others ask only for what the
+            // parent holds.
             if !g.only_held {
                 whole += 1;
             } else if o % 2 == 0 {
@@ -288,29 +293,29 @@
 }
 
 #[test]
-fn parts_of_one_object_are_spread_and_each_has_one_home() {
-    // clinic-cache-later: a session of parts from one cache crowded it while its neighbours were idle.
+fn parts_of_one_object_are_spread_and_each_has_one_cache() {
+    // All parts of an object came from one cache, which was crowded while its neighbours were idle.
     let mut b = Bench::new(settings(), fleet());
-    let mut home = |part: u32| {
+    let mut serving_cache = |part: u32| {
         let due = b.now + 6 * S;
         let (_, out) = b.ask_with(Request { object: 9, part, expires_at: due, ..Request::default() });
         let g = gets(&out)[0];
         b.end(g, 0, Outcome::Ok, Note::Hit);
         g.member
     };
-    let homes: Vec<Addr> = (0..30).map(&mut home).collect();
-    let again: Vec<Addr> = (0..30).map(&mut home).collect();
-    assert_eq!(homes, again);
+    let serving_caches: Vec<Addr> = (0..30).map(&mut serving_cache).collect();
+    let again: Vec<Addr> = (0..30).map(&mut serving_cache).collect();
+    assert_eq!(serving_caches, again);
     for cache in [addr(1), addr(2), addr(3)] {
-        assert!(homes.iter().filter(|h| **h == cache).count() >= 4);
+        assert!(serving_caches.iter().filter(|h| **h == cache).count() >= 4);
     }
 }
 
 #[test]
-fn a_member_taken_away_within_a_second_gets_nothing_new_and_its_replacement_is_eased_in() {
-    // preempt: listed as draining, dead within a second, replaced by a new and cold one.
+fn a_member_removed_within_a_second_gets_nothing_new_and_its_replacement_is_loaded_gradually() {
+    // A cache is listed as draining, is gone within a second, and is replaced by a new one, which is cold.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
-    at_home(&mut b, addr(1), 50);
+    objects_served_by(&mut b, addr(1), 50);
     b.list(ListForm::Delta, vec![state(cache(1), Lifecycle::Draining)]);
     for o in 0..100 {
         b.now += 5 * MS;
@@ -333,11 +338,11 @@
 
 #[test]
 fn a_member_that_grows_slower_loses_load_before_it_dies() {
-    // ageing: up to twenty times slower over half a minute, then one crash.
+    // An ageing member grew up to twenty times slower over half a minute and then crashed.
     let mut b = Bench::new(Settings { direct: false, transfer_kb_per_s: 5000.0, ..settings() }, fleet());
     let share = |b: &mut Bench, slower: u64| {
         let mut open: Vec<(Micros, Micros, Get)> = Vec::new();
-        let mut mine = 0;
+        let mut to_slower = 0;
         for o in 0..1000 {
             b.now += 20 * MS;
             let now = b.now;
@@ -348,21 +353,21 @@
             }
             let req = Request { object: o, size_kb: 1500.0, expires_at: now + 6 * S, ..Request::default() };
             for g in gets(&b.ask_with(req).1) {
-                mine += usize::from(g.member == addr(1));
+                to_slower += usize::from(g.member == addr(1));
                 let takes = 300 * MS * if g.member == addr(1) { slower } else { 1 };
                 open.push((now, now + takes, g));
             }
         }
         open.into_iter().for_each(|(_, _, g)| drop(b.end(g, 0, Outcome::Ok, Note::Hit)));
-        mine
+        to_slower
     };
-    let (well, aged) = (share(&mut b, 1), share(&mut b, 10));
-    assert!(aged * 3 <= well, "{well} of 1000 when well, {aged} when ten times slower");
+    let (healthy, aged) = (share(&mut b, 1), share(&mut b, 10));
+    assert!(aged * 3 <= healthy, "{healthy} of 1000 when healthy, {aged} when ten times slower");
 }
 
 #[test]
-fn lost_answers_make_no_storm_of_repeats_while_others_arrive() {
-    // answer_lost: the work runs, a share of the answers never comes; the members answer others.
+fn lost_answers_cause_no_retry_storm_while_others_arrive() {
+    // The work runs, but a share of the answers never arrives, while the members answer other requests.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
     let (mut asked, mut sent, mut checks) = (0, 0, Vec::new());
     for o in 0..600 {
@@ -389,26 +394,30 @@
 }
 
 #[test]
-fn a_broken_connection_is_no_member_that_is_down_but_some_in_a_row_are() {
+fn one_broken_connection_does_not_skip_a_member_but_several_in_a_row_do() {
     let mut b = Bench::new(settings(), fleet());
-    let mine = at_home(&mut b, addr(1), 20);
+    let own_objects = objects_served_by(&mut b, addr(1), 20);
     let reset = |b: &mut Bench, objects: &[u64]| {
         let asked: Vec<_> = objects.iter().map(|o| gets(&b.ask(1, *o).1)[0]).collect();
         asked.into_iter().for_each(|g| drop(b.end(g, 0, Outcome::Reset, Note::None)));
     };
-    // One connection takes four attempts with it.
-    reset(&mut b, &mine[..4]);
+    // One broken connection ends four attempts.
+    reset(&mut b, &own_objects[..4]);
     b.now += 100 * MS;
-    assert_eq!(b.served(1, mine[4]).expect("served").member, addr(1), "it answers others");
-    for o in &mine[5..8] {
+    assert_eq!(b.served(1, own_objects[4]).expect("served").member, addr(1), "it answers others");
+    for o in &own_objects[5..8] {
         b.now += 100 * MS;
         reset(&mut b, &[*o]);
     }
-    assert_ne!(b.served(1, mine[8]).expect("served").member, addr(1), "nothing but resets: skipped");
+    assert_ne!(
+        b.served(1, own_objects[8]).expect("served").member,
+        addr(1),
+        "skipped after nothing but resets"
+    );
 }
 
 #[test]
-fn large_objects_are_turned_away_for_others_only_where_a_cache_or_its_link_is_near_its_end() {
+fn large_objects_are_declined_for_others_only_where_a_cache_or_its_link_is_near_its_capacity() {
     let sent = |cpu: f32, link: f32| {
         let columns = ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() };
         let mut b = Bench::new(Settings { columns, ..settings() }, fleet());
@@ -418,7 +427,7 @@
             let get = gets(&b.ask(1, object).1)[0];
             b.end_after(elapsed, get, 0, Outcome::Ok, Note::Hit)
         };
-        // Large ones are known by how long they took, among many small ones.
+        // Large objects are recognised by how long they took, among many small ones.
         (0..100).for_each(|o| drop(serve(&mut b, o, 30 * MS)));
         (1000..1040).for_each(|o| drop(serve(&mut b, o, 900 * MS)));
         (1000..1040).filter(|o| !gets(&b.ask(1, *o).1).is_empty()).count()
@@ -428,8 +437,9 @@
 }
 
 #[test]
-fn a_slow_source_is_left_with_a_few_fills_of_all_routers() {
-    // A slow origin answers no sooner for being asked less: down to one fill for all routers, most was refused.
+fn a_slow_source_keeps_a_few_fills_of_all_routers() {
+    // A slow origin does not answer sooner when it is asked less. With its limit down to one fill for all
+    // routers, most requests were refused.
     let routers = Settings { direct: false, routers_by_zone: vec![0, 0, 0, 3], ..settings() };
     let mut b = Bench::new(routers, fleet());
     for o in 0..400 {
@@ -446,12 +456,13 @@
             first.first().map_or(vec![], |g| gets(&b.end_after(MS, *g, 0, Outcome::Miss, Note::None)));
         out += fills.iter().filter(|g| g.source != g.member).count();
     }
-    assert!((4..=9).contains(&out), "{out} fills out at two parents");
+    assert!((4..=9).contains(&out), "{out} fills in flight at two parents");
 }
 
 #[test]
 fn a_crowded_link_sheds_fills_in_part_and_hits_and_writes_go_on() {
-    // join+vast: six in ten caches cold at once, the link of a location 11 to 19 times full, every fill late.
+    // Six in ten caches were cold at once, the link of a location had 11 to 19 times its load, and every fill
+    // was late.
     let columns = ReportColumns { cpu: Some(0), link_load: Some(1), ..ReportColumns::default() };
     let mut b = Bench::new(Settings { direct: false, columns, ..settings() }, fleet());
     let mut filled = |x1: f32, class: u8| {
@@ -472,13 +483,14 @@
     assert_eq!(filled(1.0, 0), 300, "with room on the link every miss is filled");
     let part = filled(4.5, 0);
     assert!((60..240).contains(&part), "{part} of 300 fills at a crowded link");
-    assert!(filled(18.0, 0) < 20, "far over it fills stop");
+    assert!(filled(18.0, 0) < 20, "far above its capacity fills stop");
     assert_eq!(filled(18.0, 2), 300, "writes need no fill and go on");
 }
 
 #[test]
 fn a_source_that_is_quick_again_is_used_again_though_its_fills_are_rare() {
-    // disco+vast: the origin slow for 6 s, 100 routers with hardly a fill a second each; a fifth was refused for good.
+    // The origin was slow for 6 s, and 100 routers had hardly one fill a second each. A fifth of the requests
+    // was refused from then on.
     let routers = Settings { direct: false, routers_by_zone: vec![0, 0, 0, 100], ..settings() };
     let mut b = Bench::new(routers, fleet());
     let mut refused = [0, 0];
@@ -493,13 +505,14 @@
             true => (if slow { 1500 * MS } else { 260 * MS }, Outcome::Ok, Note::FilledOrigin),
         });
     }
-    assert!(refused[0] > 0, "while it is slow some are turned away");
-    assert!(refused[1] <= 8, "{} of 57 were turned away in the 34 s after it", refused[1]);
+    assert!(refused[0] > 0, "while it is slow some are declined");
+    assert!(refused[1] <= 8, "{} of 57 were declined in the 34 s after it", refused[1]);
 }
 
 #[test]
-fn a_write_is_not_repeated_by_way_of_a_parent_while_the_origin_is_suspect() {
-    // disco+vast: 27 writes a second became 340 attempts at a slow origin, each hub trying again; it fell.
+fn a_write_is_not_retried_through_a_parent_while_the_origin_is_skipped() {
+    // 27 writes a second became 340 attempts at a slow origin, because each parent tried again, and the
+    // origin failed.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
     let mut round = 0;
     for o in 0..50 {
@@ -512,12 +525,13 @@
             (100 * MS, Outcome::Refused, note)
         });
     }
-    assert!(round <= 1, "{round} writes of 50 went on to a parent, and by it to the same origin");
+    assert!(round <= 1, "{round} writes of 50 went on to a parent, and through it to the same origin");
 }
 
 #[test]
-fn a_slow_origin_is_told_by_fills_still_out_at_a_parent_that_fills_others() {
-    // disco+vast: first bytes from behind hubs took 1.3 s, and only what had come counted against the origin.
+fn a_slow_origin_is_recognised_by_fills_in_flight_at_a_parent_that_fills_others() {
+    // First bytes from the origin through parents took 1.3 s, and only fills that had ended counted against
+    // the origin.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, fleet());
     let (mut late, mut held) = (Vec::new(), 0);
     for o in 0..120u64 {
@@ -532,7 +546,7 @@
         let Some(get) = gets(&out).first().copied() else { continue };
         held += u32::from(get.only_held && o >= 60);
         late.extend(wakes(&out).iter().map(|(t, after)| (b.now + Micros::from(*after), *t)));
-        // Every sixth waits for the origin and never ends here; what parents hold comes at once.
+        // Every sixth fill waits for the origin and never ends here; what parents hold comes at once.
         if o % 6 > 0 {
             b.end_after(50 * MS, get, 0, Outcome::Ok, Note::Filled);
         }
@@ -541,8 +555,9 @@
 }
 
 #[test]
-fn a_jammed_origin_is_left_alone_in_a_few_samples_and_used_again_in_a_few() {
-    // zone+vast: one sample a second each, a fifth less at each: 4 s until 100 routers let a slow origin be.
+fn a_crowded_origin_is_limited_after_a_few_samples_and_used_again_after_a_few() {
+    // With one sample a second at each router and a cut by a fifth at each sample, it took 100 routers 4 s to
+    // stop using a slow origin.
     let routers = Settings { direct: false, routers_by_zone: vec![0, 0, 0, 100], ..settings() };
     let mut b = Bench::new(routers, fleet());
     let (mut late, mut refused) = (0, 0);
@@ -560,13 +575,14 @@
         refused += if o >= 300 { answers } else { 0 };
     }
     assert!(late <= 14, "{late} of 100 still went to the slow origin");
-    assert!(refused <= 30, "{refused} of 100 were turned away once it was quick again");
+    assert!(refused <= 30, "{refused} of 100 were declined after it was quick again");
 }
 
 #[test]
-fn a_fill_is_not_held_slow_for_the_time_of_sending_a_told_size() {
-    // The second site tells sizes: an attempt's time then holds the sending of a large part to the client,
-    // which says nothing of the source. 5 MB at 5 MB/s: 1 s of sending, 0.3 s of fill, 2.1 s wanted.
+fn a_fill_does_not_count_as_slow_for_sending_a_reported_size() {
+    // Where sizes are reported, an attempt's time includes the sending of a large part to the client, which
+    // says nothing of the source. Here 5 MB at 5 MB/s take 1 s of sending and 0.3 s of fill, with a target of
+    // 2.1 s.
     let mut b = Bench::new(settings(), fleet());
     let large = |b: &mut Bench, object| {
         let due = b.now + 6 * S;
@@ -581,12 +597,16 @@
     }
     let (_, out) = large(&mut b, 1000);
     let get = gets(&out)[0];
-    assert_ne!(get.source, get.member, "roomy fills are not limited: no look first");
+    assert_ne!(
+        get.source, get.member,
+        "fills from a source with spare capacity are not limited, so there is no look first"
+    );
     assert_eq!(finals(&out), 0);
 }
 
-/// A cache that can carry ten transfers of 250 ms is sent three times as much for 20 s, and so delivers a third; then
-/// it starts anew. The most that it is sent in a second from then on, over what it can do at the end of that second.
+/// Sends a cache that can carry ten transfers of 250 ms three times as much for 20 s, of which it delivers a
+/// third; then it starts anew. Returns the most that it is sent in a second from then on, relative to what it
+/// can do at the end of that second.
 fn worst_second_after_overload() -> f64 {
     let s = Settings { weight_source: WeightSource::Rough, columns: ReportColumns::default(), ..settings() };
     let mut b = Bench::new(s, vec![cache(1), origin()]);
@@ -634,16 +654,18 @@
 }
 
 #[test]
-fn an_overload_before_a_cold_start_does_not_raise_what_the_cold_cache_is_sent() {
-    // chart-cache-net, overload with a branch lost: five cold caches fell, sent over four times what they could do.
+fn an_overload_before_a_cold_start_does_not_raise_the_cold_budget() {
+    // In an overload with a location lost, five cold caches failed, because they were sent over four times
+    // what they could do.
     let worst = worst_second_after_overload();
-    assert!(worst <= 2.0, "sent {worst:.2} times what it can do, falls at 2");
-    assert!(worst > 0.2, "{worst:.2}: it is to be used, too");
+    assert!(worst <= 2.0, "sent {worst:.2} times what it can do, fails at 2");
+    assert!(worst > 0.2, "{worst:.2}: it has to be used as well");
 }
 
 #[test]
-fn an_attempt_taken_back_unwritten_says_nothing_of_its_member_and_costs_no_retry() {
-    // One cache at the location: far more of them than the retry budget has, each served by the next attempt.
+fn an_attempt_that_was_not_sent_does_not_count_against_its_member_or_the_retry_budget() {
+    // With one cache at the location there are far more unsent attempts than the retry budget has tokens;
+    // each request is served by a later attempt.
     let mut b = Bench::new(Settings { direct: false, ..settings() }, vec![cache(1), parent(100), origin()]);
     for object in 0..60 {
         let mut n = 0;
@@ -658,11 +680,12 @@
         });
         assert_eq!((n, answers), (3, 0), "object {object}");
     }
-    // They are bounded by the attempts of the settings, and by nothing else: the operators' bound means attempts.
+    // Only the limit on attempts of the settings bounds them, because the limit of the operators counts
+    // attempts that were sent.
     for attempts in [0, 2] {
-        let terms = RequestPolicy { attempt_limit: attempts, ..RequestPolicy::default() };
+        let policy = RequestPolicy { attempt_limit: attempts, ..RequestPolicy::default() };
         let (_, mut out) =
-            b.ask_with(Request { object: 7, expires_at: b.now + 6 * S, policy: terms, ..Request::default() });
+            b.ask_with(Request { object: 7, expires_at: b.now + 6 * S, policy, ..Request::default() });
         let mut sent = 0;
         while let Some(get) = gets(&out).first().copied() {
             out = b.end_after(0, get, sent, Outcome::NotSent, Note::None);
@@ -670,7 +693,7 @@
         }
         assert_eq!((sent, finals(&out)), (6, 1));
     }
-    // Others are there: the same one once more, then the next in rank.
+    // With other caches there, the same one is tried once more, then the next in rank.
     let mut b = Bench::new(settings(), fleet());
     let mut asked = Vec::new();
     b.play(0, 5, |get| {
@@ -681,12 +704,11 @@
 }
 
 #[test]
-fn a_second_copy_that_cannot_go_out_leaves_its_member_in_the_choice() {
+fn a_hedge_that_cannot_be_sent_does_not_exclude_the_first_member() {
     let s = Settings { direct: false, ..settings() };
     let mut b = Bench::new(s, vec![cache(1), parent(100), parent(101), origin()]);
-    let terms = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
-    let out =
-        b.ask_with(Request { object: 5, expires_at: b.now + 6 * S, policy: terms, ..Request::default() }).1;
+    let policy = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
+    let out = b.ask_with(Request { object: 5, expires_at: b.now + 6 * S, policy, ..Request::default() }).1;
     let copy = wakes(&out).into_iter().find(|w| w.1 == 150_000).expect("a second copy is planned").0;
     b.now += 150 * MS;
     assert!(gets(&b.event(Event::Timer(copy))).is_empty(), "there is one cache");
--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -1,6 +1,6 @@
-//! Over random schedules of outcomes and waits: a keyed request is never sent again once the window in which its
-//! group drops repeats may have passed, never has two attempts out where that is not allowed, and gets one final
-//! answer.
+//! Under random schedules of outcomes and waits, a keyed request is never sent again once the window in which
+//! its group drops repeats may have passed, never has two attempts in flight where that is not allowed, and
+//! gets exactly one final answer.
 mod common;
 use common::*;
 use nickelgate::*;
@@ -18,9 +18,9 @@
     Outcome::NotSent,
 ];
 
-/// The attempt out: its number, member, when it was sent, when it ends and how.
+/// The attempt in flight: its number, its member, when it was sent, when it ends and how.
 #[derive(Clone, Copy)]
-struct Out {
+struct InFlight {
     n: u16,
     member: Addr,
     sent: Micros,
@@ -28,19 +28,20 @@
     outcome: Outcome,
 }
 
-/// Plays one keyed request; the schedule gives each attempt's time out in ms and how it ends.
+/// Simulates one keyed request; the schedule gives how long each attempt takes in ms and the index of its
+/// outcome.
 fn play(window: Micros, schedule: &[(u16, usize)]) -> Result<(), TestCaseError> {
     let mut s = settings();
     (s.parallel_attempts, s.classes[2].dedup_window) = (false, window);
     let mut b = Bench::new(s, fleet());
     let (mut timers, mut next) = (BTreeSet::new(), schedule.iter());
-    let (mut out, mut ran, mut answers, mut attempts) = (None::<Out>, None::<Micros>, 0, 0);
+    let (mut out, mut ran, mut answers, mut attempts) = (None::<InFlight>, None::<Micros>, 0, 0);
     let mut actions = b.ask(2, 1).1;
     loop {
         for a in std::mem::take(&mut actions) {
             match a {
                 Action::Get(g) => {
-                    prop_assert!(out.is_none(), "two attempts out at once");
+                    prop_assert!(out.is_none(), "two attempts in flight at once");
                     if let Some(first) = ran {
                         prop_assert!(
                             b.now < first + window,
@@ -51,8 +52,13 @@
                     prop_assert_eq!(g.send_by, ran.map_or(0, |first| first + window - 2 * MS));
                     let (after, how) = next.next().copied().unwrap_or((50, 0));
                     let end = b.now + Micros::from(after) * MS;
-                    out =
-                        Some(Out { n: attempts, member: g.member, sent: b.now, end, outcome: OUTCOMES[how] });
+                    out = Some(InFlight {
+                        n: attempts,
+                        member: g.member,
+                        sent: b.now,
+                        end,
+                        outcome: OUTCOMES[how],
+                    });
                     attempts += 1;
                 }
                 Action::Wake { token, after } => drop(timers.insert((b.now + Micros::from(after), token))),
@@ -111,7 +117,8 @@
     }
 }
 
-/// A keyed class with a group and a window under its deadline of 3 s, members in three cells.
+/// A router whose writes have this group, effect and window, under a deadline of 3 s, with caches in two
+/// cells.
 fn keyed(group: DedupGroup, effect: Effect, window: Micros) -> Bench {
     let mut s = settings();
     (s.direct, s.retry_after) = (false, true);
@@ -122,10 +129,11 @@
 }
 
 #[test]
-fn a_repeat_says_by_when_it_has_to_leave_in_both_orders_and_a_first_attempt_has_no_bound() {
+fn a_repeat_has_a_bound_for_its_sending_and_a_first_attempt_has_none() {
     use Outcome::*;
     for (window, first, after, bound) in [
-        // One that proves that nothing ran leaves no bound; one that may have run counts from its own send.
+        // An outcome that proves that nothing ran sets no bound; else the bound counts from the sending of
+        // that attempt.
         (800 * MS, ConnectFailed, 100 * MS, None),
         (800 * MS, NotSent, 100 * MS, None),
         (800 * MS, Reset, 100 * MS, Some(798 * MS)),
@@ -139,13 +147,13 @@
         b.now += after;
         let two = gets(&b.end(one, 0, first, Note::None))[0];
         assert_eq!(two.send_by, bound.map_or(0, |w| T0 + w), "{first:?} after {after}, window {window}");
-        // A third keeps the bound of the first that may have run.
+        // A third attempt keeps the bound of the first one that may have run.
         b.now += MS.min(window / 800_000);
         let three = gets(&b.end(two, 1, NotSent, Note::None));
         let still = bound.is_none_or(|w| b.now < T0 + w);
         assert_eq!(three.first().map(|g| g.send_by), still.then_some(bound.map_or(0, |w| T0 + w)));
     }
-    // A second copy beside the first: the same bound; a class that may simply be repeated has none.
+    // A hedged copy has the same bound; in a class whose repeats are harmless it has none.
     for (class, bound) in [(2, T0 + 798 * MS), (1, 0)] {
         let mut b = keyed(DedupGroup::All, Effect::Dedup, 800 * MS);
         let terms = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
@@ -165,7 +173,7 @@
 }
 
 #[test]
-fn what_may_have_run_goes_again_only_where_class_group_and_window_allow() {
+fn what_may_have_run_is_repeated_only_where_class_group_and_window_allow() {
     use DedupGroup::*;
     for (group, effect, window, again, harmless) in [
         (All, Effect::Dedup, 0, false, true),
@@ -187,7 +195,7 @@
 }
 
 #[test]
-fn a_server_of_another_cell_at_the_address_of_a_former_one_is_not_of_its_group() {
+fn a_cache_of_another_cell_at_a_reused_address_is_not_in_the_dedup_group() {
     for cell in [1, 9] {
         let mut b = keyed(DedupGroup::Cell, Effect::Dedup, 2 * S);
         let out = b.ask(2, 1).1;
@@ -197,14 +205,15 @@
             (if cell == 9 { 9 } else { 1 + u16::from(first.member == addr(3)) }, T0 - 60 * S);
         b.list(ListForm::Full, list);
         b.now += 100 * MS;
-        // Lost with no blame: the one at that address is the only one left.
+        // The note blames the source, so the cache at that address stays in the choice, and it is the only
+        // one left.
         let next = b.end(first, 0, Outcome::Reset, Note::SourceFailed);
         assert_eq!(gets(&next).len(), usize::from(cell == 1), "{next:?}");
     }
 }
 
 #[test]
-fn two_ends_or_an_end_and_the_deadline_in_one_turn_give_one_answer() {
+fn two_outcomes_or_an_outcome_and_the_deadline_in_one_batch_give_one_answer() {
     use Outcome::*;
     for class in [1, 2] {
         for ends in [[Ok, Ok], [Ok, Reset], [Reset, Ok], [Reset, Reset], [NotSent, Ok], [Timeout, Cancelled]]
@@ -229,9 +238,9 @@
                     let copy = timer(&out, 150 * MS).expect("the second copy").0;
                     b.now += 150 * MS;
                     out.extend(b.event(Event::Timer(copy)));
-                    let both = gets(&out);
-                    assert_eq!(both.len(), 2);
-                    // Past the window, all in one turn at one time.
+                    let attempts_sent = gets(&out);
+                    assert_eq!(attempts_sent.len(), 2);
+                    // Past the window: all events come in one batch at the same time.
                     b.now = due - 2 * MS;
                     let (mut answers, mut sent) = (0, 0);
                     for turn in 0..3 {
@@ -239,9 +248,9 @@
                             b.event(Event::Timer(last))
                         } else {
                             let n = order[if turn > deadline { turn - 1 } else { turn }];
-                            // A served end counts where the request is open: what comes later answers nothing.
+                            // A served attempt answers the request only while that is open.
                             answers += usize::from(ends[n] == Ok && answers == 0);
-                            b.end(both[n], n as u16, ends[n], Note::None)
+                            b.end(attempts_sent[n], n as u16, ends[n], Note::None)
                         };
                         answers += finals(&out);
                         sent += gets(&out).len();
--- a/tests/learned.rs
+++ b/tests/learned.rs
@@ -1,4 +1,4 @@
-//! What one router has learned is taken over by the next, and nothing that cannot be is believed.
+//! The next router restores what one router has learned, and rejects impossible figures.
 mod common;
 use common::*;
 use nickelgate::*;
@@ -12,7 +12,8 @@
     Settings { columns, ..settings() }
 }
 
-/// Asks for as many objects at once as fit, and ends what went out after this wait at this reported use.
+/// Requests 200 objects at once and ends the attempts after this wait, with a report of high usage. Returns
+/// how many attempts were sent.
 fn round(b: &mut Bench, wait: Micros) -> usize {
     b.now += S;
     let due = b.now + 2 * S;
@@ -34,8 +35,8 @@
     out.len()
 }
 
-/// A router that has seen crowded caches for a while.
-fn old() -> Bench {
+/// A router whose caches have been crowded for a while.
+fn router_with_crowded_caches() -> Bench {
     let mut b = Bench::new(busy_settings(), members());
     for _ in 0..30 {
         round(&mut b, 200 * MS);
@@ -45,8 +46,8 @@
 }
 
 #[test]
-fn the_next_router_goes_on_where_the_last_one_stood() {
-    let mut a = old();
+fn the_next_router_continues_with_the_limits_of_the_last() {
+    let mut a = router_with_crowded_caches();
     let learned = a.r.learned();
     let mut b = Bench::new(busy_settings(), members());
     b.now = a.now;
@@ -69,10 +70,10 @@
     );
 }
 
-/// Figures that no router measures, members that are not listed or started anew, times that lie ahead: all left out.
+/// Figures that no router can measure, members that have started anew and times in the future are left out.
 #[test]
-fn what_cannot_be_is_not_believed() {
-    let a = old();
+fn impossible_figures_are_not_restored() {
+    let a = router_with_crowded_caches();
     let good = a.r.learned();
     for bad in [f64::NAN, f64::INFINITY, -1.0, 1e13] {
         let mut l = good.clone();
@@ -98,15 +99,15 @@
     let mut b = Bench::new(busy_settings(), members());
     b.r.restore_learned(a.now, &l);
     assert!(b.r.learned().members.is_empty());
-    assert_eq!(b.r.learned().purges, [(3, None, a.now)], "a purge that lies ahead counts from now");
+    assert_eq!(b.r.learned().purges, [(3, None, a.now)], "a purge in the future counts from now");
 }
 
-/// What goes to a cold cache in two seconds, from one process and from two that share its traffic: together no more than one
-/// alone may send.
+/// Counts what is sent to a cold cache in two seconds, by a single process and by one of two that share the
+/// budget. Two together may send no more than one alone.
 #[test]
 fn two_processes_keep_one_budget() {
     let sent = |others: usize| {
-        let mut b = old();
+        let mut b = router_with_crowded_caches();
         let cold = Entry { started_at: b.now, incarnation: b.now, ..cache(2) };
         b.list(ListForm::Delta, vec![cold]);
         b.r.set_sibling_processes(others);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits move by what tells of crowding, and by nothing else; a decline says when to come back.
+//! Limits move by signs of crowding only; a decline says when to retry.
 mod common;
 use common::*;
 use nickelgate::*;
@@ -17,13 +17,14 @@
     }));
 }
 
-/// How many attempts may be out at a single cache after a while of such
-/// waits (the sending time is 50 ms) at this reported use.
-fn room_at(used: f32, wait: Micros) -> usize {
-    room_of(vec![cache(1), parent(100), origin()], used, wait)
+/// Returns how many attempts may be in flight at a single cache after a while of such waits (the sending time
+/// is 50 ms) at this reported usage.
+fn in_flight_at(used: f32, wait: Micros) -> usize {
+    in_flight_with(vec![cache(1), parent(100), origin()], used, wait)
 }
 
-fn room_of(members: Vec<Entry>, used: f32, wait: Micros) -> usize {
+/// Returns the same for the first cache of these members.
+fn in_flight_with(members: Vec<Entry>, used: f32, wait: Micros) -> usize {
     let columns = ReportColumns { cpu: Some(0), ..ReportColumns::default() };
     let mut b = Bench::new(Settings { columns, ..settings() }, members);
     let mut most = 0;
@@ -40,25 +41,28 @@
 
 #[test]
 fn long_waits_do_not_limit_a_cache_that_reports_little_use() {
-    // benga-depots calm day: a quarter of the requests was declined while the caches were 60% used.
+    // Guards against limits by waits alone: on a calm day a quarter of the requests was declined while the
+    // caches were 60% used.
     let two = vec![cache(1), cache(2), parent(100), origin()];
-    let (easy, busy) = (room_at(0.3, 150 * MS), room_of(two, 0.95, 150 * MS));
-    assert!(easy >= 100, "{easy} out at a cache with room");
-    assert!(busy <= 3, "{busy} out at a crowded one");
+    let (low_usage, busy) = (in_flight_at(0.3, 150 * MS), in_flight_with(two, 0.95, 150 * MS));
+    assert!(low_usage >= 100, "{low_usage} in flight at a cache with low usage");
+    assert!(busy <= 3, "{busy} in flight at a crowded one");
 }
 
 #[test]
 fn a_slow_cache_is_limited_though_it_reports_little_use() {
-    // upgrade, a cache with waits of five to eight times the sending time and room by its reports: 45 were out at it.
+    // During an upgrade a cache had waits of five to eight times the sending time while it reported low
+    // usage, and 45 attempts were in flight there.
     let two = vec![cache(1), cache(2), parent(100), origin()];
-    let slow = room_of(two, 0.3, 400 * MS);
-    assert!(slow <= 2, "{slow} out at a slow one");
-    // upgrade+hand, a location whose other cache was cold: there is nowhere else.
-    let last = room_at(0.3, 400 * MS);
-    assert!((3..=6).contains(&last), "{last} out at the last one");
+    let slow = in_flight_with(two, 0.3, 400 * MS);
+    assert!(slow <= 2, "{slow} in flight at a slow one");
+    // In a location whose other cache is cold there is no alternative, so the last one keeps more.
+    let last = in_flight_at(0.3, 400 * MS);
+    assert!((3..=6).contains(&last), "{last} in flight at the last one");
 }
 
-/// Whether the fills from a source are limited after a few that took two seconds.
+/// Returns whether the fills from a source are limited after 20 that took two seconds, with this wait for the
+/// first byte.
 fn limited_after(waited: Micros) -> bool {
     let mut b = Bench::new(settings(), vec![cache(1), parent(100), origin()]);
     for o in 0..20 {
@@ -71,24 +75,24 @@
 }
 
 #[test]
-fn a_large_object_not_seen_before_does_not_pass_for_a_crowded_source() {
+fn a_large_unknown_object_is_not_taken_for_a_crowded_source() {
     assert!(!limited_after(50 * MS), "the first byte came at once");
     assert!(limited_after(2 * S), "the source kept the fill waiting");
 }
 
 #[test]
-fn a_decline_is_given_at_once_and_says_when_to_come_back() {
-    for (told, most, advice) in [(true, S, 250_000), (true, 100 * MS, 100_000), (false, S, 0)] {
-        let s = Settings { direct: false, retry_after: told, max_retry_after: most, ..settings() };
+fn a_decline_is_given_at_once_and_says_when_to_retry() {
+    for (advised, most, advice) in [(true, S, 250_000), (true, 100 * MS, 100_000), (false, S, 0)] {
+        let s = Settings { direct: false, retry_after: advised, max_retry_after: most, ..settings() };
         let (id, out) = Bench::new(s, vec![origin()]).ask(0, 1);
         assert_eq!(out, [Action::Decline { request: id, retry_after: advice }]);
     }
 }
 
 #[test]
-fn fills_come_back_soon_after_a_slow_spell() {
-    // benga-depots fleet-2: 6% still refused ten seconds after the origin's slow spell had ended.
-    // One wide cache: only the way in limits.
+fn fills_recover_soon_after_the_source_was_slow() {
+    // Guards against a limit that recovers too slowly: 6% were still refused ten seconds after the origin had
+    // been slow. The one cache has a large weight, so only the fills are limited.
     let wide = Entry { weight: 400.0, ..cache(1) };
     let mut b = Bench::new(settings(), vec![wide, parent(100), origin()]);
     let mut object = 0;
@@ -101,7 +105,7 @@
             let (_, out) =
                 b.ask_with(Request { object, expires_at: due, size_kb: 250.0, ..Request::default() });
             for g in gets(&out) {
-                // While fills are limited the first attempt only looks.
+                // While fills are limited the first attempt only looks for what is held.
                 let looked = g.source == g.member;
                 let next = if looked { gets(&b.end(g, 0, Outcome::Miss, Note::None)) } else { vec![g] };
                 fills.extend(next.into_iter().map(|g| (g, u16::from(looked))));
@@ -118,9 +122,9 @@
     assert!(back >= Some(2 * cut), "{back:?} fills, {cut} after the cut");
 }
 
-/// Plays 20 s of 200 requests a second at a site whose answers tell only hits, where two of three caches lose one
-/// answer in five: their clients leave after 800 ms. All else is answered in 12 ms, one in three by
-/// a fill in 90 ms, where 160 are wanted. Gives the declines.
+/// Simulates 20 s of 200 requests a second at a site whose answers report only hits, where two of three
+/// caches lose one answer in five, whose clients leave after 800 ms. All others are answered in 12 ms, and
+/// one in three by a fill in 90 ms, where 160 ms are the target. Returns the number of declines.
 fn lost_answers() -> usize {
     enum What {
         Ask(u64),
@@ -133,7 +137,7 @@
     let lacking = |g: &Get| filled(g) && (g.source == g.member || g.only_held && g.request.is_multiple_of(6));
     let mut s = Settings { all_notes_reported: false, parallel_attempts: false, ..settings() };
     s.classes[1].target_latency = 140 * MS;
-    // Two routers elsewhere share the origin: its least limit is two.
+    // Two routers in another zone share the origin, so its least limit is two.
     s.routers_by_zone[0] = 2;
     let wide = |e: Entry| Entry { weight: 60.0, ..e };
     let mut b = Bench::new(s, fleet().into_iter().map(wide).collect());
@@ -182,8 +186,9 @@
 }
 
 #[test]
-fn answers_lost_at_some_caches_do_not_close_the_sources_of_all() {
-    // chart-cache-net wide: two caches lost one answer in ten, the origin's limit fell to its least, half was declined.
+fn answers_lost_at_some_caches_do_not_limit_the_sources_of_all() {
+    // Two caches lost one answer in ten, the origin's limit fell to its minimum because of that, and half of
+    // the requests was declined.
     let declined = lost_answers();
     assert!(declined <= 40, "{declined} of 4,000 declined while every fill is quick");
 }
--- a/tests/ranking.rs
+++ b/tests/ranking.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: load factors, shares, minimal disruption, one parent for an object.
+//! The ranking without failures: load factors, shares, minimal disruption, one parent for each object.
 mod common;
 use common::*;
 use nickelgate::rules::load_factors;
@@ -23,7 +23,8 @@
     assert!(load_factors(&[f64::NAN, 1.0, 2.0]).iter().all(|x| x.is_finite()));
 }
 
-fn homes(b: &mut Bench, n: u64) -> Vec<Addr> {
+/// Requests the first `n` objects and returns the cache that served each of them.
+fn serving_caches(b: &mut Bench, n: u64) -> Vec<Addr> {
     (0..n)
         .map(|o| {
             b.now += 100 * MS;
@@ -37,7 +38,7 @@
     let mut list = fleet();
     (list[0].weight, list[1].weight, list[2].weight) = (2.0, 3.0, 5.0);
     let mut count: BTreeMap<Addr, f64> = BTreeMap::new();
-    for a in homes(&mut Bench::new(settings(), list), 20_000) {
+    for a in serving_caches(&mut Bench::new(settings(), list), 20_000) {
         *count.entry(a).or_default() += 1.0 / 20_000.0;
     }
     for (n, want) in [(1, 0.2), (2, 0.3), (3, 0.5)] {
@@ -48,9 +49,9 @@
 
 #[test]
 fn a_lost_member_moves_only_its_own_objects() {
-    let before = homes(&mut Bench::new(settings(), fleet()), 3000);
+    let before = serving_caches(&mut Bench::new(settings(), fleet()), 3000);
     let left = fleet().into_iter().filter(|e| e.addr != addr(2)).collect();
-    let after = homes(&mut Bench::new(settings(), left), 3000);
+    let after = serving_caches(&mut Bench::new(settings(), left), 3000);
     for (b, a) in before.iter().zip(&after) {
         assert!(b == a || *b == addr(2), "an object left a member that stayed");
     }
@@ -61,13 +62,13 @@
 fn live_weights_do_not_reshuffle_objects() {
     let live = Settings { weight_source: WeightSource::Live, ..settings() };
     let mut list = fleet();
-    let before = homes(&mut Bench::new(live.clone(), list.clone()), 500);
+    let before = serving_caches(&mut Bench::new(live.clone(), list.clone()), 500);
     list[0].weight = 0.3;
-    assert_eq!(before, homes(&mut Bench::new(live, list), 500));
+    assert_eq!(before, serving_caches(&mut Bench::new(live, list), 500));
 }
 
 #[test]
-fn an_objects_fills_meet_at_one_parent_from_every_location() {
+fn an_object_is_filled_from_the_same_parent_in_every_location() {
     let far = Settings { zone: 7, routers_by_zone: vec![0, 0, 0, 1, 0, 0, 0, 2], ..settings() };
     let moved =
         fleet().into_iter().map(|e| if e.zone == HOME { Entry { zone: 7, ..e } } else { e }).collect();
@@ -85,13 +86,13 @@
 #[test]
 fn a_skipped_member_leaves_the_order_of_the_others_unchanged() {
     let mut b = Bench::new(settings(), fleet());
-    let before = homes(&mut b, 400);
+    let before = serving_caches(&mut b, 400);
     let o = (0..400).find(|&o| before[o] == addr(1)).expect("some object lives there");
     let (_, out) = b.ask(1, o as u64);
     b.end(gets(&out)[0], 0, Outcome::ConnectFailed, Note::None);
-    for (o, home) in before.iter().enumerate() {
+    for (o, usual) in before.iter().enumerate() {
         let got = b.served(1, o as u64).expect("served").member;
-        assert!(if *home == addr(1) { got != addr(1) } else { got == *home });
+        assert!(if *usual == addr(1) { got != addr(1) } else { got == *usual });
     }
     b.now += 6 * S;
     let trial = b.ask(1, o as u64).1;
--- a/tests/two_hubs.rs
+++ b/tests/two_hubs.rs
@@ -1,16 +1,18 @@
-//! A site of two hubs and branches of unequal size in virtual time: load only by probes, answers that tell only hits, a
-//! cache that falls silent while it is listed, a drain, orders whose key is dropped for six seconds.
+//! A site of two parents and two locations of unequal size in virtual time. Load is reported only to probes,
+//! answers report only hits, one cache hangs while it is listed, another one drains, and repeats of writes
+//! are dropped for six seconds.
 mod common;
 use common::*;
 use nickelgate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const BRANCHES: [(u16, u8); 2] = [(2, 2), (3, 5)];
-const SILENT: u8 = 31;
+/// The locations: zone and number of caches.
+const LOCATIONS: [(u16, u8); 2] = [(2, 2), (3, 5)];
+const HANGING: u8 = 31;
 const DRAINED: u8 = 32;
-/// Silent from 10 to 30 s, drained at 40 s, of 50 s.
-const QUIET: std::ops::Range<Micros> = T0 + 10 * S..T0 + 30 * S;
-const DRAIN: Micros = T0 + 40 * S;
+/// One cache hangs from 10 to 30 s, the other one drains at 40 s, of 50 s.
+const HANG_SPAN: std::ops::Range<Micros> = T0 + 10 * S..T0 + 30 * S;
+const DRAIN_AT: Micros = T0 + 40 * S;
 
 enum What {
     Ask(Request),
@@ -24,7 +26,7 @@
     s.classes[2].dedup_window = 6 * S;
     let weights = WeightSource::Rough;
     let routers_by_zone = vec![0, 0, 1, 2];
-    let told = Settings {
+    let reporting = Settings {
         all_notes_reported: false,
         fill_joining: false,
         parallel_attempts: false,
@@ -37,14 +39,14 @@
         weight_source: weights,
         probes: true,
         siblings: Siblings::Location,
-        ..told
+        ..reporting
     }
 }
 
 fn listed() -> Vec<Entry> {
     let branch = |(zone, n): (u16, u8)| (1..=n).map(move |i| Entry { zone, ..cache(zone as u8 * 10 + i) });
-    let hubs = [Entry { zone: 0, ..parent(100) }, Entry { zone: 1, ..parent(101) }];
-    BRANCHES.into_iter().flat_map(branch).chain(hubs).chain([origin()]).collect()
+    let parents = [Entry { zone: 0, ..parent(100) }, Entry { zone: 1, ..parent(101) }];
+    LOCATIONS.into_iter().flat_map(branch).chain(parents).chain([origin()]).collect()
 }
 
 #[derive(Default)]
@@ -52,10 +54,10 @@
     asked: usize,
     served: usize,
     finals: BTreeMap<u64, usize>,
-    to_silent: Vec<Micros>,
+    to_hanging: Vec<Micros>,
 }
 
-/// One router's 50 s at 40 requests a second; panics where a rule breaks.
+/// Simulates one router for 50 s at 40 requests a second; panics where a rule is broken.
 fn play(zone: u16, seed: u64) -> Record {
     let mut r = Router::new(site(zone), seed);
     let (mut rec, mut agenda, mut no) = (Record::default(), BTreeMap::new(), 0u64);
@@ -71,10 +73,11 @@
             Request { id: i + 1, class, object, part, expires_at: due, size_kb: 250.0, ..Request::default() };
         put(&mut agenda, at, What::Ask(Request { write: class == 2, ..req }));
     }
-    put(&mut agenda, DRAIN, What::Drain);
+    put(&mut agenda, DRAIN_AT, What::Drain);
     let mut out = Vec::new();
     r.handle(T0, Event::Members { form: ListForm::Full, entries: listed() }, &mut out);
-    // Of each request its class, attempts, the one that is out, and when one that may have run was first sent.
+    // For each request: class, number of attempts, the attempt in flight, and when the first one that may
+    // have run was sent.
     let mut open: BTreeMap<u64, (u8, u16, Option<u16>, Option<Micros>)> = BTreeMap::new();
     let mut over: BTreeSet<(u64, u16)> = BTreeSet::new();
     while let Some(((now, _), what)) = agenda.pop_first() {
@@ -152,11 +155,11 @@
                     assert!(job.1 < 6, "a seventh attempt of {}", g.request);
                     let late = job.3.is_some_and(|first| now >= first + 6 * S);
                     assert!(job.0 != 2 || !late, "an order sent again past its window");
-                    let gone = now > DRAIN && (g.member == addr(DRAINED) || g.source == addr(DRAINED));
+                    let gone = now > DRAIN_AT && (g.member == addr(DRAINED) || g.source == addr(DRAINED));
                     assert!(!gone, "sent to one that drains");
-                    let silent = addr(SILENT);
-                    let hangs = QUIET.contains(&now) && (g.member == silent || g.source == silent);
-                    rec.to_silent.extend(hangs.then_some(now));
+                    let silent = addr(HANGING);
+                    let hangs = HANG_SPAN.contains(&now) && (g.member == silent || g.source == silent);
+                    rec.to_hanging.extend(hangs.then_some(now));
                     let note =
                         if g.request % 4 == 0 && g.source != g.member { Note::Filled } else { Note::Hit };
                     if !hangs {
@@ -173,7 +176,7 @@
 }
 
 #[test]
-fn two_hubs_and_unequal_branches_are_served_and_every_rule_holds() {
+fn two_parents_and_unequal_locations_are_served_and_every_rule_holds() {
     for (zone, seed) in [(2, 1), (3, 2), (3, 3)] {
         let rec = play(zone, seed);
         let twice = rec.finals.values().filter(|n| **n != 1).count();
@@ -184,9 +187,10 @@
             rec.served,
             rec.asked
         );
-        // Found from time-outs, as the roster says nothing: one trial in five seconds after that.
-        let known = rec.to_silent.iter().filter(|t| **t > QUIET.start + 5 * S).count();
+        // The cache is found to hang by timeouts, because the member list says nothing; after that it gets
+        // one trial in five seconds.
+        let known = rec.to_hanging.iter().filter(|t| **t > HANG_SPAN.start + 5 * S).count();
         assert!(known <= 8, "{known} sent to the silent one once it could be known");
-        assert_eq!(rec.to_silent.is_empty(), zone == 2, "the silent one is of the larger branch");
+        assert_eq!(rec.to_hanging.is_empty(), zone == 2, "the hanging cache is in the larger location");
     }
 }
