--- a/src/rules.rs
+++ b/src/rules.rs
@@ -18,9 +18,9 @@
 const CLASS_GAIN: f64 = 1.0 / 32.0;
 /// Least weight of a new sample in a member's moving averages, so that slow members show soon.
 const MEMBER_GAIN: f64 = 1.0 / 10.0;
-/// Share of the budget that the rule for cold members allows which is used.
+/// Share of the budget of the rule for cold members that is used, as a safety margin.
 const COLD_BUDGET_SHARE: f64 = 0.7;
-/// Further share of that budget which is used where no weights tell the members' sizes.
+/// Share of what is left of that budget that is used where weights do not give the members' sizes.
 const UNWEIGHTED_BUDGET_SHARE: f64 = 0.5;
 /// Share of the budget of one overload window that may be spent at once: limits bursts.
 const COLD_BURST_SHARE: f64 = 0.25;
@@ -28,12 +28,12 @@
 const RATE_MEMORY_MICROS: f64 = 15_000_000.0;
 /// Transfers that a cache of unreported size is assumed to carry at full speed until its waits say otherwise.
 const DEFAULT_TRANSFERS: f64 = 12.0;
-/// Initial limit of own attempts in flight at a cache, as a multiple of this router's share of the transfers
-/// that the cache carries at full speed.
+/// Initial limit of this router's attempts in flight at a cache, as a multiple of this router's share of the
+/// transfers that the cache carries at full speed.
 const INITIAL_LIMIT_MULTIPLE: f64 = 1.5;
-/// Factor by which the limit of a crowded member is cut (the origin's by its wait ratio, down to half of
-/// this). A limit rises by one, where it is below one by its own amount or threefold that while there is
-/// spare capacity, or by one of the growth shares below where that is more. It moves at most once in the
+/// Factor by which the limit of a crowded member is cut (the origin's is cut by its wait ratio, down to half
+/// of this factor). A limit rises by one; below one it at most doubles, or quadruples while there is spare
+/// capacity. Where one of the growth shares below adds more, it rises by that. It moves at most once in the
 /// interval of its tuning.
 const LIMIT_CUT_FACTOR: f64 = 0.8;
 /// Below this reported usage, also of its link, a cache does not count as crowded whatever its waits are, and
@@ -67,8 +67,8 @@
 const ORIGIN_TUNING: LimitTuning = LimitTuning { deepest_cut: LIMIT_CUT_FACTOR / 2.0, ..FILL_TUNING };
 /// Fills in flight that all routers together always allow a source, however slow it is.
 const MIN_SHARED_FILLS: f64 = 6.0;
-/// Bound of the factor on a limit by a request's value: what is worth more for its work than the class of
-/// least value may exceed the limit by up to this.
+/// Highest factor on a limit for a request's value: a request that is worth more for its work than the class
+/// of least value may exceed the limit by up to this factor.
 const MAX_LIMIT_FACTOR: f64 = 1.5;
 /// Weight of a new sample in a class's mean sending time: low, because sizes vary widely.
 const SENDING_TIME_GAIN: f64 = 1.0 / 256.0;
@@ -91,9 +91,10 @@
 const STRIKES_TO_SKIP_SUSPECTED: u32 = 1;
 /// Divisor of the timeout of attempts at a member that other routers suspect.
 const SUSPECTED_TIMEOUT_DIVISOR: Micros = 2;
-/// Weight of a new error in a member's error share: four in a row pass [`MAX_ERROR_SHARE`].
+/// Weight of a new error in a member's error share: four in a row pass [`MAX_ERROR_SHARE`]. A success takes
+/// the same part of the share away.
 const ERROR_GAIN: f64 = 1.0 / 8.0;
-/// Part of a member's error share that a successful trial takes away.
+/// Part of the error share that a success takes away while the member is skipped, that is by a trial.
 const TRIAL_ERROR_DECAY: f64 = 0.5;
 /// A parent whose error share exceeds this is skipped.
 const MAX_ERROR_SHARE: f64 = 0.4;
@@ -197,8 +198,8 @@
     last_strike_at: Micros,
     /// The suspicion of other routers counts until then.
     suspected_until: Micros,
-    /// The next four are only reported: the last own failure and how it failed, the last good answer, and
-    /// skips that the suspicion of others brought forward.
+    /// The next four are reported by `member_health`: the last own failure and how it failed, the last good
+    /// answer, and skips that the suspicion of others brought forward.
     last_failed_at: Micros,
     last_failure: Option<Outcome>,
     last_good_at: Micros,
@@ -208,7 +209,7 @@
     /// Token bucket of a cold member's budget, in microseconds of work, and when it was last refilled.
     cold_tokens: f64,
     cold_tokens_at: Micros,
-    /// Lots drawn so far for work larger than the burst.
+    /// Counter that makes each lot for work larger than the burst a new one; it grows with every spending.
     lots_drawn: u32,
     flow: Flow,
 }
@@ -233,7 +234,7 @@
 #[derive(Clone, Debug)]
 struct Job {
     req: Request,
-    /// No final answer yet.
+    /// No final answer has been given or begun.
     open: bool,
     attempts: Vec<Attempt>,
     /// Members and sources that failed it and are left out of its next attempts.
@@ -661,7 +662,7 @@
         m.flow.adjust_limit(now, tuning, min_limit, others_in_flight, false);
     }
 
-    /// Records a member's success (`None`) or a failure that is certainly its own. A failure skips the
+    /// Records a member's success (`None`) or a failure that is taken for its own. A failure skips the
     /// member, a success ends the skip once its error share is low enough. Either clears its strikes.
     fn record_result(&mut self, now: Micros, a: Addr, failure: Option<Outcome>) {
         let Some(m) = self.members.get_mut(&a) else { return };
