--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -1,64 +1,66 @@
-//! What this instance's own traffic showed of the members: the only source of what it says of them. It owns the count
-//! of own failures and the short memory of own good answers. It must never take in hearsay: a skip that a rumour
-//! helped is told with the own failures behind it, no more.
+//! Collects what this proxy's own traffic shows about the members. This is the only source of the claims
+//! that this instance sends: it counts own failures and keeps a short history of own successful answers.
+//!
+//! Hearsay never enters. A skip that other peers' claims helped to cause is reported only with the strength
+//! of the own failures behind it.
 use crate::wire::{self, Claim, Kind, MAX_CLAIMS, TIME_UNIT};
 use nickelgate::{Addr, MemberHealth, Micros, Outcome, Role};
 use std::collections::BTreeMap;
 
-/// After this a failure says nothing any more; a skip lasts as long.
+/// A failure no longer counts after this time; a skip lasts as long.
 pub const EVIDENCE_LIFETIME: Micros = 5_000_000;
-/// Own good answers are remembered in steps of so long, 32 of them.
-const STEP: Micros = 250_000;
+/// Successful answers are remembered in 32 steps of this length.
+const ANSWER_STEP: Micros = 250_000;
 
-/// What own traffic showed of a member.
+/// What this proxy's own traffic has shown about a member.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Its last start, as listed.
+pub struct Observation {
+    /// Start time of its current incarnation, as listed.
     pub incarnation: u64,
-    /// What it is to the own router.
+    /// Its role for this proxy's router.
     pub role: Role,
-    /// When it last failed; 0: never.
-    pub failed: Micros,
-    /// When it last answered well; 0: never.
-    pub good: Micros,
-    /// Own failures in a row: 0 to 2, or 3 for three and more or a skip that they made.
+    /// When it last failed; 0 if never.
+    pub last_failed_at: Micros,
+    /// When it last answered successfully; 0 if never.
+    pub last_good_at: Micros,
+    /// Consecutive own failures: 0 to 2, or 3 for three and more or for a skip caused by own failures alone.
     pub strength: u8,
     kind: Kind,
     skipped: bool,
-    helped: u32,
-    goods: u32,
-    step: Micros,
+    suspicion_skips: u32,
+    answer_mask: u32,
+    answer_step: Micros,
 }
 
-impl Seen {
-    fn new(s: &MemberHealth) -> Seen {
-        Seen {
+impl Observation {
+    fn new(s: &MemberHealth) -> Observation {
+        Observation {
             incarnation: s.incarnation,
             role: s.role,
-            failed: 0,
-            good: 0,
+            last_failed_at: 0,
+            last_good_at: 0,
             strength: 0,
             kind: Kind::Silent,
             skipped: false,
-            helped: s.suspicion_skips,
-            goods: 0,
-            step: 0,
+            suspicion_skips: s.suspicion_skips,
+            answer_mask: 0,
+            answer_step: 0,
         }
     }
-    fn take(&mut self, s: &MemberHealth) {
+    fn update_from(&mut self, s: &MemberHealth) {
         self.role = s.role;
-        if s.last_good_at > self.good {
-            let step = s.last_good_at / STEP;
-            self.goods = u32::try_from(step.saturating_sub(self.step))
-                .map_or(0, |n| self.goods.checked_shl(n).unwrap_or(0))
+        if s.last_good_at > self.last_good_at {
+            let step = s.last_good_at / ANSWER_STEP;
+            self.answer_mask = u32::try_from(step.saturating_sub(self.answer_step))
+                .map_or(0, |n| self.answer_mask.checked_shl(n).unwrap_or(0))
                 | 1;
-            (self.step, self.good) = (step, s.last_good_at);
+            (self.answer_step, self.last_good_at) = (step, s.last_good_at);
         }
-        if s.last_failed_at > self.failed {
-            // Failures count as a row until an own good answer comes between.
-            let row = if self.good >= self.failed { 0 } else { self.strength };
-            self.strength = (row + 1).min(3);
-            self.failed = s.last_failed_at;
+        if s.last_failed_at > self.last_failed_at {
+            // A successful answer in between ends a series of consecutive failures.
+            let previous = if self.last_good_at >= self.last_failed_at { 0 } else { self.strength };
+            self.strength = (previous + 1).min(3);
+            self.last_failed_at = s.last_failed_at;
             self.kind = match s.last_failure {
                 Some(Outcome::Reset) => Kind::Broken,
                 Some(Outcome::ConnectFailed) => Kind::Unreachable,
@@ -66,32 +68,36 @@
                 Some(_) => Kind::Refusing,
             };
         }
-        if s.skipped && !self.skipped && s.suspicion_skips == self.helped {
+        if s.skipped && !self.skipped && s.suspicion_skips == self.suspicion_skips {
             self.strength = 3;
         }
-        (self.skipped, self.helped) = (s.skipped, s.suspicion_skips);
+        (self.skipped, self.suspicion_skips) = (s.skipped, s.suspicion_skips);
     }
-    /// Whether it answered well at some time after `from` and not after `to`, as far as that is remembered.
-    pub fn good_between(&self, from: Micros, to: Micros) -> bool {
-        let mut goods = self.goods;
-        let mut step = self.step;
-        while goods != 0 {
-            // A step stands for its end, the last one for the answer itself, so that none counts as too late.
-            let at = if step == self.step { self.good } else { step * STEP };
-            if goods & 1 == 1 && at > from && at <= to {
+    /// Returns whether the member answered successfully after `from` and not after `to`, as far as the
+    /// history goes back.
+    pub fn answered_between(&self, from: Micros, to: Micros) -> bool {
+        let mut answer_mask = self.answer_mask;
+        let mut step = self.answer_step;
+        while answer_mask != 0 {
+            // A step is dated by its start, and the newest one by the answer itself, so that no answer is
+            // dated too late.
+            let at = if step == self.answer_step { self.last_good_at } else { step * ANSWER_STEP };
+            if answer_mask & 1 == 1 && at > from && at <= to {
                 return true;
             }
-            (goods, step) = (goods >> 1, step.saturating_sub(1));
+            (answer_mask, step) = (answer_mask >> 1, step.saturating_sub(1));
         }
         false
     }
-    /// Own failures stand and no good answer came since.
-    pub fn suspect(&self, now: Micros) -> bool {
-        self.strength > 0 && self.failed > self.good && now < self.failed + EVIDENCE_LIFETIME
+    /// Returns whether own failures stand that no successful answer has followed.
+    pub fn is_suspect(&self, now: Micros) -> bool {
+        self.strength > 0
+            && self.last_failed_at > self.last_good_at
+            && now < self.last_failed_at + EVIDENCE_LIFETIME
     }
 }
 
-/// What own traffic showed of all members, and what is to be told of them.
+/// What this proxy's own traffic has shown about all members, and the claims that follow from it.
 ///
 /// ```
 /// use nickelgate::{Addr, Outcome, Role, MemberHealth};
@@ -109,7 +115,7 @@
 ///     suspicion_skips: 0,
 /// };
 /// let mut own = Evidence::default();
-/// assert!(own.update(2_000_000, &[s]), "there is something to tell");
+/// assert!(own.update(2_000_000, &[s]), "the claims have changed");
 /// let claims = own.claims(2_300_000);
 /// assert_eq!((claims[0].kind, claims[0].strength, claims[0].age), (Kind::Unreachable, 1, 30));
 /// assert!(own.update(2_400_000, &[MemberHealth { last_good_at: 2_400_000, ..s }]));
@@ -117,50 +123,55 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Every member that is listed.
-    pub members: BTreeMap<Addr, Seen>,
-    told: Vec<(Addr, u8)>,
+    /// Every listed member.
+    pub members: BTreeMap<Addr, Observation>,
+    last_claimed: Vec<(Addr, u8)>,
 }
 
 impl Evidence {
-    /// Takes in the present standings, all of them; true where what is to be told has changed.
-    pub fn update(&mut self, now: Micros, standings: &[MemberHealth]) -> bool {
-        self.members
-            .retain(|a, seen| standings.iter().any(|s| s.member == *a && s.incarnation == seen.incarnation));
-        for s in standings {
-            self.members.entry(s.member).or_insert_with(|| Seen::new(s)).take(s);
+    /// Updates all members from their current health and drops those that are not in the list or have
+    /// restarted. Returns whether the set of claims has changed.
+    pub fn update(&mut self, now: Micros, health: &[MemberHealth]) -> bool {
+        self.members.retain(|a, observed| {
+            health.iter().any(|s| s.member == *a && s.incarnation == observed.incarnation)
+        });
+        for s in health {
+            self.members.entry(s.member).or_insert_with(|| Observation::new(s)).update_from(s);
         }
-        let tell: Vec<(Addr, u8)> =
-            self.members.iter().filter(|(_, s)| s.suspect(now)).map(|(a, s)| (*a, s.strength)).collect();
-        let changed = tell != self.told;
-        self.told = tell;
+        let claimable: Vec<(Addr, u8)> =
+            self.members.iter().filter(|(_, s)| s.is_suspect(now)).map(|(a, s)| (*a, s.strength)).collect();
+        let changed = claimable != self.last_claimed;
+        self.last_claimed = claimable;
         changed
     }
 
-    /// An own probe ended: a good one is an own good answer, a failed one an own failure.
-    pub fn probed(&mut self, now: Micros, member: Addr, good: bool) {
-        let Some(seen) = self.members.get_mut(&member) else { return };
-        if good {
-            // It tells that the connection works and no more: what was silent or refusing stays so.
-            if matches!(seen.kind, Kind::Unreachable | Kind::Broken) {
-                seen.good = now;
+    /// Records the end of an own probe: a failure counts as an own failure, a success as a successful answer
+    /// if the member was unreachable or its connections broke.
+    pub fn record_probe(&mut self, now: Micros, member: Addr, answered: bool) {
+        let Some(observed) = self.members.get_mut(&member) else { return };
+        if answered {
+            // A probe only shows that a connection can be made, so it does not clear a member that is silent
+            // or refusing.
+            if matches!(observed.kind, Kind::Unreachable | Kind::Broken) {
+                observed.last_good_at = now;
             }
         } else {
-            seen.strength = (seen.strength + 1).min(3);
-            (seen.failed, seen.kind) = (now, Kind::Unreachable);
+            observed.strength = (observed.strength + 1).min(3);
+            (observed.last_failed_at, observed.kind) = (now, Kind::Unreachable);
         }
     }
 
-    /// What is to be told now, the strongest and newest first, with ages.
+    /// Returns the current claims with their ages, the strongest and then the newest first.
     pub fn claims(&self, now: Micros) -> Vec<Claim> {
-        let mut all: Vec<(&Addr, &Seen)> = self.members.iter().filter(|(_, s)| s.suspect(now)).collect();
-        all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.failed)), **a));
-        let claim = |(a, s): (&Addr, &Seen)| Claim {
+        let mut all: Vec<(&Addr, &Observation)> =
+            self.members.iter().filter(|(_, s)| s.is_suspect(now)).collect();
+        all.sort_by_key(|(a, s)| (std::cmp::Reverse((s.strength, s.last_failed_at)), **a));
+        let claim = |(a, s): (&Addr, &Observation)| Claim {
             member: *a,
             short_incarnation: wire::short_incarnation(s.incarnation),
             kind: s.kind,
             strength: s.strength,
-            age: u16::try_from(now.saturating_sub(s.failed) / TIME_UNIT).unwrap_or(u16::MAX),
+            age: u16::try_from(now.saturating_sub(s.last_failed_at) / TIME_UNIT).unwrap_or(u16::MAX),
         };
         all.into_iter().take(MAX_CLAIMS).map(claim).collect()
     }
@@ -170,7 +181,7 @@
 mod tests {
     use super::*;
 
-    fn standing(failed: Micros, good: Micros, skipped: bool, helped: u32) -> MemberHealth {
+    fn member_health(failed: Micros, good: Micros, skipped: bool, helped: u32) -> MemberHealth {
         let member = Addr { ip: [9; 4], port: 9 };
         let why = Some(Outcome::Reset);
         MemberHealth {
@@ -187,39 +198,39 @@
     }
 
     #[test]
-    fn only_own_failures_are_told_and_they_end() {
+    fn only_own_failures_become_claims_and_they_expire() {
         let mut e = Evidence::default();
         let s = 1_000_000;
-        assert!(!e.update(10 * s, &[standing(0, 9 * s, false, 0)]));
-        assert!(e.update(11 * s, &[standing(11 * s, 9 * s, true, 1)]));
+        assert!(!e.update(10 * s, &[member_health(0, 9 * s, false, 0)]));
+        assert!(e.update(11 * s, &[member_health(11 * s, 9 * s, true, 1)]));
         let c = e.claims(11 * s + 50_000);
         assert_eq!(
             (c.len(), c[0].strength, c[0].age, c[0].kind),
             (1, 1, 5, Kind::Broken),
-            "helped by a rumour"
+            "a skip that hearsay helped to cause"
         );
-        assert!(e.update(12 * s, &[standing(12 * s, 9 * s, true, 1)]));
+        assert!(e.update(12 * s, &[member_health(12 * s, 9 * s, true, 1)]));
         assert_eq!(e.claims(12 * s)[0].strength, 2);
-        assert!(e.update(13 * s, &[standing(12 * s, 13 * s, false, 1)]), "it answered");
+        assert!(e.update(13 * s, &[member_health(12 * s, 13 * s, false, 1)]), "it answered");
         assert!(e.claims(13 * s).is_empty());
-        assert!(e.update(14 * s, &[standing(14 * s, 13 * s, true, 1)]));
-        assert_eq!(e.claims(14 * s)[0].strength, 3, "a skip of its own");
-        assert!(e.update(20 * s, &[standing(14 * s, 13 * s, true, 1)]), "too old");
-        e.update(21 * s, &[standing(21 * s, 13 * s, true, 1)]);
-        e.update(22 * s, &[MemberHealth { incarnation: 5, ..standing(0, 0, false, 0) }]);
-        assert!(e.claims(22 * s).is_empty(), "a later life of the member");
+        assert!(e.update(14 * s, &[member_health(14 * s, 13 * s, true, 1)]));
+        assert_eq!(e.claims(14 * s)[0].strength, 3, "a skip caused by own failures");
+        assert!(e.update(20 * s, &[member_health(14 * s, 13 * s, true, 1)]), "too old");
+        e.update(21 * s, &[member_health(21 * s, 13 * s, true, 1)]);
+        e.update(22 * s, &[MemberHealth { incarnation: 5, ..member_health(0, 0, false, 0) }]);
+        assert!(e.claims(22 * s).is_empty(), "a later incarnation of the member");
     }
 
     #[test]
-    fn good_answers_are_remembered_in_steps() {
+    fn successful_answers_are_remembered_in_steps() {
         let mut e = Evidence::default();
         let s = 1_000_000;
         for t in [10 * s, 10 * s + 700_000, 14 * s] {
-            e.update(t, &[standing(0, t, false, 0)]);
+            e.update(t, &[member_health(0, t, false, 0)]);
         }
-        let seen = e.members.values().next().unwrap();
-        assert!(seen.good_between(13 * s, 15 * s) && seen.good_between(10 * s, 11 * s));
-        assert!(!seen.good_between(11 * s, 13 * s) && !seen.good_between(14 * s, 15 * s));
-        assert!(!seen.good_between(0, 5 * s));
+        let observed = e.members.values().next().unwrap();
+        assert!(observed.answered_between(13 * s, 15 * s) && observed.answered_between(10 * s, 11 * s));
+        assert!(!observed.answered_between(11 * s, 13 * s) && !observed.answered_between(14 * s, 15 * s));
+        assert!(!observed.answered_between(0, 5 * s));
     }
 }
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -107,7 +107,7 @@
 
                 let id = self.node.pool.id(d.member).unwrap_or_default();
                 if d.suspected {
-                    self.node.count(Counter::GossipDoubts);
+                    self.node.count(Counter::GossipSuspicions);
                     net::log(&format!("gossip: {id} is held suspect, {} witnesses", d.witnesses));
                     self.probe(d.member);
                 } else {
@@ -132,7 +132,7 @@
             // A probe that confirms a suspicion counts any other answer as none.
             let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
             talk.node.plan(|p, now| p.probe_ended(now, member, outcome, report));
-            talk.call(|g, now, out| g.probed(now, member, good, out));
+            talk.call(|g, now, out| g.record_probe(now, member, good, out));
         });
     }
 
@@ -155,7 +155,7 @@
     fn look(self: &Rc<Self>) {
         let (standings, served, open) = self.node.plan(|p, _| {
             let served = p.counters.get(Counter::Served) + p.counters.get(Counter::Unchanged);
-            (p.standings(), served, p.open_requests())
+            (p.member_health(), served, p.open_requests())
         });
         let new = served - self.served.replace(served);
         let busy = open * 2 > self.node.config.names.max_open;
@@ -177,7 +177,7 @@
             c.set(Counter::GossipConflicts, t.conflicts);
             // Members that have left the list take their count with them; the counter never falls.
             let helped = standings.iter().map(|s| u64::from(s.suspicion_skips)).sum::<u64>();
-            c.set(Counter::GossipHelped, helped.max(c.get(Counter::GossipHelped)));
+            c.set(Counter::GossipSuspicionSkips, helped.max(c.get(Counter::GossipSuspicionSkips)));
             DROPPED.iter().zip(t.dropped).for_each(|(counter, n)| c.set(*counter, n));
         });
     }
--- a/zones/src/instance.rs
+++ b/zones/src/instance.rs
@@ -1,4 +1,5 @@
-//! One proxy's instance: the interface that the proxy calls, and the dispatch of messages to the parts of the instance.
+//! One proxy's instance: the interface that the proxy calls, and the dispatch of messages to the parts of the
+//! instance.
 use crate::adoption::UnconfirmedMap;
 use crate::decider::Decider;
 use crate::map::{Epoch, Map};
@@ -46,7 +47,6 @@
     pub(crate) decider: Decider,
     pub(crate) observed: Vec<ZoneObservation>,
     pub(crate) report_seq: u32,
-
     pub(crate) next_report: Micros,
     started: Micros,
     pub(crate) now: Micros,
@@ -62,13 +62,9 @@
     /// Returns one line that says what is wrong with the settings.
     ///
     /// ```
-
     /// use threadward_zones::{Author, Kind, Settings, ZoneUse, Zone, Zones};
-
     /// let parent =
-
     ///     |other| Zone { kind: Kind::Parent, region: other, warm_up: 20_000_000, fallbacks: vec![other] };
-
     /// let s = Settings {
     ///     me: Author { index: 0, incarnation: 7 },
     ///     proxies: 3,
@@ -78,11 +74,8 @@
     ///     zones: vec![parent(1), parent(0)],
     /// };
     /// let z = Zones::new(0, s.clone()).unwrap();
-
     /// assert_eq!(z.usage(1), ZoneUse::Normal, "every zone is in service until a majority says otherwise");
-
-    /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "the number of voters must be odd");
-
+    /// assert!(Zones::new(0, Settings { voters: vec![0, 1], ..s }).is_err(), "two voters, an even number");
     /// ```
     pub fn new(now: Micros, settings: Settings) -> Result<Zones, String> {
         check(&settings)?;
@@ -93,7 +86,6 @@
             promised_epoch: Epoch::default(),
             no_map_since_start: true,
         });
-
         Ok(Zones {
             decider: Decider::new(settings.zones.len()),
             election: ElectionView {
@@ -119,7 +111,8 @@
         &self.map
     }
 
-    /// Returns whether a map was learned or waited for long enough. Until then, a proxy that starts takes no requests.
+    /// Returns whether a map was learned or waited for long enough. Until then, a proxy that starts takes no
+    /// requests.
     pub fn ready(&self, now: Micros) -> bool {
         self.map.epoch.number > 0 || now >= self.started + STARTUP_WAIT
     }
@@ -127,7 +120,6 @@
     /// Returns how this proxy may use a zone now.
     pub fn usage(&self, zone: u16) -> ZoneUse {
         let Some(s) = self.map.zones.get(usize::from(zone)) else { return ZoneUse::Normal };
-
         match s.state {
             State::In => ZoneUse::Normal,
             State::Suspect => ZoneUse::Suspected,
@@ -146,8 +138,8 @@
         }
     }
 
-    /// Returns the part of this proxy's requests, in thousandths, that it refuses at once because they fit nowhere while its
-    /// own zone is out.
+    /// Returns the part of this proxy's requests, in thousandths, that it refuses at once because they fit
+    /// nowhere while its own zone is out.
     pub fn refused_permille(&self) -> u16 {
         let own = self.map.zones.get(usize::from(self.settings.own_zone));
         own.map_or(0, |s| match s.state {
@@ -163,9 +155,8 @@
         std::mem::take(&mut self.moves)
     }
 
-    /// Stores what this proxy's own attempts showed of each zone in the last two seconds. If a zone begins to fail, or stops
-
-    /// failing, the next report is due at once.
+    /// Stores what this proxy's own attempts showed of each zone in the last two seconds. If a zone begins to
+    /// fail, or stops failing, the next report is due at once.
     pub fn observe(&mut self, now: Micros, observed: Vec<ZoneObservation>) {
         self.now = self.now.max(now);
         let fails = |all: &[ZoneObservation], z: u16| all.iter().any(|s| s.zone == z && s.is_failing());
@@ -188,35 +179,31 @@
         self.next_report.min(query).min(self.decider.next_due())
     }
 
-    /// Does what is due by now, given the current state of the election, and appends the messages to send to `out`. The
-    /// receiving proxies pass them to [`Zones::receive`]. An example with a single voter, which decides alone:
+    /// Does what is due by now, given the current state of the election, and appends the messages to send to
+    /// `out`. The receiving proxies pass them to [`Zones::receive`]. An example with a single voter, which
+    /// decides alone:
     ///
     /// ```
-
     /// use threadward_zones::{
-
     ///     Author, ElectionView, Kind, ZoneObservation, Settings, ZoneUse, Zone, Zones, RESEND_INTERVAL,
-
     /// };
-
     /// let zone = |region, other| Zone { kind: Kind::Parent, region, warm_up: 0, fallbacks: vec![other] };
-
     /// let zones = vec![zone(0, 1), zone(1, 0)];
     /// let me = |index| Author { index, incarnation: 7 + u64::from(index) };
-    /// let new = |place| {
+    /// let new = |index| {
     ///     let (voters, zones) = (vec![0], zones.clone());
-    ///     let own_zone = place % 2;
-    ///     let s = Settings { me: me(place), proxies: 3, voters, own_zone, lease: 1_000_000, zones };
+    ///     let own_zone = index % 2;
+    ///     let s = Settings { me: me(index), proxies: 3, voters, own_zone, lease: 1_000_000, zones };
     ///     Zones::new(0, s).unwrap()
     /// };
     /// let mut all: Vec<Zones> = (0..3).map(new).collect();
     /// assert!(!all[1].ready(0), "it waits for the map");
-    /// let seen = |zone, failed, bad| ZoneObservation {
+    /// let observed = |zone, failed, bad_members| ZoneObservation {
     ///     zone,
     ///     attempts: 9,
     ///     failed,
     ///     members: 2,
-    ///     bad_members: bad,
+    ///     bad_members,
     ///     load: 9,
     ///     mean_use: 60,
     /// };
@@ -225,7 +212,7 @@
     ///     for from in 0..3 {
     ///         let election = |p| ElectionView { is_decider: p == 0, promised_to: Some(me(0)), decider: 0 };
     ///         let mut out = Vec::new();
-    ///         all[from].observe(now, vec![seen(0, 9, 2), seen(1, 0, 0)]);
+    ///         all[from].observe(now, vec![observed(0, 9, 2), observed(1, 0, 0)]);
     ///         all[from].tick(now, election(from), &mut out);
     ///         let mut in_flight: Vec<_> = out.into_iter().map(|(to, bytes)| (from, to, bytes)).collect();
     ///         while let Some((from, to, bytes)) = in_flight.pop() {
@@ -235,13 +222,8 @@
     ///         }
     ///     }
     /// }
-
-    /// let left = |z: &Zones| z.usage(0) == ZoneUse::Unused && z.usage(1) == ZoneUse::Normal;
-
-    /// assert!(all.iter().all(left), "all proxies left it");
-
+    /// assert!(all.iter().all(|z| z.usage(0) == ZoneUse::Unused && z.usage(1) == ZoneUse::Normal), "all proxies left it");
     /// assert!(all[1].ready(0) && all[1].take_moves().iter().all(|m| m.zone == 0));
-
     /// ```
     pub fn tick(&mut self, now: Micros, election: ElectionView, out: &mut Outgoing) {
         self.now = self.now.max(now);
@@ -253,8 +235,8 @@
         }
     }
 
-    /// Handles a message that is known to come from the proxy `from`. A message that claims another sender is counted as
-    /// malformed.
+    /// Handles a message that is known to come from the proxy `from`. A message that claims another sender is
+    /// counted as malformed.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -274,9 +256,8 @@
         }
     }
 
-    /// Stores the state of the election. If the decider changed, the next report is due at once. An instance that is no
-
-    /// longer the decider drops its open proposal.
+    /// Stores the state of the election. If the decider changed, the next report is due at once. An instance
+    /// that is no longer the decider drops its open proposal.
     fn update_election(&mut self, election: ElectionView) {
         let changed =
             election.is_decider != self.election.is_decider || election.decider != self.election.decider;
@@ -341,7 +322,6 @@
                         no_map_since_start,
                         map,
                     );
-
                     self.decide(out);
                 }
             }
@@ -350,9 +330,8 @@
                 if let Some(epoch) = self.accept(by, map) {
                     self.send(by.index, &Body::Accepted { epoch }, out);
                 } else if let Some((promised_epoch, no_map_since_start, map)) = self.prepare(by, 0) {
-                    // The proposer is the elected decider, but an earlier promise rules its proposal out: it has to prepare
-
-                    // again with a larger number.
+                    // The proposer is the elected decider, but an earlier promise rules its proposal out: it
+                    // has to prepare again with a larger number.
                     if promised_epoch.number >= proposed {
                         self.send(by.index, &Body::Promise { promised_epoch, no_map_since_start, map }, out);
                     }
@@ -361,7 +340,6 @@
             Body::Accepted { epoch } => {
                 if let Some(bit) = self.voter_bit(by.index) {
                     self.decider.handle_accepted(epoch, bit);
-
                     self.decide(out);
                 }
             }
--- a/zones/src/judge.rs
+++ b/zones/src/judge.rs
@@ -1,17 +1,18 @@
-//! Derives the health of a zone from the reports of all proxies: whose report counts, and how many have to agree.
+//! Derives the health of a zone from the reports of all proxies: whose report counts, and how many have to
+//! agree.
 //!
-//! Each proxy counts once, and a proxy for which every zone fails does not count as a witness, because it is probably cut
-//! off itself.
+//! Each proxy counts once, and a proxy for which every zone fails does not count as a witness, because it is
+//! probably cut off itself.
 use nickelgate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use threadward_budgets::wire::Author;
 use threadward_core::zoned::ZoneObservation;
 
-/// Age after which a report no longer counts as evidence. Reports arrive every [`crate::DEGRADED_REPORT_INTERVAL`] while
-/// anything is wrong.
+/// Age after which a report no longer counts as evidence. Reports arrive every
+/// [`crate::DEGRADED_REPORT_INTERVAL`] while anything is wrong.
 pub const REPORT_VALIDITY: Micros = 1_500_000;
-/// The number of proxies that have to report on a zone, where nobody was drawn to probe it: one of them may lie and another
-/// may be cut off.
+/// The number of proxies that have to report on a zone, where nobody was drawn to probe it: one of them may
+/// lie and another may be cut off.
 pub const MIN_WITNESSES: usize = 3;
 /// Time without a report after which a proxy counts as gone: three reports in healthy times.
 pub const LIVENESS_TIMEOUT: Micros = 3_000_000;
@@ -26,7 +27,6 @@
     former_incarnations: [u64; REMEMBERED_INCARNATIONS],
     /// Its sequence number within the incarnation.
     pub seq: u32,
-
     /// When it arrived, on the clock of the receiver.
     pub received_at: Micros,
     /// The number of the map that the proxy acts on.
@@ -58,9 +58,11 @@
     Unknown,
     /// Fewer than a third of the proxies that tried it see it fail.
     Healthy(u16, u16),
-    /// At least a third see it fail; or two thirds, but all of them in one zone while others tried it as well.
+    /// At least a third see it fail; or two thirds, but all of them in one zone while others tried it as
+    /// well.
     Degraded(u16, u16),
-    /// At least two thirds see it fail, and they run in more than one zone unless all proxies that tried it run in one.
+    /// At least two thirds see it fail, and they run in more than one zone unless all proxies that tried it
+    /// run in one.
     Failing(u16, u16),
 }
 
@@ -75,8 +77,9 @@
 }
 
 impl Reports {
-    /// Stores a report. Returns false, and stores nothing, if it is not newer than the one that is stored or comes from an
-    /// earlier incarnation. `map` is the number and the hash of the map that the sender acts on.
+    /// Stores a report. Returns false, and stores nothing, if it is not newer than the one that is stored or
+    /// comes from an earlier incarnation. `map` is the number and the hash of the map that the sender acts
+    /// on.
     #[allow(clippy::too_many_arguments)]
     pub fn record(
         &mut self,
@@ -126,63 +129,37 @@
         self.0.iter().filter(move |(_, h)| now < h.received_at + LIVENESS_TIMEOUT).map(|(p, h)| (*p, h))
     }
 
-    /// Returns the health of a zone according to all proxies, or only to the proxies that `by` selects: those that were
-    /// drawn to probe it. Two probers are enough, or one if no more are live.
+    /// Returns the health of a zone according to all proxies, or only to the proxies that `by` selects: those
+    /// that were drawn to probe it. Two probers are enough, or one if no more are live.
     ///
     /// ```
-
     /// use threadward_zones::judge::{Reports, ZoneHealth, REPORT_VALIDITY};
-
     /// use threadward_zones::{Author, ZoneObservation};
-
     /// let mut r = Reports::default();
-
-    /// let seen = |zone, bad| ZoneObservation {
-
+    /// let observation = |zone, bad_members| ZoneObservation {
     ///     zone,
-
     ///     attempts: 8,
-
-    ///     failed: bad * 2,
-
+    ///     failed: bad_members * 2,
     ///     members: 4,
-
-    ///     bad_members: bad,
-
+    ///     bad_members,
     ///     load: 8,
-
     ///     mean_use: 0,
-
     /// };
-
-    /// let mut report =
-
-    ///     |place: u16, observed| r.record(0, Author { index: place, incarnation: 1 }, 1, (0, 0), place % 2, observed);
-
-    /// report(0, vec![seen(0, 4), seen(1, 0)]);
-
-    /// report(1, vec![seen(0, 3), seen(1, 0)]);
-
-    /// report(2, vec![seen(0, 1), seen(1, 0)]);
-
-    /// report(3, vec![seen(0, 4), seen(1, 4)]);
-
+    /// let mut report = |index: u16, observed| {
+    ///     r.record(0, Author { index, incarnation: 1 }, 1, (0, 0), index % 2, observed)
+    /// };
+    /// report(0, vec![observation(0, 4), observation(1, 0)]);
+    /// report(1, vec![observation(0, 3), observation(1, 0)]);
+    /// report(2, vec![observation(0, 1), observation(1, 0)]);
+    /// report(3, vec![observation(0, 4), observation(1, 4)]);
     /// assert_eq!(
-
     ///     r.health(0, 0, None),
-
     ///     ZoneHealth::Failing(2, 3),
-
     ///     "one failing member is no failing zone, and the last proxy is cut off"
-
     /// );
-
     /// assert_eq!(r.health(0, 1, None), ZoneHealth::Healthy(0, 3));
-
-    /// assert_eq!(r.health(0, 0, Some(&|place| place == 2)), ZoneHealth::Healthy(0, 1), "one prober alone");
-
+    /// assert_eq!(r.health(0, 0, Some(&|index| index == 2)), ZoneHealth::Healthy(0, 1), "one prober alone");
     /// assert_eq!(r.health(REPORT_VALIDITY, 0, None), ZoneHealth::Unknown, "the reports are too old");
-
     /// ```
     pub fn health(&self, now: Micros, zone: u16, by: Option<&dyn Fn(u16) -> bool>) -> ZoneHealth {
         let (mut witnesses, mut failing) = (0u16, 0u16);
@@ -213,8 +190,8 @@
         }
     }
 
-    /// Returns the attempts that all live proxies send to a zone in two seconds, and the number that it could carry,
-    /// estimated from the utilization that its members report; `None` if they report none.
+    /// Returns the attempts that all live proxies send to a zone in two seconds, and the number that it could
+    /// carry, estimated from the utilization that its members report; `None` if they report none.
     pub fn load_and_capacity(&self, now: Micros, zone: u16) -> (u32, Option<u32>) {
         let live_reports = self
             .0
