--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -1,6 +1,8 @@
-//! The way to the caches: a RESP client with a pool of connections for each member. It owns those connections,
-//! what is out on each, and how far every attempt came. It must never choose a member, repeat an attempt, or call
-//! the planner while the planner is calling it: every end is reported from a task of a connection.
+//! A RESP client with a pool of connections to each cache. The pool tracks the attempts in flight on every
+//! connection and how far each of them was written.
+//!
+//! The pool neither chooses a member nor retries an attempt. It never calls the planner while the planner is
+//! calling it: the end of an attempt is always reported from a task of its own or of a connection.
 use crate::calls;
 use crate::config::{ListedServer, Names};
 use crate::net::{now, sleep_until, try_read, Signal};
@@ -20,702 +22,817 @@
     Note, Outcome, Payload, Progress, Report,
 };
 
-/// Attempts out on a connection before another one is opened: answers come whole, so a long one holds up what
-/// stands behind it.
-const SPREAD: usize = 4;
-/// Connections to one member before attempts are packed more densely than `SPREAD`; twice as many at most.
-const MOST: usize = 12;
-/// Descriptors that are neither for clients nor for caches: listeners, signals, bulletin, what is just closing.
-const OTHERS: usize = 40;
-/// An answer that has begun and of which nothing more has come for so long has stopped short. The bytes of a slow
-/// one come in small steps, far closer together.
-const STALLED: Micros = 1_000_000;
-/// How often an attempt that reached no cache is handed to another connection of the same one.
-const MOVES: u8 = 2;
-/// A member that refused a further connection is asked for no other for so long, while it has some that work.
-const ENOUGH: Micros = 2_000_000;
-/// An attempt that waited so long with nothing written, or as long as drains and purges leave where that is less, rests
-/// on a view that may be out of date.
-const OUTDATED: Micros = 200_000;
-/// Reads in a row, 64 KiB at most each, of what came on a connection that rested or has ended.
-const CATCH_UP: usize = 16;
-/// Ids that a connection remembers as spent: a late answer must not pass for a newer attempt's.
-const SPENT: usize = 512;
+/// Attempts in flight on a connection before another one is opened. Answers aren't interleaved, so that a
+/// long one delays those behind it.
+const TARGET_ATTEMPTS_PER_CONNECTION: usize = 4;
+/// Connections to one member before a connection is given more than [`TARGET_ATTEMPTS_PER_CONNECTION`]
+/// attempts. A member never has more than twice as many.
+const TARGET_CONNECTIONS_PER_MEMBER: usize = 12;
+/// File descriptors reserved for everything but clients and caches: listeners, signals, discovery, and
+/// sockets that are being closed.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// How long nothing may arrive of an answer that has begun before its connection is closed. The bytes of a
+/// slow answer arrive in small pieces, far closer together.
+const ANSWER_STALL_TIMEOUT: Micros = 1_000_000;
+/// How often an attempt that has not reached its cache may be moved to another connection to that cache.
+const MAX_MOVES: u8 = 2;
+/// How long no further connection is opened to a member that refused one while others to it work.
+const OPEN_PAUSE_AFTER_FAILURE: Micros = 2_000_000;
+/// How long after its decision an attempt of which nothing is written may still be sent although a purge or a
+/// list change was reported since. The grace that the settings give drains and purges applies where it is
+/// shorter.
+const NOTIFICATION_GRACE: Micros = 200_000;
+/// Consecutive reads, of at most 64 KiB each, of what arrived on a connection that was idle or has ended.
+const MAX_CATCH_UP_READS: usize = 16;
+/// Expired ids that a connection remembers, so that a late answer is not mistaken for that of a newer
+/// attempt.
+const MAX_EXPIRED_IDS: usize = 512;
 
 const REFUSED: ErrorKind = ErrorKind::ConnectionRefused;
 const RESET: ErrorKind = ErrorKind::ConnectionReset;
 const TIMED_OUT: ErrorKind = ErrorKind::TimedOut;
 
+/// A listed member and its connections.
 struct Server {
     id: String,
-    sock: SocketAddr,
+    socket_addr: SocketAddr,
     incarnation: u64,
-    /// When it was listed as it is: what was decided before was meant for another one.
-    listed: Micros,
-    conns: RefCell<Vec<Rc<Conn>>>,
-    /// No further connection is opened before this while others work.
-    enough: Cell<Micros>,
+    /// When it was listed with this address and incarnation. An attempt decided earlier was meant for another
+    /// server.
+    listed_at: Micros,
+    connections: RefCell<Vec<Rc<CacheConnection>>>,
+    /// No further connection is opened before this time while an existing one can take the attempt.
+    open_not_before: Cell<Micros>,
 }
 
-/// Who the pool works for: starts its tasks and hears of its ends.
+/// The owner of a pool: runs the pool's tasks and receives its reports.
 pub trait PoolOwner {
+    /// Starts a task; `what` names it in the log.
     fn spawn_task(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>);
+    /// Receives the end of an attempt.
     fn report_attempt_end(&self, request: u64, attempt: u16, end: AttemptEnd);
-    /// How many purges and list changes were told.
+    /// Returns how many purges and list changes have been reported.
     fn epoch(&self) -> u64;
-    /// Whether the client of a request still waits for its answer.
+    /// Returns whether the client of a request still waits for its answer.
     fn client_waits(&self, request: u64) -> bool;
-    fn count(&self, c: Counter);
-    /// A probe of the planner's ended.
+    /// Increments a counter.
+    fn count(&self, counter: Counter);
+    /// Receives the end of a load probe that the planner asked for.
     fn report_probe_end(&self, member: Addr, outcome: Outcome, report: Report);
 }
 
+/// The connections to all members, and the attempts in flight on them.
 pub struct CachePool {
     names: Names,
     servers: RefCell<BTreeMap<Addr, Rc<Server>>>,
-    out: RefCell<HashMap<(u64, u16), Rc<Conn>>>,
-    /// Connections that are open to all members, and how many may be.
-    open: Cell<usize>,
-    most: Cell<usize>,
-    /// Members that the staff took out: nothing is written to them, nor with them as a source.
-    barred: RefCell<BTreeSet<Addr>>,
-    /// Bytes of answers that are still coming in.
+    in_flight: RefCell<HashMap<(u64, u16), Rc<CacheConnection>>>,
+    /// Open connections to all members together.
+    open_connections: Cell<usize>,
+    /// The limit on `open_connections`.
+    max_connections: Cell<usize>,
+    /// Members that an operator has taken out of service: no attempt is sent to them, nor with them as the
+    /// source of a fill.
+    disabled: RefCell<BTreeSet<Addr>>,
+    /// Memory held by answers that are still arriving, in bytes.
     pub buffered_bytes: Cell<usize>,
-    /// Probes made.
-    probes: Cell<u64>,
-    home: RefCell<Option<Weak<dyn PoolOwner>>>,
+    /// Number of probes so far; the next probe's tag has it.
+    probe_count: Cell<u64>,
+    owner: RefCell<Option<Weak<dyn PoolOwner>>>,
 }
 
-/// What came of a probe.
-type Probed = (Outcome, Report);
+/// The outcome of a probe and the load that the member reported.
+type ProbeResult = (Outcome, Report);
 
-enum Item {
+/// A command that waits to be written to a cache.
+enum QueueItem {
+    /// Sends an attempt.
     Serve(Rc<Dispatch>),
-    /// Gives a request up, and which attempt is to be reported withdrawn once that is written.
+    /// Cancels the request with this wire id. The attempt is reported as withdrawn once the command is
+    /// written.
     Cancel(Box<str>, (u64, u16)),
-    /// A probe: its word and its tag.
+    /// Sends a probe: its command word and its tag.
     Probe(&'static str, Box<str>),
 }
 
+/// An attempt in flight on a connection.
 #[derive(Clone)]
-struct Pending {
+struct PendingAttempt {
     dispatch: Rc<Dispatch>,
     progress: Progress,
-    written: Micros,
-    /// Connections that broke before it had gone out whole.
+    /// When a part of it was last written, [`Micros::MAX`] before the first byte.
+    last_written_at: Micros,
+    /// How often it was moved because a connection broke, or was retired, before it was fully written.
     moves: u8,
 }
 
-struct Conn {
-    sock: SocketAddr,
-    /// Attempts by the client's id, which is the id on the wire. One that is not here is over, whatever the queue holds:
-    /// the writer asks for it before its first byte.
-    pending: RefCell<HashMap<Box<str>, Pending>>,
-    queue: RefCell<VecDeque<Item>>,
-    /// Ids that this connection carries no more: of attempts that were given up, and of those answered where a second
-    /// answer must not pass for that of a later attempt.
-    spent: RefCell<VecDeque<Box<str>>>,
-    /// What was read and is not yet a whole answer.
-    unread: RefCell<Vec<u8>>,
-    /// The attempt whose withdrawal is being written.
-    calling_off: Cell<Option<(u64, u16)>>,
-    /// Tags of probes that are out, and what came of each.
-    probes: RefCell<Vec<(Box<str>, Option<Probed>)>>,
+/// A connection to a cache.
+struct CacheConnection {
+    socket_addr: SocketAddr,
+    /// Attempts by the client's id, which is also the id on the wire. An attempt that is not here is over
+    /// even if it is still in the queue: the writer looks it up here before it writes the first byte.
+    pending: RefCell<HashMap<Box<str>, PendingAttempt>>,
+    queue: RefCell<VecDeque<QueueItem>>,
+    /// Ids that this connection takes no longer: those of withdrawn attempts, and of answered ones where a
+    /// second answer must not be taken for that of a later attempt.
+    expired_ids: RefCell<VecDeque<Box<str>>>,
+    /// Bytes that were read and don't form a complete answer yet.
+    unparsed: RefCell<Vec<u8>>,
+    /// The attempt whose cancel command is being written.
+    cancel_in_progress: Cell<Option<(u64, u16)>>,
+    /// Tags of the probes in flight, with the result of each that was answered.
+    probes: RefCell<Vec<(Box<str>, Option<ProbeResult>)>>,
     signal: Signal,
-    heard: Cell<Micros>,
-    used: Cell<Micros>,
-    /// Takes nothing new and closes once nothing is out on it.
+    last_received_at: Cell<Micros>,
+    last_used_at: Cell<Micros>,
+    /// Takes no new attempt and closes once nothing is in flight on it.
     retired: Cell<bool>,
+    /// Takes no new attempt because it has ended or never came up.
     closed: Cell<bool>,
-    /// Nothing more comes from the cache, or nothing that can be believed.
-    ended: Cell<bool>,
-    /// It came up; part of an answer is there; it is of nothing that was asked here.
-    up: Cell<bool>,
-    partial: Cell<bool>,
-    foreign: Cell<bool>,
-    buffered: Cell<usize>,
+    /// The cache sends nothing more, or has sent something malformed.
+    input_ended: Cell<bool>,
+    /// The TCP connection was established.
+    connected: Cell<bool>,
+    /// Part of an answer has arrived.
+    has_partial_answer: Cell<bool>,
+    /// That part belongs to nothing that was asked on this connection.
+    has_unrequested_data: Cell<bool>,
+    /// The capacity of `unparsed`.
+    unparsed_bytes: Cell<usize>,
 }
 
-impl Conn {
-    /// Something is owed for a while and nothing has come for as long: it may be cut off without a sign, or hold an
-    /// answer that never ends.
-    fn silent(&self, at: Micros, patience: Micros) -> bool {
-        let since = at.saturating_sub(patience);
-        // What is not yet written stands at the end of time and says nothing of silence.
-        let oldest = self.pending.borrow().values().map(|p| p.written).min();
-        oldest.is_some_and(|w| w < since) && self.heard.get() < since
-    }
-    /// It works: it was heard since then.
-    fn sound(&self, since: Micros) -> bool {
-        self.up.get() && !self.closed.get() && !self.retired.get() && self.heard.get() >= since
+impl CacheConnection {
+    /// Returns whether an answer has been outstanding for longer than `patience` and nothing was received for
+    /// as long. The connection may then be cut off unnoticed, or carry an answer that never ends.
+    fn is_silent(&self, now: Micros, patience: Micros) -> bool {
+        let since = now.saturating_sub(patience);
+        // An attempt that is not written yet has the latest possible time, so that it doesn't count.
+        let oldest_write = self.pending.borrow().values().map(|attempt| attempt.last_written_at).min();
+        oldest_write.is_some_and(|written_at| written_at < since) && self.last_received_at.get() < since
+    }
+    /// Returns whether the connection is usable and has received something since the given time.
+    fn is_working(&self, since: Micros) -> bool {
+        self.connected.get()
+            && !self.closed.get()
+            && !self.retired.get()
+            && self.last_received_at.get() >= since
     }
-    fn takes(&self, call: &str, streams: usize) -> bool {
+    /// Returns whether another attempt or probe with this id may be queued here.
+    fn can_take(&self, call_id: &str, max_attempts: usize) -> bool {
         let pending = self.pending.borrow();
         !self.retired.get()
             && !self.closed.get()
-            && !self.foreign.get()
-            && pending.len() < streams
-            && !pending.contains_key(call)
-            && !self.spent.borrow().iter().any(|c| &**c == call)
+            && !self.has_unrequested_data.get()
+            && pending.len() < max_attempts
+            && !pending.contains_key(call_id)
+            && !self.expired_ids.borrow().iter().any(|id| &**id == call_id)
     }
-    /// More of a request has gone out, or all of it.
-    fn wrote(&self, call: Option<&str>, whole: bool) {
+    /// Records that a further part of a request was written, or all of it.
+    fn record_write(&self, call_id: Option<&str>, complete: bool) {
         let mut pending = self.pending.borrow_mut();
-        if let Some(p) = call.and_then(|id| pending.get_mut(id)) {
-            p.written = now();
-            p.progress = if whole { Progress::FullyWritten } else { Progress::PartlyWritten };
-        }
-    }
-    /// Takes an id out of use here.
-    fn spend(&self, call: Box<str>) {
-        let mut spent = self.spent.borrow_mut();
-        if spent.len() == SPENT {
-            spent.pop_front();
-        }
-        spent.push_back(call);
-    }
-    /// Nothing of it is with the cache: no answer is owed here.
-    fn rests(&self) -> bool {
-        self.pending.borrow().values().all(|p| p.progress == Progress::NotConnected)
-            && self.probes.borrow().iter().all(|(_, told)| told.is_some())
-    }
-    /// Whether what was read of an answer can be one to something that was asked here.
-    fn knows(&self, unread: &[u8]) -> bool {
-        let id = wire::first_resp_part(unread);
-        let is = |c: &str| id == Some(c.as_bytes());
-        self.pending.borrow().iter().any(|(c, p)| is(c) && p.progress != Progress::NotConnected)
-            || self.spent.borrow().iter().any(|c| is(c))
-            || self.probes.borrow().iter().any(|(c, _)| is(c))
-            || id.is_none() && !self.rests()
+        if let Some(attempt) = call_id.and_then(|id| pending.get_mut(id)) {
+            attempt.last_written_at = now();
+            attempt.progress = if complete { Progress::FullyWritten } else { Progress::PartlyWritten };
+        }
+    }
+    /// Stops the use of an id on this connection; forgets the oldest such id beyond [`MAX_EXPIRED_IDS`].
+    fn expire_id(&self, call_id: Box<str>) {
+        let mut expired_ids = self.expired_ids.borrow_mut();
+        if expired_ids.len() == MAX_EXPIRED_IDS {
+            expired_ids.pop_front();
+        }
+        expired_ids.push_back(call_id);
+    }
+    /// Returns whether no answer is outstanding: no attempt was written in part or whole, and every probe is
+    /// answered.
+    fn is_idle(&self) -> bool {
+        self.pending.borrow().values().all(|attempt| attempt.progress == Progress::NotConnected)
+            && self.probes.borrow().iter().all(|(_, result)| result.is_some())
+    }
+    /// Returns whether the beginning of an answer can belong to something that was asked on this connection.
+    fn expects(&self, unparsed: &[u8]) -> bool {
+        let id = wire::first_resp_part(unparsed);
+        let matches = |call_id: &str| id == Some(call_id.as_bytes());
+        self.pending
+            .borrow()
+            .iter()
+            .any(|(call_id, attempt)| matches(call_id) && attempt.progress != Progress::NotConnected)
+            || self.expired_ids.borrow().iter().any(|call_id| matches(call_id))
+            || self.probes.borrow().iter().any(|(call_id, _)| matches(call_id))
+            || id.is_none() && !self.is_idle()
     }
 }
 
-/// Connections to caches that one of so many processes may hold.
-fn places(sockets: usize, of: usize) -> usize {
-    ((sockets - sockets / 2) / of.max(1)).saturating_sub(OTHERS).max(4)
+/// Returns how many connections to caches a process may hold if so many processes share the descriptors.
+fn connection_limit(descriptors: usize, processes: usize) -> usize {
+    ((descriptors - descriptors / 2) / processes.max(1)).saturating_sub(RESERVED_DESCRIPTORS).max(4)
 }
 
 impl CachePool {
-    /// `sockets`: the limit on descriptors; half of them are for clients.
-    pub fn new(names: Names, sockets: usize) -> Rc<CachePool> {
+    /// Creates a pool. `descriptors` is the limit on file descriptors; half of them are for clients.
+    pub fn new(names: Names, descriptors: usize) -> Rc<CachePool> {
         Rc::new(CachePool {
-            open: Cell::new(0),
+            open_connections: Cell::new(0),
             buffered_bytes: Cell::new(0),
-            probes: Cell::new(0),
-            most: Cell::new(places(sockets, 1)),
-            barred: RefCell::default(),
+            probe_count: Cell::new(0),
+            max_connections: Cell::new(connection_limit(descriptors, 1)),
+            disabled: RefCell::default(),
             names,
             servers: RefCell::default(),
-            out: RefCell::default(),
-            home: RefCell::default(),
+            in_flight: RefCell::default(),
+            owner: RefCell::default(),
         })
     }
 
-    /// This process is one of so many that share the descriptors.
-    pub fn share_descriptors(&self, sockets: usize, of: usize) {
-        self.most.set(places(sockets, of));
+    /// Sets the limit on connections for a process that is one of `processes` sharing the descriptors.
+    pub fn share_descriptors(&self, descriptors: usize, processes: usize) {
+        self.max_connections.set(connection_limit(descriptors, processes));
     }
 
-    /// The members that are out, by call of the staff.
-    pub fn set_disabled(&self, out: BTreeSet<Addr>) {
-        *self.barred.borrow_mut() = out;
+    /// Replaces the set of members that an operator has taken out of service.
+    pub fn set_disabled(&self, members: BTreeSet<Addr>) {
+        *self.disabled.borrow_mut() = members;
     }
 
-    pub fn set_owner(&self, home: &Rc<dyn PoolOwner>) {
-        *self.home.borrow_mut() = Some(Rc::downgrade(home));
+    /// Sets the owner that runs the pool's tasks and receives its reports.
+    pub fn set_owner(&self, owner: &Rc<dyn PoolOwner>) {
+        *self.owner.borrow_mut() = Some(Rc::downgrade(owner));
     }
 
-    fn home(&self) -> Option<Rc<dyn PoolOwner>> {
-        self.home.borrow().as_ref().and_then(Weak::upgrade)
+    fn owner(&self) -> Option<Rc<dyn PoolOwner>> {
+        self.owner.borrow().as_ref().and_then(Weak::upgrade)
     }
 
-    /// Takes in a change of the list. A member that left or started anew gets no more on its old connections. Gives
-    /// those whose address another one has now: they are gone, though nobody has told it yet, and what is sent for
-    /// them would reach the new one.
+    /// Applies a change of the member list. The old connections of a member that left or restarted get no new
+    /// attempts. Returns the members whose socket address another, ready member has now: they are gone
+    /// although this was not reported, and an attempt meant for them would reach the new member.
     pub fn update_listed(&self, form: ListForm, listed: &[ListedServer]) -> Vec<Addr> {
-        let ready = |l: &&ListedServer| l.entry.state == Lifecycle::Ready;
-        let at = |sock: SocketAddr| listed.iter().filter(ready).find(move |l| l.socket_addr == sock);
+        let ready = |new: &&ListedServer| new.entry.state == Lifecycle::Ready;
+        let ready_at = |socket_addr: SocketAddr| {
+            listed.iter().filter(ready).find(move |new| new.socket_addr == socket_addr)
+        };
         let mut displaced = Vec::new();
         let mut servers = self.servers.borrow_mut();
-        let retire = |s: &Server| {
-            for c in s.conns.borrow().iter() {
-                c.retired.set(true);
-                c.signal.notify();
+        let retire = |server: &Server| {
+            for conn in server.connections.borrow().iter() {
+                conn.retired.set(true);
+                conn.signal.notify();
             }
         };
         if form != ListForm::Delta {
-            servers.retain(|a, s| {
-                let stays = listed.iter().any(|l| l.entry.addr == *a);
+            servers.retain(|addr, server| {
+                let stays = listed.iter().any(|new| new.entry.addr == *addr);
                 if !stays {
-                    retire(s);
+                    retire(server);
                 }
                 stays
             });
         }
-        servers.retain(|a, s| {
-            let stays = at(s.sock).is_none_or(|l| l.entry.addr == *a);
+        servers.retain(|addr, server| {
+            let stays = ready_at(server.socket_addr).is_none_or(|new| new.entry.addr == *addr);
             if !stays {
-                displaced.push(*a);
-                retire(s);
+                displaced.push(*addr);
+                retire(server);
             }
             stays
         });
-        for l in listed {
-            let a = l.entry.addr;
-            let same = servers
-                .get(&a)
-                .is_some_and(|s| s.sock == l.socket_addr && s.incarnation == l.entry.incarnation);
-            if same && l.entry.state != Lifecycle::Gone {
+        for new in listed {
+            let addr = new.entry.addr;
+            let same = servers.get(&addr).is_some_and(|server| {
+                server.socket_addr == new.socket_addr && server.incarnation == new.entry.incarnation
+            });
+            if same && new.entry.state != Lifecycle::Gone {
                 continue;
             }
-            if let Some(old) = servers.remove(&a) {
+            if let Some(old) = servers.remove(&addr) {
                 retire(&old);
             }
-            if l.entry.state != Lifecycle::Gone {
-                if l.entry.state != Lifecycle::Ready && servers.values().any(|s| s.sock == l.socket_addr) {
+            if new.entry.state != Lifecycle::Gone {
+                if new.entry.state != Lifecycle::Ready
+                    && servers.values().any(|server| server.socket_addr == new.socket_addr)
+                {
                     continue;
                 }
-                let (id, sock, incarnation) = (l.id.clone(), l.socket_addr, l.entry.incarnation);
-                let (conns, enough) = (RefCell::default(), Cell::new(0));
-                servers.insert(a, Rc::new(Server { id, sock, incarnation, listed: now(), conns, enough }));
+                let (id, socket_addr, incarnation) = (new.id.clone(), new.socket_addr, new.entry.incarnation);
+                let (connections, open_not_before) = (RefCell::default(), Cell::new(0));
+                servers.insert(
+                    addr,
+                    Rc::new(Server {
+                        id,
+                        socket_addr,
+                        incarnation,
+                        listed_at: now(),
+                        connections,
+                        open_not_before,
+                    }),
+                );
             }
         }
         displaced
     }
 
-    /// How many members are listed.
+    /// Returns how many members are listed.
     pub fn member_count(&self) -> usize {
         self.servers.borrow().len()
     }
 
+    /// Returns the id of a listed member.
     pub fn member_id(&self, a: Addr) -> Option<String> {
         self.servers.borrow().get(&a).map(|s| s.id.clone())
     }
 
-    /// Reports an end from a task of its own.
+    /// Reports the end of an attempt from a task of its own, for callers that the planner is calling.
     fn report_later(self: &Rc<Self>, request: u64, attempt: u16, end: AttemptEnd) {
         let pool = self.clone();
-        if let Some(home) = self.home() {
-            home.spawn_task("report", Box::pin(async move { pool.report(request, attempt, end) }));
+        if let Some(owner) = self.owner() {
+            owner.spawn_task("report", Box::pin(async move { pool.report(request, attempt, end) }));
         }
     }
 
+    /// Forgets an attempt and reports its end.
     fn report(&self, request: u64, attempt: u16, end: AttemptEnd) {
-        self.out.borrow_mut().remove(&(request, attempt));
-        if let Some(home) = self.home() {
-            home.report_attempt_end(request, attempt, end);
+        self.in_flight.borrow_mut().remove(&(request, attempt));
+        if let Some(owner) = self.owner() {
+            owner.report_attempt_end(request, attempt, end);
         }
     }
 
-    fn count(&self, c: Counter) {
-        if let Some(home) = self.home() {
-            home.count(c);
+    fn count(&self, counter: Counter) {
+        if let Some(owner) = self.owner() {
+            owner.count(counter);
         }
     }
 
-    /// Puts an attempt on a connection of its member.
-    fn place(self: &Rc<Self>, d: Rc<Dispatch>, moves: u8) {
-        let server = self.servers.borrow().get(&d.member).cloned().filter(|s| s.listed <= d.decided_at);
+    /// Queues an attempt on a connection to its member, or reports it as outdated if that is not possible.
+    fn enqueue(self: &Rc<Self>, dispatch: Rc<Dispatch>, moves: u8) {
+        let server = self
+            .servers
+            .borrow()
+            .get(&dispatch.member)
+            .cloned()
+            .filter(|s| s.listed_at <= dispatch.decided_at);
         let Some(server) = server else {
-            return self.report_later(d.request, d.attempt, AttemptEnd::Outdated);
+            return self.report_later(dispatch.request, dispatch.attempt, AttemptEnd::Outdated);
+        };
+        let Some(conn) = self.select_or_open(&server, &dispatch.client_request.call_id) else {
+            // A shortage of descriptors or connections is local to this proxy and says nothing about the
+            // member.
+            return self.report_later(dispatch.request, dispatch.attempt, AttemptEnd::Outdated);
         };
-        let Some(c) = self.connection(&server, &d.client_request.call_id) else {
-            // Short of descriptors or of places: that is this proxy's doing and says nothing of the member.
-            return self.report_later(d.request, d.attempt, AttemptEnd::Outdated);
+        let p = PendingAttempt {
+            dispatch: dispatch.clone(),
+            progress: Progress::NotConnected,
+            last_written_at: Micros::MAX,
+            moves,
         };
-        let p =
-            Pending { dispatch: d.clone(), progress: Progress::NotConnected, written: Micros::MAX, moves };
-        self.out.borrow_mut().insert((d.request, d.attempt), c.clone());
-        c.pending.borrow_mut().insert(d.client_request.call_id.clone(), p);
-        c.queue.borrow_mut().push_back(Item::Serve(d));
-        c.signal.notify();
+        self.in_flight.borrow_mut().insert((dispatch.request, dispatch.attempt), conn.clone());
+        conn.pending.borrow_mut().insert(dispatch.client_request.call_id.clone(), p);
+        conn.queue.borrow_mut().push_back(QueueItem::Serve(dispatch));
+        conn.signal.notify();
     }
 
-    fn connection(self: &Rc<Self>, s: &Rc<Server>, call: &str) -> Option<Rc<Conn>> {
+    /// Returns the least loaded usable connection to a member, or opens another one. Returns nothing if no
+    /// connection can take the attempt and no further one may be opened.
+    fn select_or_open(self: &Rc<Self>, server: &Rc<Server>, call: &str) -> Option<Rc<CacheConnection>> {
         let at = now();
-        let conns = s.conns.borrow();
-        let usable = conns.iter().filter(|c| c.takes(call, self.names.streams));
-        let best =
-            usable.filter(|c| !c.silent(at, self.names.connect)).min_by_key(|c| c.pending.borrow().len());
-        let live = conns.iter().filter(|c| !c.closed.get()).count();
-        let few = live < MOST && self.open.get() < self.most.get() && at >= s.enough.get();
-        match best {
-            Some(c) if c.pending.borrow().len() < SPREAD || !few => return Some(c.clone()),
-            None if live >= MOST * 2 || self.open.get() >= self.most.get() => return None,
-            _ => drop(conns),
-        }
-        let conn = Rc::new(Conn {
-            sock: s.sock,
+        let connections = server.connections.borrow();
+        let usable = connections.iter().filter(|conn| conn.can_take(call, self.names.streams));
+        let least_loaded = usable
+            .filter(|conn| !conn.is_silent(at, self.names.connect))
+            .min_by_key(|conn| conn.pending.borrow().len());
+        let open_count = connections.iter().filter(|conn| !conn.closed.get()).count();
+        let may_open_another = open_count < TARGET_CONNECTIONS_PER_MEMBER
+            && self.open_connections.get() < self.max_connections.get()
+            && at >= server.open_not_before.get();
+        match least_loaded {
+            Some(conn)
+                if conn.pending.borrow().len() < TARGET_ATTEMPTS_PER_CONNECTION || !may_open_another =>
+            {
+                return Some(conn.clone())
+            }
+            None if open_count >= TARGET_CONNECTIONS_PER_MEMBER * 2
+                || self.open_connections.get() >= self.max_connections.get() =>
+            {
+                return None
+            }
+            _ => drop(connections),
+        }
+        let opened = Rc::new(CacheConnection {
+            socket_addr: server.socket_addr,
             pending: RefCell::default(),
             queue: RefCell::default(),
-            spent: RefCell::default(),
-            unread: RefCell::default(),
-            calling_off: Cell::default(),
+            expired_ids: RefCell::default(),
+            unparsed: RefCell::default(),
+            cancel_in_progress: Cell::default(),
             probes: RefCell::default(),
             signal: Signal::default(),
-            heard: Cell::new(at),
-            used: Cell::new(at),
+            last_received_at: Cell::new(at),
+            last_used_at: Cell::new(at),
             retired: Cell::new(false),
             closed: Cell::new(false),
-            ended: Cell::new(false),
-            up: Cell::new(false),
-            partial: Cell::new(false),
-            foreign: Cell::new(false),
-            buffered: Cell::new(0),
+            input_ended: Cell::new(false),
+            connected: Cell::new(false),
+            has_partial_answer: Cell::new(false),
+            has_unrequested_data: Cell::new(false),
+            unparsed_bytes: Cell::new(0),
         });
-        s.conns.borrow_mut().push(conn.clone());
-        let (pool, server, c) = (self.clone(), s.clone(), conn.clone());
-        self.open.set(self.open.get() + 1);
-        let end = Ended(pool.clone(), server.clone(), c.clone());
+        server.connections.borrow_mut().push(opened.clone());
+        let (pool, member, conn) = (self.clone(), server.clone(), opened.clone());
+        self.open_connections.set(self.open_connections.get() + 1);
+        let guard = ConnectionGuard(pool.clone(), member.clone(), conn.clone());
         let task = async move {
-            let _end = end;
-            pool.run(&server, &c).await;
+            let _guard = guard;
+            pool.run_connection(&member, &conn).await;
         };
-        match self.home() {
-            Some(home) => home.spawn_task("cache connection", Box::pin(task)),
+        match self.owner() {
+            Some(owner) => owner.spawn_task("cache connection", Box::pin(task)),
             None => return None,
         }
-        Some(conn)
+        Some(opened)
     }
 
-    /// Asks a member, by `health` for a sign of life or by `gauges` for its load as well, on a connection of the pool:
-    /// what came of it within the connect time-out. Nothing where the member is not listed, was taken out, or there is
-    /// no place.
-    pub async fn probe(self: &Rc<Self>, member: Addr, word: &'static str) -> Option<Probed> {
+    /// Probes a member on a connection of the pool, with the word `health` for its health alone or `gauges`
+    /// for its load as well, and returns the result within the connect timeout. Returns nothing if the member
+    /// is not listed or is out of service, or if there is no connection for the probe.
+    pub async fn probe(self: &Rc<Self>, member: Addr, word: &'static str) -> Option<ProbeResult> {
         let server = self.servers.borrow().get(&member).cloned()?;
-        if self.barred.borrow().contains(&member) {
+        if self.disabled.borrow().contains(&member) {
             return None;
         }
-        let tag: Box<str> = format!("probe-{}", self.probes.replace(self.probes.get() + 1)).into();
-        let c = self.connection(&server, &tag)?;
-        c.probes.borrow_mut().push((tag.clone(), None));
-        c.queue.borrow_mut().push_back(Item::Probe(word, tag.clone()));
-        c.signal.notify();
+        let tag: Box<str> = format!("probe-{}", self.probe_count.replace(self.probe_count.get() + 1)).into();
+        let conn = self.select_or_open(&server, &tag)?;
+        conn.probes.borrow_mut().push((tag.clone(), None));
+        conn.queue.borrow_mut().push_back(QueueItem::Probe(word, tag.clone()));
+        conn.signal.notify();
         let until = now() + self.names.connect;
-        let told = |c: &Conn| c.probes.borrow().iter().find(|(t, _)| *t == tag).and_then(|(_, told)| *told);
-        while now() < until && !c.closed.get() && told(&c).is_none() {
+        let result = |conn: &CacheConnection| {
+            conn.probes.borrow().iter().find(|(t, _)| *t == tag).and_then(|(_, result)| *result)
+        };
+        while now() < until && !conn.closed.get() && result(&conn).is_none() {
             sleep_until(now() + 5_000).await;
         }
-        let ended = told(&c);
-        c.probes.borrow_mut().retain(|(t, _)| *t != tag);
-        let lost = if c.closed.get() { Outcome::ConnectFailed } else { Outcome::Timeout };
-        Some(ended.unwrap_or((lost, Report::default())))
+        let answered = result(&conn);
+        conn.probes.borrow_mut().retain(|(t, _)| *t != tag);
+        let without_answer = if conn.closed.get() { Outcome::ConnectFailed } else { Outcome::Timeout };
+        Some(answered.unwrap_or((without_answer, Report::default())))
     }
 
-    async fn run(self: &Rc<Self>, s: &Rc<Server>, c: &Rc<Conn>) {
+    /// Runs a connection from its establishment to its end, then moves or reports the attempts left on it.
+    async fn run_connection(self: &Rc<Self>, server: &Rc<Server>, conn: &Rc<CacheConnection>) {
         let until = now() + self.names.connect;
-        let connected = async { Async::<TcpStream>::connect(c.sock).await };
-        let late = async { (sleep_until(until).await, Err(ErrorKind::TimedOut.into())).1 };
-        let failed = match connected.or(late).await {
+        let connected = async { Async::<TcpStream>::connect(conn.socket_addr).await };
+        let timeout = async { (sleep_until(until).await, Err(ErrorKind::TimedOut.into())).1 };
+        let connect_error = match connected.or(timeout).await {
             Ok(stream) => {
                 self.count(Counter::Opened);
                 stream.get_ref().set_nodelay(true).ok();
-                c.heard.set(now());
-                c.up.set(true);
-                self.write(c, &stream).or(self.read(c, &stream)).or(self.idle(c)).await;
-                // It takes nothing from here on; where it broke under a write, answers may have come before.
-                c.closed.set(true);
-                self.catch_up(c, &stream);
+                conn.last_received_at.set(now());
+                conn.connected.set(true);
+                self.write_queue(conn, &stream)
+                    .or(self.read_answers(conn, &stream))
+                    .or(self.wait_until_unwanted(conn))
+                    .await;
+                // No attempt is added from here on. If a write failed, answers may have arrived before.
+                conn.closed.set(true);
+                self.read_available(conn, &stream);
                 None
             }
             Err(e) => Some(e),
         };
-        c.closed.set(true);
-        let pending = std::mem::take(&mut *c.pending.borrow_mut());
-        // What was given up on a connection that is gone is given up.
-        let queued = std::mem::take(&mut *c.queue.borrow_mut());
-        let called_off =
-            queued.into_iter().filter_map(|i| if let Item::Cancel(_, a) = i { Some(a) } else { None });
-        for (request, attempt) in c.calling_off.take().into_iter().chain(called_off) {
+        conn.closed.set(true);
+        let pending = std::mem::take(&mut *conn.pending.borrow_mut());
+        // A cancel command that can't be written any more is done: the connection it was meant for is gone.
+        let queued = std::mem::take(&mut *conn.queue.borrow_mut());
+        let cancelled =
+            queued.into_iter().filter_map(|i| if let QueueItem::Cancel(_, a) = i { Some(a) } else { None });
+        for (request, attempt) in conn.cancel_in_progress.take().into_iter().chain(cancelled) {
             self.report(request, attempt, AttemptEnd::Withdrawn);
         }
         if !pending.is_empty() {
             self.count(Counter::Broken);
         }
-        // A connection that does not come up tells of the member, unless others to it work (then it takes no
-        // more of them) or the failure is this machine's own.
-        let own = failed.as_ref().is_some_and(|e| !matches!(e.kind(), REFUSED | RESET | TIMED_OUT));
-        let lately = now().saturating_sub(self.names.connect);
-        let others = s.conns.borrow().iter().any(|o| o.sound(lately));
-        if failed.is_some() && others {
-            s.enough.set(now() + ENOUGH);
-        }
-        for p in pending.into_values() {
-            let d = &p.dispatch;
-            // What broke before the request was out whole proves that nothing ran, and where the connection had come
-            // up, it proves nothing of the member: idle and new connections get reset by whatever is in between.
-            let unsent = p.progress != Progress::FullyWritten;
-            if unsent && own {
-                self.report(d.request, d.attempt, AttemptEnd::Outdated);
-            } else if unsent && (failed.is_none() || others) && p.moves < MOVES {
-                self.place(d.clone(), p.moves + 1);
+        // A connection that can't be established counts as a failure of the member unless other connections
+        // to it work (the member then accepts no further ones) or the error is local to this machine.
+        let local_failure =
+            connect_error.as_ref().is_some_and(|e| !matches!(e.kind(), REFUSED | RESET | TIMED_OUT));
+        let recently = now().saturating_sub(self.names.connect);
+        let others_work = server.connections.borrow().iter().any(|o| o.is_working(recently));
+        if connect_error.is_some() && others_work {
+            server.open_not_before.set(now() + OPEN_PAUSE_AFTER_FAILURE);
+        }
+        for pending_attempt in pending.into_values() {
+            let dispatch = &pending_attempt.dispatch;
+            // A connection that broke before the request was fully written proves that the request didn't
+            // run. If it had been established, it proves nothing about the member: devices in between reset
+            // idle and new connections.
+            let not_fully_written = pending_attempt.progress != Progress::FullyWritten;
+            if not_fully_written && local_failure {
+                self.report(dispatch.request, dispatch.attempt, AttemptEnd::Outdated);
+            } else if not_fully_written
+                && (connect_error.is_none() || others_work)
+                && pending_attempt.moves < MAX_MOVES
+            {
+                self.enqueue(dispatch.clone(), pending_attempt.moves + 1);
             } else {
-                self.report(d.request, d.attempt, AttemptEnd::ConnectionFailed(p.progress));
+                self.report(
+                    dispatch.request,
+                    dispatch.attempt,
+                    AttemptEnd::ConnectionFailed(pending_attempt.progress),
+                );
             }
         }
     }
 
-    /// Returns once the connection is no longer wanted.
-    async fn idle(&self, c: &Conn) {
+    /// Waits until the connection is to be closed: unused and retired or past its keepalive time, or stalled
+    /// in the middle of an answer.
+    async fn wait_until_unwanted(&self, conn: &CacheConnection) {
         loop {
-            let quiet = c.pending.borrow().is_empty() && c.queue.borrow().is_empty();
-            // Sooner than the cache would: a request must not cross its close.
-            if quiet && (c.retired.get() || now() >= c.used.get() + self.names.keepalive / 10 * 8) {
+            let unused = conn.pending.borrow().is_empty() && conn.queue.borrow().is_empty();
+            // Before the cache closes it, so that no request is sent while the cache is closing.
+            if unused
+                && (conn.retired.get() || now() >= conn.last_used_at.get() + self.names.keepalive / 10 * 8)
+            {
                 return;
             }
-            // Of no further use, also to the other requests on it: they may go elsewhere as their class allows.
-            if c.partial.get() && now() >= c.heard.get() + STALLED {
+            // The connection is of no use to the other requests on it either: they may be retried as their
+            // class allows.
+            if conn.has_partial_answer.get() && now() >= conn.last_received_at.get() + ANSWER_STALL_TIMEOUT {
                 return self.count(Counter::Stalled);
             }
-            let stalls = if c.partial.get() { c.heard.get() + STALLED } else { Micros::MAX };
-            sleep_until(stalls.min(now() + if quiet { 500_000 } else { 250_000 })).await;
+            let stalls_at = if conn.has_partial_answer.get() {
+                conn.last_received_at.get() + ANSWER_STALL_TIMEOUT
+            } else {
+                Micros::MAX
+            };
+            sleep_until(stalls_at.min(now() + if unused { 500_000 } else { 250_000 })).await;
         }
     }
 
-    async fn write(self: &Rc<Self>, c: &Conn, stream: &Async<TcpStream>) {
+    /// Writes the queued commands until the connection is unusable.
+    async fn write_queue(self: &Rc<Self>, conn: &CacheConnection, stream: &Async<TcpStream>) {
         loop {
-            // What is to be written is asked for in the very turn in which its first byte leaves: an attempt that was
-            // withdrawn, or must not go any more, while the cache took nothing is not written.
-            let (bytes, call) = match self.next(c, stream) {
-                Next::Bytes(bytes, call) => (bytes, call),
-                Next::Nothing => {
-                    c.signal.wait().await;
+            // The next command is determined in the same poll that writes its first byte. An attempt that was
+            // withdrawn or became unsendable while the cache accepted no data is therefore not written.
+            let (bytes, call_id) = match self.next_write(conn, stream) {
+                NextWrite::Bytes(bytes, call_id) => (bytes, call_id),
+                NextWrite::Nothing => {
+                    conn.signal.wait().await;
                     continue;
                 }
-                Next::Over => return,
+                NextWrite::Close => return,
             };
-            let mut at = match calls::uninterrupted(|| stream.get_ref().write(&bytes)) {
+            let mut written = match calls::uninterrupted(|| stream.get_ref().write(&bytes)) {
                 Ok(n) if n > 0 => n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    // What stands in front by then is asked for anew.
+                    // The head of the queue may be another one by then and is determined anew.
                     calls::writable(stream).await;
                     continue;
                 }
                 _ => return,
             };
-            if let Some(Item::Cancel(_, attempt)) = c.queue.borrow_mut().pop_front() {
-                c.calling_off.set(Some(attempt));
+            if let Some(QueueItem::Cancel(_, attempt)) = conn.queue.borrow_mut().pop_front() {
+                conn.cancel_in_progress.set(Some(attempt));
             }
-            c.used.set(now());
+            conn.last_used_at.set(now());
             loop {
-                c.wrote(call.as_deref(), at == bytes.len());
-                if at == bytes.len() {
+                conn.record_write(call_id.as_deref(), written == bytes.len());
+                if written == bytes.len() {
                     break;
                 }
-                match calls::uninterrupted(|| stream.get_ref().write(&bytes[at..])) {
-                    Ok(n) if n > 0 => at += n,
+                match calls::uninterrupted(|| stream.get_ref().write(&bytes[written..])) {
+                    Ok(n) if n > 0 => written += n,
                     Err(e) if e.kind() == ErrorKind::WouldBlock => calls::writable(stream).await,
                     _ => return,
                 }
             }
-            if let Some((request, attempt)) = c.calling_off.take() {
+            if let Some((request, attempt)) = conn.cancel_in_progress.take() {
                 self.report(request, attempt, AttemptEnd::Withdrawn);
             }
         }
     }
 
-    /// What is to be written next; it stands in front of the queue until its first byte has left.
-    fn next(self: &Rc<Self>, c: &Conn, stream: &Async<TcpStream>) -> Next {
+    /// Returns the command to write next, which stays at the head of the queue until its first byte is
+    /// written. Removes the attempts at the head that may not be sent here, and moves them to another
+    /// connection or reports them.
+    fn next_write(self: &Rc<Self>, conn: &CacheConnection, stream: &Async<TcpStream>) -> NextWrite {
         loop {
-            let d = match c.queue.borrow().front() {
-                None => return Next::Nothing,
-                Some(Item::Cancel(call, _)) => {
-                    return Next::Bytes(wire::encode_resp(&[b"cancel", call.as_bytes()]), None)
+            let dispatch = match conn.queue.borrow().front() {
+                None => return NextWrite::Nothing,
+                Some(QueueItem::Cancel(call, _)) => {
+                    return NextWrite::Bytes(wire::encode_resp(&[b"cancel", call.as_bytes()]), None)
                 }
-                Some(Item::Probe(word, tag)) => {
-                    return Next::Bytes(wire::encode_resp(&[word.as_bytes(), tag.as_bytes()]), None)
+                Some(QueueItem::Probe(word, tag)) => {
+                    return NextWrite::Bytes(wire::encode_resp(&[word.as_bytes(), tag.as_bytes()]), None)
                 }
-                Some(Item::Serve(d)) => d.clone(),
+                Some(QueueItem::Serve(dispatch)) => dispatch.clone(),
             };
-            // On a connection that rested, what has come meanwhile goes first: its end, or what nobody asked for.
-            if c.rests() && (!self.catch_up(c, stream) || c.foreign.get()) {
-                return Next::Over;
+            // On an idle connection, what has arrived meanwhile is read first: its end, or unrequested data.
+            if conn.is_idle() && (!self.read_available(conn, stream) || conn.has_unrequested_data.get()) {
+                return NextWrite::Close;
             }
-            // That may have ended it.
-            if !matches!(c.queue.borrow().front(), Some(Item::Serve(f)) if Rc::ptr_eq(f, &d)) {
+            // Reading may have ended the attempt.
+            if !matches!(conn.queue.borrow().front(), Some(QueueItem::Serve(f)) if Rc::ptr_eq(f, &dispatch)) {
                 continue;
             }
-            let moves = c
+            let moves = conn
                 .pending
                 .borrow()
-                .get(&d.client_request.call_id)
-                .filter(|p| Rc::ptr_eq(&p.dispatch, &d))
+                .get(&dispatch.client_request.call_id)
+                .filter(|p| Rc::ptr_eq(&p.dispatch, &dispatch))
                 .map(|p| p.moves);
-            let bytes =
-                moves.filter(|_| !c.retired.get() && self.may_leave(&d)).and_then(|_| self.encode(&d));
+            let bytes = moves
+                .filter(|_| !conn.retired.get() && self.may_send_now(&dispatch))
+                .and_then(|_| self.encode_attempt(&dispatch));
             if let Some(bytes) = bytes {
-                return Next::Bytes(bytes, Some(d.client_request.call_id.clone()));
+                return NextWrite::Bytes(bytes, Some(dispatch.client_request.call_id.clone()));
             }
-            c.queue.borrow_mut().pop_front();
+            conn.queue.borrow_mut().pop_front();
             let Some(moves) = moves else { continue };
-            c.pending.borrow_mut().remove(&d.client_request.call_id);
-            // Its connection is not to be used, the member may be.
-            if c.retired.get() && moves < MOVES && self.may_leave(&d) {
-                self.out.borrow_mut().remove(&(d.request, d.attempt));
-                self.place(d, moves + 1);
+            conn.pending.borrow_mut().remove(&dispatch.client_request.call_id);
+            // The connection is retired, but the member may still be used.
+            if conn.retired.get() && moves < MAX_MOVES && self.may_send_now(&dispatch) {
+                self.in_flight.borrow_mut().remove(&(dispatch.request, dispatch.attempt));
+                self.enqueue(dispatch, moves + 1);
             } else {
-                self.report(d.request, d.attempt, AttemptEnd::Outdated);
+                self.report(dispatch.request, dispatch.attempt, AttemptEnd::Outdated);
             }
         }
     }
 
-    /// Whether the first byte of an attempt may leave now, as far as that does not hang on its connection.
-    fn may_leave(&self, d: &Dispatch) -> bool {
-        let Some(home) = self.home() else { return false };
-        let barred = self.barred.borrow();
+    /// Returns whether the first byte of an attempt may be written now, regardless of the connection's state.
+    /// Counts the reason if not.
+    fn may_send_now(&self, dispatch: &Dispatch) -> bool {
+        let Some(owner) = self.owner() else { return false };
+        let disabled = self.disabled.borrow();
         let facts = SendFacts {
             now: now(),
-            decided_at: d.decided_at,
-            // What purges and drains told since counts from the first byte.
-            notified_since: home.epoch() != d.epoch,
-            grace: OUTDATED.min(self.names.grace),
-            send_by: d.send_by,
-            // A ban holds from the yes on, for what was decided just before it as well.
-            server_out: [Some(d.member), d.source].into_iter().flatten().any(|a| barred.contains(&a)),
-            client_waits: home.client_waits(d.request),
+            decided_at: dispatch.decided_at,
+            // Purges and drains reported since the decision count up to the first byte.
+            notified_since: owner.epoch() != dispatch.epoch,
+            grace: NOTIFICATION_GRACE.min(self.names.grace),
+            send_by: dispatch.send_by,
+            // A ban holds from the moment it is acknowledged, also for an attempt decided just before.
+            server_out: [Some(dispatch.member), dispatch.source]
+                .into_iter()
+                .flatten()
+                .any(|a| disabled.contains(&a)),
+            client_waits: owner.client_waits(dispatch.request),
         };
         let judged = may_send(&facts);
         if let Err(why) = judged {
-            home.count(why.counter());
+            owner.count(why.counter());
         }
         judged.is_ok()
     }
 
-    fn encode(&self, d: &Dispatch) -> Option<Vec<u8>> {
-        let ask = &d.client_request;
-        let class = self.names.classes.get(usize::from(ask.class))?;
-        let left = d.expires_at.saturating_sub(now()) / 1000;
-        let mut f = format!("queue={class},path={},blk={},budget={}", ask.object_name, ask.part, left.max(1));
-        let mut put = |name: &str, value: &str| {
-            f.push(',');
-            f.push_str(name);
-            f.push('=');
-            f.push_str(value);
+    /// Encodes an attempt as a `serve` command. Returns nothing if its class or its source is unknown.
+    fn encode_attempt(&self, dispatch: &Dispatch) -> Option<Vec<u8>> {
+        let request = &dispatch.client_request;
+        let class = self.names.classes.get(usize::from(request.class))?;
+        let remaining_ms = dispatch.expires_at.saturating_sub(now()) / 1000;
+        let mut fields = format!(
+            "queue={class},path={},blk={},budget={}",
+            request.object_name,
+            request.part,
+            remaining_ms.max(1)
+        );
+        let mut add_field = |name: &str, value: &str| {
+            fields.push(',');
+            fields.push_str(name);
+            fields.push('=');
+            fields.push_str(value);
         };
-        if let Some(key) = &ask.idempotency_key {
-            put("uniq", key);
+        if let Some(key) = &request.idempotency_key {
+            add_field("uniq", key);
         }
-        if let Some(source) = d.source {
-            put("fetch", &self.member_id(source)?);
+        if let Some(source) = dispatch.source {
+            add_field("fetch", &self.member_id(source)?);
         }
-        if d.keep_rank > 0 {
-            put("retain", &d.keep_rank.to_string());
+        if dispatch.keep_rank > 0 {
+            add_field("retain", &dispatch.keep_rank.to_string());
         }
-        if d.max_age > 0 {
-            put("newer", &(d.max_age / 1000).max(1).to_string());
+        if dispatch.max_age > 0 {
+            add_field("newer", &(dispatch.max_age / 1000).max(1).to_string());
         }
         let flags = [
-            (d.join_fill, "coalesce"),
-            (d.only_held, "shallow"),
-            (d.parent_keeps_none, "transit"),
-            (d.refresh_in_background, "freshen"),
+            (dispatch.join_fill, "coalesce"),
+            (dispatch.only_held, "shallow"),
+            (dispatch.parent_keeps_none, "transit"),
+            (dispatch.refresh_in_background, "freshen"),
         ];
-        let how: Vec<&str> = flags.iter().filter(|(on, _)| *on).map(|(_, w)| *w).collect();
-        if !how.is_empty() {
-            put("handle", &how.join("+"));
+        let enabled_flags: Vec<&str> = flags.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
+        if !enabled_flags.is_empty() {
+            add_field("handle", &enabled_flags.join("+"));
         }
-        if let Some(tag) = &ask.tag {
-            put("holds", tag);
+        if let Some(tag) = &request.tag {
+            add_field("holds", tag);
         }
-        Some(wire::encode_resp(&[b"serve", ask.call_id.as_bytes(), f.as_bytes(), &ask.body]))
+        Some(wire::encode_resp(&[b"serve", request.call_id.as_bytes(), fields.as_bytes(), &request.body]))
     }
 
-    async fn read(&self, c: &Conn, stream: &Async<TcpStream>) {
+    /// Reads and reports answers until the connection is unusable.
+    async fn read_answers(&self, conn: &CacheConnection, stream: &Async<TcpStream>) {
         loop {
-            match self.take_in(c, stream) {
-                Turn::More => future::yield_now().await,
-                Turn::Empty => calls::readable(stream).await,
-                Turn::End => return,
+            match self.read_once(conn, stream) {
+                ReadResult::More => future::yield_now().await,
+                ReadResult::Empty => calls::readable(stream).await,
+                ReadResult::End => return,
             }
         }
     }
 
-    /// Reads what has come; false where nothing more will, or too much for what was asked.
-    fn catch_up(&self, c: &Conn, stream: &Async<TcpStream>) -> bool {
-        (0..CATCH_UP).map(|_| self.take_in(c, stream)).find(|t| *t != Turn::More) == Some(Turn::Empty)
+    /// Reads what has arrived, without waiting. Returns false if the connection has ended or if there is
+    /// still more after [`MAX_CATCH_UP_READS`] reads.
+    fn read_available(&self, conn: &CacheConnection, stream: &Async<TcpStream>) -> bool {
+        (0..MAX_CATCH_UP_READS).map(|_| self.read_once(conn, stream)).find(|t| *t != ReadResult::More)
+            == Some(ReadResult::Empty)
     }
 
-    /// Reads once and reports the answers that are whole; the connection is of no use after its end.
-    fn take_in(&self, c: &Conn, stream: &Async<TcpStream>) -> Turn {
-        if c.ended.get() {
-            return Turn::End;
+    /// Reads once, without waiting, and reports the complete answers. The connection is unusable after
+    /// [`ReadResult::End`].
+    fn read_once(&self, conn: &CacheConnection, stream: &Async<TcpStream>) -> ReadResult {
+        if conn.input_ended.get() {
+            return ReadResult::End;
         }
-        // No report may find the buffer in use: what it leads to may look at this connection.
-        let mut buf = c.unread.take();
-        let turn = match try_read(stream, &mut buf, 64 * 1024) {
-            Some(0) => Turn::End,
-            Some(_) if self.answers(c, &mut buf) => Turn::More,
-            Some(_) => Turn::End,
-            None => Turn::Empty,
+        // The buffer is taken out, because a report may lead back to this connection.
+        let mut buf = conn.unparsed.take();
+        let result = match try_read(stream, &mut buf, 64 * 1024) {
+            Some(0) => ReadResult::End,
+            Some(_) if self.report_answers(conn, &mut buf) => ReadResult::More,
+            Some(_) => ReadResult::End,
+            None => ReadResult::Empty,
         };
-        c.ended.set(turn == Turn::End);
-        c.partial.set(!buf.is_empty());
-        c.foreign.set(!buf.is_empty() && !c.knows(&buf));
-        let before = c.buffered.replace(buf.capacity());
-        self.buffered_bytes.set(self.buffered_bytes.get() + buf.capacity() - before);
-        c.unread.replace(buf);
-        turn
-    }
-
-    /// Reports the answers that are whole; false where one cannot be used: the connection ends.
-    fn answers(&self, c: &Conn, buf: &mut Vec<u8>) -> bool {
-        c.heard.set(now());
-        c.used.set(now());
-        let mut at = 0;
-        while at < buf.len() {
-            let (call, mut told, body, used) = match wire::parse_resp(&buf[at..]) {
-                Ok(Some((parts, used))) if matches!(parts.get(1), Some(&(b"green" | b"red"))) => {
+        conn.input_ended.set(result == ReadResult::End);
+        conn.has_partial_answer.set(!buf.is_empty());
+        conn.has_unrequested_data.set(!buf.is_empty() && !conn.expects(&buf));
+        let previous_bytes = conn.unparsed_bytes.replace(buf.capacity());
+        self.buffered_bytes.set(self.buffered_bytes.get() + buf.capacity() - previous_bytes);
+        conn.unparsed.replace(buf);
+        result
+    }
+
+    /// Reports the complete answers in the buffer and removes them from it. Returns false if one is
+    /// malformed: the connection is then closed.
+    fn report_answers(&self, conn: &CacheConnection, buf: &mut Vec<u8>) -> bool {
+        conn.last_received_at.set(now());
+        conn.last_used_at.set(now());
+        let mut parsed = 0;
+        while parsed < buf.len() {
+            let (call_id, mut answer, body_bytes, length) = match wire::parse_resp(&buf[parsed..]) {
+                Ok(Some((parts, length))) if matches!(parts.get(1), Some(&(b"green" | b"red"))) => {
                     let fields = parts.get(2).and_then(|f| std::str::from_utf8(f).ok()).unwrap_or("-");
                     let outcome = if parts[1] == b"green" { Outcome::Ok } else { Outcome::Error };
-                    let told = Some((outcome, load(fields, &self.names.columns)));
-                    let mut probes = c.probes.borrow_mut();
-                    let of = |p: &&mut (Box<str>, _)| p.0.as_bytes() == parts[0];
-                    probes.iter_mut().filter(of).for_each(|p| p.1 = told);
-                    at += used;
+                    let answer = Some((outcome, parse_load(fields, &self.names.columns)));
+                    let mut probes = conn.probes.borrow_mut();
+                    let has_tag = |probe: &&mut (Box<str>, _)| probe.0.as_bytes() == parts[0];
+                    probes.iter_mut().filter(has_tag).for_each(|probe| probe.1 = answer);
+                    parsed += length;
                     continue;
                 }
-                Ok(Some((parts, used))) => match parse_answer(&parts, &self.names.columns) {
-                    Some((call, told)) => (call, told, parts[3].len(), used),
+                Ok(Some((parts, length))) => match parse_answer(&parts, &self.names.columns) {
+                    Some((call_id, answer)) => (call_id, answer, parts[3].len(), length),
                     None => return (self.count(Counter::Malformed), false).1,
                 },
                 Ok(None) => break,
                 Err(_) => return (self.count(Counter::Malformed), false).1,
             };
-            at += used;
-            // Only of what was asked on this connection, went out whole and is still wanted; all else is dropped.
-            let whole = |p: &Pending| p.progress == Progress::FullyWritten;
-            if !c.pending.borrow().get(&*call).is_some_and(whole) {
+            parsed += length;
+            // Only answers to attempts that are pending here and were fully written count; all others are
+            // dropped.
+            let fully_written = |pending: &PendingAttempt| pending.progress == Progress::FullyWritten;
+            if !conn.pending.borrow().get(&*call_id).is_some_and(fully_written) {
                 self.count(Counter::LateEnds);
-                // Something that nobody asked for, while nothing was asked: what else it says cannot be believed.
-                if c.rests() && !c.spent.borrow().contains(&call) {
-                    c.retired.set(true);
+                // An unrequested answer while nothing is outstanding: further data on this connection can't
+                // be trusted.
+                if conn.is_idle() && !conn.expired_ids.borrow().contains(&call_id) {
+                    conn.retired.set(true);
                 }
                 continue;
             }
-            let Some(p) = c.pending.borrow_mut().remove(&*call) else { continue };
-            if let Some(payload) = &mut told.payload {
-                // A client may be told that its copy is the one only where the cache named that very copy.
-                if payload.unchanged && p.dispatch.client_request.tag.as_ref() != Some(&payload.tag) {
-                    c.pending.borrow_mut().insert(call, p);
+            let Some(pending) = conn.pending.borrow_mut().remove(&*call_id) else { continue };
+            if let Some(payload) = &mut answer.payload {
+                // A client may be told that its copy is current only if the cache confirmed that very tag.
+                if payload.unchanged && pending.dispatch.client_request.tag.as_ref() != Some(&payload.tag) {
+                    conn.pending.borrow_mut().insert(call_id, pending);
                     return (self.count(Counter::Malformed), false).1;
                 }
                 if !payload.unchanged {
-                    // The body is the last thing in an answer. The buffer goes with it unless more has come.
-                    let part = at - 2 - body..at - 2;
-                    payload.body = if at == buf.len() {
-                        at = 0;
-                        Body::from_range(std::mem::take(buf), part)
+                    // The body is the last part of an answer. The buffer itself is handed on unless more data
+                    // follows.
+                    let body_range = parsed - 2 - body_bytes..parsed - 2;
+                    payload.body = if parsed == buf.len() {
+                        parsed = 0;
+                        Body::from_range(std::mem::take(buf), body_range)
                     } else {
-                        Body::from_range(buf[part].to_vec(), 0..body)
+                        Body::from_range(buf[body_range].to_vec(), 0..body_bytes)
                     };
                 }
             }
-            if p.dispatch.exclusive_connection {
-                c.spend(call);
+            if pending.dispatch.exclusive_connection {
+                conn.expire_id(call_id);
             }
-            self.report(p.dispatch.request, p.dispatch.attempt, AttemptEnd::Answered(told));
+            self.report(pending.dispatch.request, pending.dispatch.attempt, AttemptEnd::Answered(answer));
         }
-        buf.drain(..at);
+        buf.drain(..parsed);
         match wire::resp_array_bytes(buf) {
             _ if buf.is_empty() => *buf = Vec::new(),
             Some(n) if n > buf.capacity() => buf.reserve_exact(n - buf.len()),
@@ -725,85 +842,96 @@
     }
 }
 
-/// What is to be written next.
-enum Next {
-    /// These bytes, of this request.
+/// What to write next.
+enum NextWrite {
+    /// A command, and the wire id of the request if it is an attempt.
     Bytes(Vec<u8>, Option<Box<str>>),
     /// Nothing for now.
     Nothing,
-    /// The connection is not to be used any more.
-    Over,
+    /// The connection must not be used any more.
+    Close,
 }
 
-/// What came of reading once.
+/// The result of a single read.
 #[derive(Clone, Copy, PartialEq)]
-enum Turn {
+enum ReadResult {
+    /// Something was read; there may be more.
     More,
+    /// Nothing has arrived.
     Empty,
+    /// The connection has ended or has sent something malformed.
     End,
 }
 
-/// Takes a connection off its member's list, however its task ends.
-struct Ended(Rc<CachePool>, Rc<Server>, Rc<Conn>);
+/// Removes a connection from its member's list and from the pool's totals when its task ends, even by a
+/// panic.
+struct ConnectionGuard(Rc<CachePool>, Rc<Server>, Rc<CacheConnection>);
 
-impl Drop for Ended {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-        self.0.buffered_bytes.set(self.0.buffered_bytes.get() - self.2.buffered.get());
-        self.1.conns.borrow_mut().retain(|o| !Rc::ptr_eq(o, &self.2));
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
+        self.0.buffered_bytes.set(self.0.buffered_bytes.get() - self.2.unparsed_bytes.get());
+        self.1.connections.borrow_mut().retain(|o| !Rc::ptr_eq(o, &self.2));
     }
 }
 
-/// What the planner holds of the pool.
+/// The planner's handle to the pool.
 pub struct PoolTransport(pub Rc<CachePool>);
 
 impl CacheTransport for PoolTransport {
     fn probe(&mut self, member: Addr) {
-        let (pool, home) = (self.0.clone(), self.0.home());
-        let Some(home) = home else { return };
+        let (pool, owner) = (self.0.clone(), self.0.owner());
+        let Some(owner) = owner else { return };
         let task = async move {
             if let Some((outcome, report)) = pool.probe(member, "gauges").await {
-                if let Some(home) = pool.home() {
-                    home.report_probe_end(member, outcome, report);
+                if let Some(owner) = pool.owner() {
+                    owner.report_probe_end(member, outcome, report);
                 }
             }
         };
-        home.spawn_task("load probe", Box::pin(task));
+        owner.spawn_task("load probe", Box::pin(task));
     }
 
-    fn send(&mut self, d: Dispatch) {
-        self.0.place(Rc::new(d), 0);
+    fn send(&mut self, dispatch: Dispatch) {
+        self.0.enqueue(Rc::new(dispatch), 0);
     }
 
     fn withdraw(&mut self, request: u64, attempt: u16) -> bool {
-        let Some(c) = self.0.out.borrow_mut().remove(&(request, attempt)) else { return false };
-        let own = |d: &Dispatch| d.request == request && d.attempt == attempt;
-        let pending = c.pending.borrow();
-        let found = pending.iter().find(|(_, p)| own(&p.dispatch)).map(|(call, p)| (call.clone(), p.clone()));
+        let Some(conn) = self.0.in_flight.borrow_mut().remove(&(request, attempt)) else { return false };
+        let is_this_attempt =
+            |dispatch: &Dispatch| dispatch.request == request && dispatch.attempt == attempt;
+        let pending = conn.pending.borrow();
+        let found = pending
+            .iter()
+            .find(|(_, pending_attempt)| is_this_attempt(&pending_attempt.dispatch))
+            .map(|(call_id, pending_attempt)| (call_id.clone(), pending_attempt.clone()));
         drop(pending);
-        let Some((call, p)) = found else { return false };
-        // A connection that stays silent while its requests are given up would look clean again: one answer that
-        // never ends would hold up every later one.
-        if c.silent(now(), self.0.names.connect) {
-            c.retired.set(true);
-        }
-        c.pending.borrow_mut().remove(&call);
-        if p.progress == Progress::NotConnected {
-            let of = |i: &Item| matches!(i, Item::Serve(d) if own(d));
-            c.queue.borrow_mut().retain(|i| !of(i));
-        }
-        // One whose first bytes are written is finished, then called off; of another the cache hears nothing.
-        let begun = p.progress != Progress::NotConnected;
-        if begun {
-            c.spend(call.clone());
-            c.queue.borrow_mut().push_back(Item::Cancel(call, (request, attempt)));
-            c.signal.notify();
-        }
-        begun
+        let Some((call_id, pending_attempt)) = found else { return false };
+        // Withdrawn attempts no longer count for `is_silent`. Without this, a connection blocked by an answer
+        // that never ends would look usable again and delay every later attempt.
+        if conn.is_silent(now(), self.0.names.connect) {
+            conn.retired.set(true);
+        }
+        conn.pending.borrow_mut().remove(&call_id);
+        if pending_attempt.progress == Progress::NotConnected {
+            let is_its_item =
+                |i: &QueueItem| matches!(i, QueueItem::Serve(dispatch) if is_this_attempt(dispatch));
+            conn.queue.borrow_mut().retain(|i| !is_its_item(i));
+        }
+        // An attempt that has been written in part is written to its end and then cancelled. The cache never
+        // learns of one that hasn't been begun.
+        let must_tell_cache = pending_attempt.progress != Progress::NotConnected;
+        if must_tell_cache {
+            conn.expire_id(call_id.clone());
+            conn.queue.borrow_mut().push_back(QueueItem::Cancel(call_id, (request, attempt)));
+            conn.signal.notify();
+        }
+        must_tell_cache
     }
 }
 
-/// What a cache's answer says: the id, and how the attempt ended. The body is left where it is.
+/// Parses a cache's answer into the wire id and the attempt's result. The payload's body stays empty: the
+/// caller takes it from the parts. Returns nothing if the answer is malformed.
 pub fn parse_answer(parts: &[&[u8]], columns: &[String]) -> Option<(Box<str>, CacheAnswer)> {
     let [id, word, fields, body] = parts else { return None };
     let id = std::str::from_utf8(id).ok()?;
@@ -830,9 +958,10 @@
         "ORIGIN_ERR" => Note::OriginFailed,
         _ => Note::None,
     };
-    let waited = wire::find_field(fields, "took").and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
-    let report = load(fields, columns);
-    // What was written at the origin has no tag; a copy that is still good has one, and no bytes.
+    let source_wait_ms = wire::find_field(fields, "took").and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    let report = parse_load(fields, columns);
+    // The answer to a write at the origin has no tag. An answer that confirms the client's copy has one, and
+    // no body.
     let tag = wire::find_field(fields, "version").unwrap_or("");
     let unchanged = word == "still_good";
     if !tag.is_empty() && !wire::is_plain_text(tag, 128) || unchanged && (tag.is_empty() || !body.is_empty())
@@ -843,22 +972,28 @@
         (outcome == Outcome::Ok).then(|| Payload { body: Body::default(), tag: tag.into(), unchanged });
     Some((
         id.into(),
-        CacheAnswer { outcome, note, source_wait: (waited.max(0.0) * 1000.0) as Micros, report, payload },
+        CacheAnswer {
+            outcome,
+            note,
+            source_wait: (source_wait_ms.max(0.0) * 1000.0) as Micros,
+            report,
+            payload,
+        },
     ))
 }
 
-/// The load that an answer's fields tell, in the order of the settings' columns.
-fn load(fields: &str, columns: &[String]) -> Report {
+/// Parses the load that an answer reports, in the order of the columns in the settings.
+fn parse_load(fields: &str, columns: &[String]) -> Report {
     let mut report = Report::default();
     for (name, value) in
-        wire::find_field(fields, "use").unwrap_or("").split(';').filter_map(|g| g.split_once(':'))
+        wire::find_field(fields, "use").unwrap_or("").split(';').filter_map(|entry| entry.split_once(':'))
     {
-        // The list of columns has the settings' word for the share of the processor in use.
+        // The settings call the processor's utilization `cpu`, the wire calls it `util`.
         let name = if name == "util" { "cpu" } else { name };
-        let at = columns.iter().position(|c| c == name).filter(|i| *i < 4);
-        if let (Some(i), Ok(x)) = (at, value.parse::<f32>()) {
-            report.values[i] = if x.is_finite() { x } else { 0.0 };
-            report.count = report.count.max(i as u8 + 1);
+        let column = columns.iter().position(|c| c == name).filter(|index| *index < 4);
+        if let (Some(index), Ok(load)) = (column, value.parse::<f32>()) {
+            report.values[index] = if load.is_finite() { load } else { 0.0 };
+            report.count = report.count.max(index as u8 + 1);
         }
     }
     report
