--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -1,5 +1,6 @@
-//! System calls that fail for a moment. What Linux documents as passing is made again here and counted; only an error that
-//! ends a connection is handed on. A call that keeps failing backs off, so that it takes no other task's turns.
+//! Retries of system calls that fail temporarily. Errors that Linux documents as transient are retried and counted here;
+//! only an error that ends a connection is returned. A call that keeps failing backs off, so that it doesn't starve other
+//! tasks.
 use crate::clock::now;
 use crate::net::sleep_until;
 use async_io::Async;
@@ -9,38 +10,39 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use threadward_core::Micros;
 
-/// A call that was interrupted so often in a row waits for its socket before it is made again.
-const MAX_INTERRUPTIONS: u32 = 64;
-/// The pause before a call is made again that lacked something of the system: descriptors, buffers, memory.
+/// A call that was interrupted so often in a row waits for its socket before it is retried.
+const MAX_INTERRUPTED_CALLS: u32 = 64;
+/// The pause before the retry of a call that failed for lack of a system resource: descriptors, buffers or memory.
 pub const BACKOFF: Micros = 10_000;
 
-static RETRIED: AtomicU64 = AtomicU64::new(0);
+static RETRIED_CALLS: AtomicU64 = AtomicU64::new(0);
 
-/// How many calls have failed for a moment since the start, and were or will be made again.
+/// Returns how many calls have failed temporarily since the start and were, or will be, retried.
 pub fn retried_calls() -> u64 {
-    RETRIED.load(Ordering::Relaxed)
+    RETRIED_CALLS.load(Ordering::Relaxed)
 }
 
-/// Counts a call that is made again.
+/// Counts a call that is retried.
 pub fn count_retry() {
-    RETRIED.fetch_add(1, Ordering::Relaxed);
+    RETRIED_CALLS.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Makes a call on a socket that does not block, again where a signal interrupted it.
+/// Makes a call on a non-blocking socket and retries it if a signal interrupted it.
 ///
 /// # Errors
-/// What the call ends with, but never [`ErrorKind::Interrupted`].
+/// Returns the error of the call, but never [`ErrorKind::Interrupted`]; after [`MAX_INTERRUPTED_CALLS`] interruptions
+/// that is [`ErrorKind::WouldBlock`].
 pub fn uninterrupted<T>(mut call: impl FnMut() -> Result<T>) -> Result<T> {
-    for _ in 0..MAX_INTERRUPTIONS {
+    for _ in 0..MAX_INTERRUPTED_CALLS {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => count_retry(),
-            done => return done,
+            result => return result,
         }
     }
     Err(ErrorKind::WouldBlock.into())
 }
 
-/// Waits until a socket can be read. That the wait itself fails says nothing of the socket.
+/// Waits until a socket is readable. A failure of the wait itself is retried, as it says nothing about the socket.
 pub async fn readable<T: AsFd>(socket: &Async<T>) {
     while socket.readable().await.is_err() {
         count_retry();
@@ -48,7 +50,7 @@
     }
 }
 
-/// The same for writing.
+/// Waits until a socket is writable, as [`readable`] does.
 pub async fn writable<T: AsFd>(socket: &Async<T>) {
     while socket.writable().await.is_err() {
         count_retry();
@@ -56,19 +58,19 @@
     }
 }
 
-/// What a failed `accept` asks for.
+/// How to go on after a failed `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// No connection waits.
+    /// No connection was waiting.
     NoneWaiting,
-    /// That connection is gone, or the call was interrupted: the next one is accepted at once.
+    /// The connection is gone, or the call was interrupted: accept again at once.
     RetryAtOnce,
-    /// The system lacks something for now, or the error is not known: accepted again after [`BACKOFF`].
+    /// The system lacks a resource, or the error is unknown: accept again after [`BACKOFF`].
     RetryAfterBackoff,
 }
 
 impl AcceptFailure {
-    /// What an error asks for. Linux passes errors of the new connection on through `accept`.
+    /// Classifies an error of `accept`. Linux reports errors of the new connection through it as well.
     pub fn of(error: &Error) -> AcceptFailure {
         if error.kind() == ErrorKind::WouldBlock {
             return AcceptFailure::NoneWaiting;
@@ -93,33 +95,33 @@
     }
 }
 
-/// Accepts that failed in a row and were made again at once, before the next one waits: a lasting error must not spin.
-const MAX_AT_ONCE: u32 = 16;
+/// Limit on consecutive failed accepts that are retried at once, so that a lasting error doesn't cause a busy loop.
+const MAX_IMMEDIATE_RETRIES: u32 = 16;
 
-/// How a loop of accepts goes on after a failure.
+/// Decides in an accept loop when to retry after a failure.
 #[derive(Default)]
 pub struct AcceptRetry {
-    in_row: u32,
+    consecutive_failures: u32,
 }
 
 impl AcceptRetry {
-    /// A connection was accepted, or none waited.
+    /// Forgets earlier failures, because a connection was accepted or none was waiting.
     pub fn reset(&mut self) {
-        self.in_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// Waits as the failure asks for; whether the next accept follows at once.
+    /// Waits as long as the failure requires. Returns whether the retry follows at once.
     pub async fn wait_after(&mut self, failure: AcceptFailure) -> bool {
         if failure == AcceptFailure::NoneWaiting {
             self.reset();
             return false;
         }
         count_retry();
-        self.in_row += 1;
-        let at_once = failure == AcceptFailure::RetryAtOnce && self.in_row <= MAX_AT_ONCE;
-        if !at_once {
+        self.consecutive_failures += 1;
+        let immediate = failure == AcceptFailure::RetryAtOnce && self.consecutive_failures <= MAX_IMMEDIATE_RETRIES;
+        if !immediate {
             sleep_until(now() + BACKOFF).await;
         }
-        at_once
+        immediate
     }
 }
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -1,6 +1,8 @@
-//! The platform's front: MessagePack-RPC over TCP. It owns the connections of clients, their open message ids and
-//! the answers not yet written. It must never hold policy or a view of the caches: it parses, hands over and
-//! relays, and one task serves one connection. Once our side of a connection is shut down, nothing of it is handed on.
+//! The listener for the platform's clients, which speak MessagePack-RPC over TCP.
+//!
+//! One task serves one connection. It parses requests, submits them to the planner and writes the answers; this module
+//! has no routing policy and no knowledge of the caches. Once this side of a connection is shut down, nothing that
+//! arrives on it is processed.
 use crate::calls::{AcceptFailure, AcceptRetry};
 use crate::net::{self, now, read_some, sleep_until, OutgoingAnswer, Signal, LISTEN_BACKLOG};
 use crate::node::{Node, Place};
@@ -13,83 +15,90 @@
 use std::rc::Rc;
 use threadward_core::{ClientRequest, Counter, FinalAnswer, Micros, RequestPolicy};
 
-/// Requests that may be open on one connection.
-const OPEN: usize = 32;
-/// Answers that may wait on one connection beside them: a client that cancels may have fewer in its count.
-const WAITING: usize = 32;
-/// Requests with unusable fields after which a connection is closed: each costs an answer, and nothing is paid for it.
-const UNUSABLE: u32 = 8;
-/// Messages, and bytes, of one connection in a turn; then the others have theirs.
-const TURN: usize = 32;
-const TURN_BYTES: usize = 16 * 1024;
-/// Further reads of what has come before any of it is taken: so many bytes more a connection may hold.
-const AHEAD: usize = 3;
-/// A buffer larger than this is given back once it is empty.
-const SPARE: usize = 4 * 1024;
-/// A client that has not taken an answer by so long after its writing began is closed: it could hold memory for ever.
-const STALLED: Micros = 10_000_000;
-/// How often a connection that takes nothing more is looked at for what is still owed on it.
-const OWED_LOOK: Micros = 5_000;
-/// One that sent what cannot be read has so long to take what was answered before.
-const REFUSED: Micros = 750_000;
+/// Limit on open requests of one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Limit on answers that wait to be written on one connection beyond [`MAX_OPEN_REQUESTS`]: a client that cancels may
+/// count fewer of its requests as open.
+const MAX_EXTRA_WAITING_ANSWERS: usize = 32;
+/// How many requests with unusable fields a connection may send before it is closed. Each of them costs an answer, and
+/// no limit on open requests applies to them.
+const MAX_UNUSABLE_REQUESTS: u32 = 8;
+/// Messages of one connection that are handled before other tasks get a turn, and the most bytes of one read.
+const MESSAGES_PER_TURN: usize = 32;
+const READ_BYTES: usize = 16 * 1024;
+/// Further reads after the first one before its messages are handled. They bound how much a connection may buffer.
+const MAX_FURTHER_READS: usize = 3;
+/// A read buffer larger than this is freed once it is empty.
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
+/// Time limit for writing an answer. The connection is then closed, as a client that never reads would hold memory
+/// for ever.
+const WRITE_TIMEOUT: Micros = 10_000_000;
+/// How often a connection from which nothing more is read is checked for requests that are still open.
+const OPEN_REQUESTS_POLL_INTERVAL: Micros = 5_000;
+/// How long a client that sent a malformed message may take to read the answers to its earlier requests.
+const MALFORMED_LINGER: Micros = 750_000;
 
+/// A client's connection.
 struct Client {
     node: Rc<Node>,
     place: Place,
-    /// Message ids that are owed an answer, with the planner's numbers (0: not known yet).
-    open: RefCell<HashMap<u32, u64>>,
-    out: RefCell<VecDeque<OutgoingAnswer>>,
+    /// Message ids that are still to be answered, with the planner's request ids (0: not known yet).
+    open_requests: RefCell<HashMap<u32, u64>>,
+    outgoing: RefCell<VecDeque<OutgoingAnswer>>,
     signal: Signal,
-    last: Cell<u32>,
+    last_message_id: Cell<u32>,
     writing: Cell<bool>,
-    /// It sent what cannot be read: nothing more is taken, and what is already answered goes out.
-    refused: Cell<bool>,
-    unusable: Cell<u32>,
+    /// The client sent a malformed message: nothing more is read, and the answers to its earlier requests are written.
+    malformed: Cell<bool>,
+    unusable_requests: Cell<u32>,
 }
 
 impl Client {
+    /// Queues an answer for writing.
     fn push(&self, answer: impl Into<OutgoingAnswer>) {
         let answer = answer.into();
         self.node.unwritten.set(self.node.unwritten.get() + 1);
         self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() + answer.memory_bytes());
-        self.out.borrow_mut().push_back(answer);
-        self.touch();
+        self.outgoing.borrow_mut().push_back(answer);
+        self.update_busy();
         self.signal.notify();
     }
-    /// Keeps its place up to date, after each change of what is owed.
-    fn touch(&self) {
-        let owed = self.writing.get() || !self.open.borrow().is_empty() || !self.out.borrow().is_empty();
-        self.place.1.busy(owed);
+    /// Updates whether the connection counts as busy, after each change of its open requests and unwritten answers.
+    fn update_busy(&self) {
+        let answer_owed = self.writing.get() || !self.open_requests.borrow().is_empty() || !self.outgoing.borrow().is_empty();
+        self.place.1.busy(answer_owed);
     }
-    /// Nothing that is open is owed any longer.
-    fn leave(&self) {
-        let open: Vec<u64> = self.open.borrow_mut().drain().map(|(_, id)| id).collect();
+    /// Tells the planner that the client no longer waits for any of its open requests.
+    fn cancel_open_requests(&self) {
+        let open: Vec<u64> = self.open_requests.borrow_mut().drain().map(|(_, id)| id).collect();
         for id in open {
             self.node.plan(|p, now| p.client_left(now, id));
         }
     }
-    fn written(&self, answer: &OutgoingAnswer) {
+    /// Takes an answer out of the totals of unwritten answers.
+    fn count_written(&self, answer: &OutgoingAnswer) {
         self.node.unwritten.set(self.node.unwritten.get() - 1);
         self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() - answer.memory_bytes());
     }
 }
 
-/// Accepts clients for as long as the program runs, also while it is ending.
+/// Accepts clients for as long as the program runs, also while it is shutting down, until it hands over to another
+/// process.
 pub async fn serve(node: Rc<Node>, listener: Rc<Async<TcpListener>>) {
-    // A place that was made for a client, whose connection was then gone, is the next one's where that is taken at once:
-    // a client has its time to ask from when its place was made.
+    // A place prepared for a client whose connection turned out to be gone is kept for the next client if that one is
+    // accepted at once. A client's time to send its first request runs from when its place was made.
     let (mut place, mut retry) = (None, AcceptRetry::default());
-    // Also where a panic made this task anew after the sign was heard.
+    // This also ends a task that was restarted after a panic when the process had given way already.
     while !node.giving_way.get() {
-        let told = async {
+        let gave_way = async {
             node.gave_way.wait().await;
             Err(std::io::ErrorKind::NotConnected.into())
         };
-        let greeted = match listener.readable().or(told).await {
-            Ok(()) => greet(&node, &listener, &mut place).await,
+        let accepted = match listener.readable().or(gave_way).await {
+            Ok(()) => accept_client(&node, &listener, &mut place).await,
             Err(e) => Err(e),
         };
-        let Err(e) = greeted else {
+        let Err(e) = accepted else {
             retry.reset();
             continue;
         };
@@ -98,16 +107,16 @@
         }
         let failure = AcceptFailure::of(&e);
         if failure == AcceptFailure::RetryAfterBackoff {
-            // Out of descriptors, say: the queue waits, nothing is lost by trying again soon.
+            // For example a shortage of descriptors. The connections wait in the backlog, and nothing is lost by a retry.
             net::log(&format!("accept: {e}"));
         }
         if !retry.wait_after(failure).await {
             place = None;
         }
     }
-    // Where the successor has a queue of its own, what this one still holds would be reset by the close.
+    // If the successor has a backlog of its own, closing this socket would reset the connections still in this one.
     for _ in 0..LISTEN_BACKLOG {
-        let Err(e) = greet(&node, &listener, &mut place).await else { continue };
+        let Err(e) = accept_client(&node, &listener, &mut place).await else { continue };
         let failure = AcceptFailure::of(&e);
         if failure == AcceptFailure::NoneWaiting {
             break;
@@ -118,8 +127,9 @@
     }
 }
 
-/// Accepts one connection and starts its task. A place for it is there before; where there is none it is closed at once.
-async fn greet(
+/// Accepts one connection and starts its task. Its place is reserved before; if there is none, the connection is closed
+/// at once.
+async fn accept_client(
     node: &Rc<Node>,
     listener: &Async<TcpListener>,
     place: &mut Option<Place>,
@@ -129,39 +139,40 @@
     }
     let stream = Async::new(listener.get_ref().accept()?.0)?;
     let Some(place) = place.take() else { return Ok(()) };
-    // Before anything is written: what the system held back would be lost with a reset.
+    // Set before anything is written: data that the system holds back would be lost in a reset.
     stream.get_ref().set_nodelay(true).ok();
     let n = node.clone();
-    node.spawn("client connection", async move { client(n, place, stream).await });
+    node.spawn("client connection", async move { run_client(n, place, stream).await });
     Ok(())
 }
 
-/// Gives back what a connection held, also after a panic.
-struct Held(Rc<Client>);
+/// Releases what a connection held, also after a panic.
+struct ClientGuard(Rc<Client>);
 
-impl Drop for Held {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         let c = &self.0;
-        for answer in c.out.borrow_mut().drain(..) {
-            c.written(&answer);
+        for answer in c.outgoing.borrow_mut().drain(..) {
+            c.count_written(&answer);
         }
-        c.leave();
+        c.cancel_open_requests();
     }
 }
 
-async fn client(node: Rc<Node>, place: Place, stream: Async<TcpStream>) {
+/// Serves a client's connection to its end.
+async fn run_client(node: Rc<Node>, place: Place, stream: Async<TcpStream>) {
     let c = Rc::new(Client {
         node,
         place,
-        open: RefCell::default(),
-        out: RefCell::default(),
+        open_requests: RefCell::default(),
+        outgoing: RefCell::default(),
         signal: Signal::default(),
-        last: Cell::new(0),
+        last_message_id: Cell::new(0),
         writing: Cell::new(false),
-        refused: Cell::new(false),
-        unusable: Cell::new(0),
+        malformed: Cell::new(false),
+        unusable_requests: Cell::new(0),
     });
-    let held = Held(c.clone());
+    let held = ClientGuard(c.clone());
     let overdue = async {
         c.place.1.overdue(|| net::has_unread_bytes(&stream)).await;
         let drained = c.node.giving_way.get() || c.node.closing();
@@ -169,34 +180,34 @@
     };
     let reason = write(&c, &stream).or(read(&c, &stream)).or(overdue).await;
     reason.into_iter().for_each(|counter| c.node.count(counter));
-    // Nobody reads or writes here from now on, and what was open has left.
+    // Nothing is read or written from here on, and the open requests are cancelled.
     drop(held);
     c.place.close(&stream).await;
 }
 
-/// An answer that is being written. Its bytes are given back however that ends, also when the connection's task is
-/// dropped in the middle: else they would count as held for ever, and admission would close.
-struct InHand<'a>(&'a Client, OutgoingAnswer);
+/// An answer that is being written. Its bytes are taken out of the totals however that ends, also when the connection's
+/// task is dropped meanwhile: otherwise they would count as held for ever and admission control would refuse requests.
+struct AnswerBeingWritten<'a>(&'a Client, OutgoingAnswer);
 
-impl Drop for InHand<'_> {
+impl Drop for AnswerBeingWritten<'_> {
     fn drop(&mut self) {
-        self.0.written(&self.1);
+        self.0.count_written(&self.1);
     }
 }
 
-/// Writes answers until the connection is to be closed; gives what counts the reason, where it is not counted yet.
+/// Writes answers until the connection is to be closed. Returns the counter for the reason unless it is counted already.
 async fn write(c: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
     loop {
-        let Some(answer) = c.out.borrow_mut().pop_front() else {
-            if c.refused.get() && c.open.borrow().is_empty() {
+        let Some(answer) = c.outgoing.borrow_mut().pop_front() else {
+            if c.malformed.get() && c.open_requests.borrow().is_empty() {
                 return None;
             }
             c.signal.wait().await;
             continue;
         };
         c.writing.set(true);
-        let answer = InHand(c, answer);
-        let until = now() + STALLED;
+        let answer = AnswerBeingWritten(c, answer);
+        let until = now() + WRITE_TIMEOUT;
         let done = answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await;
         drop(answer);
         if !done {
@@ -204,111 +215,114 @@
         }
         c.writing.set(false);
         c.place.1.answered();
-        c.touch();
+        c.update_busy();
     }
 }
 
-/// Reads requests until the connection is to be closed, and gives the reason as `write` does.
+/// Reads requests until the connection is to be closed. Returns the counter for the reason as [`write`] does.
 async fn read(c: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
     let mut buf = Vec::new();
-    while read_some(stream, &mut buf, TURN_BYTES).await > 0 {
-        // One that has gone behind what it sent asks for nothing any more: its end is looked for before that is taken.
-        let ahead = (0..AHEAD).map_while(|_| net::try_read(stream, &mut buf, TURN_BYTES));
-        if ahead.into_iter().any(|n| n == 0) {
+    while read_some(stream, &mut buf, READ_BYTES).await > 0 {
+        // A client that has closed its connection no longer wants what it sent: the end of the stream is looked for
+        // before the messages are handled.
+        let further_reads = (0..MAX_FURTHER_READS).map_while(|_| net::try_read(stream, &mut buf, READ_BYTES));
+        if further_reads.into_iter().any(|n| n == 0) {
             break;
         }
         c.place.1.reading(true);
-        let mut at = 0;
+        let mut parsed = 0;
         for n in 1.. {
-            match wire::parse_rpc(&buf[at..]) {
-                Ok(Some((message, used))) => {
-                    if let Err(why) = handle(c, message) {
-                        refuse(c, stream, why).await;
+            match wire::parse_rpc(&buf[parsed..]) {
+                Ok(Some((message, length))) => {
+                    if let Err(why) = handle_message(c, message) {
+                        stop_reading(c, stream, why).await;
                         return None;
                     }
-                    at += used;
+                    parsed += length;
                 }
                 Ok(None) => break,
                 Err(why) => {
-                    refuse(c, stream, why).await;
+                    stop_reading(c, stream, why).await;
                     return None;
                 }
             }
-            if n % TURN == 0 {
+            if n % MESSAGES_PER_TURN == 0 {
                 future::yield_now().await;
             }
         }
-        buf.drain(..at);
-        if at > 0 {
+        buf.drain(..parsed);
+        if parsed > 0 {
             c.place.1.receiving(false);
         }
         c.place.1.receiving(!buf.is_empty());
         c.place.1.reading(false);
-        if buf.is_empty() && buf.capacity() > SPARE {
+        if buf.is_empty() && buf.capacity() > MAX_IDLE_BUFFER_BYTES {
             buf = Vec::new();
         }
-        // One that sends without pause would else keep its task running for ever.
+        // Otherwise a client that sends without pause would keep this task running for ever.
         future::yield_now().await;
     }
     Some(Counter::ClosedByClient)
 }
 
-/// Takes nothing more. What was taken before still gets its answers, as far as the client stays and takes them soon.
-async fn refuse(c: &Rc<Client>, stream: &Async<TcpStream>, why: wire::Malformed) {
+/// Stops reading messages after a malformed one. Requests accepted before are still answered, as far as the client stays
+/// and reads the answers soon.
+async fn stop_reading(c: &Rc<Client>, stream: &Async<TcpStream>, why: wire::Malformed) {
     c.node.count(Counter::Malformed);
     net::log(&format!("client: malformed frame ({}), connection closed", why.0));
-    c.refused.set(true);
+    c.malformed.set(true);
     c.signal.notify();
     let answered = async {
-        // Each is answered by its deadline at the latest.
-        while !c.open.borrow().is_empty() {
-            sleep_until(now() + OWED_LOOK).await;
+        // Every request is answered by its deadline at the latest.
+        while !c.open_requests.borrow().is_empty() {
+            sleep_until(now() + OPEN_REQUESTS_POLL_INTERVAL).await;
         }
         c.signal.notify();
-        sleep_until(now() + REFUSED).await;
+        sleep_until(now() + MALFORMED_LINGER).await;
     };
     answered.or(net::discard(stream)).await;
 }
 
-fn handle(c: &Rc<Client>, message: Rpc<'_>) -> Result<(), wire::Malformed> {
-    let at = now();
+/// Handles a message: submits a request, cancels one or answers a health check.
+fn handle_message(c: &Rc<Client>, message: Rpc<'_>) -> Result<(), wire::Malformed> {
+    let received_at = now();
     match message {
         Rpc::Notification { method: b"cancelRequest", params } => {
             if let [MsgpackValue::Int(id)] = params.as_slice() {
-                let id = u32::try_from(*id).ok().and_then(|id| c.open.borrow_mut().remove(&id));
+                let id = u32::try_from(*id).ok().and_then(|id| c.open_requests.borrow_mut().remove(&id));
                 if let Some(id) = id {
                     c.node.plan(|p, now| p.client_left(now, id));
-                    c.touch();
+                    c.update_busy();
                 }
             }
             Ok(())
         }
         Rpc::Notification { .. } => Ok(()),
         Rpc::Request { id, method, params } => {
-            // Ids count up; one that comes again could not be told from the first.
-            if id <= c.last.get() {
+            // Ids have to increase: a reused one could not be told from its first use.
+            if id <= c.last_message_id.get() {
                 return Err(wire::Malformed("message id"));
             }
-            c.last.set(id);
+            c.last_message_id.set(id);
             if method == b"alive" {
-                // With a successor there the proxy lives on, though this process ends.
-                let stays = c.node.stopping.get().is_none() || c.node.giving_way.get();
-                let yes = stays && c.node.plan(|p, _| p.ready());
-                c.push(wire::encode_alive(id, yes));
+                // If a successor takes over, the proxy goes on although this process ends.
+                let accepting = c.node.stopping.get().is_none() || c.node.giving_way.get();
+                let ready = accepting && c.node.plan(|p, _| p.ready());
+                c.push(wire::encode_alive(id, ready));
                 return Ok(());
             }
-            if c.open.borrow().len() >= OPEN || c.out.borrow().len() >= OPEN + WAITING {
+            if c.open_requests.borrow().len() >= MAX_OPEN_REQUESTS || c.outgoing.borrow().len() >= MAX_OPEN_REQUESTS + MAX_EXTRA_WAITING_ANSWERS {
                 return Err(wire::Malformed("too many open requests"));
             }
-            match parse_request(&c.node.config.names.classes, &c.node.config.settings, method, &params, at) {
-                Some(mut ask) => {
-                    ask.expires_at = ask.expires_at.min(c.node.last_due());
-                    take(c, id, ask);
+            match parse_request(&c.node.config.names.classes, &c.node.config.settings, method, &params, received_at) {
+                Some(mut request) => {
+                    request.expires_at = request.expires_at.min(c.node.last_due());
+                    submit(c, id, request);
                 }
                 None => {
                     c.node.count(Counter::Unusable);
-                    c.unusable.set(c.unusable.get() + 1);
-                    if c.unusable.get() > UNUSABLE {
+                    c.unusable_requests.set(c.unusable_requests.get() + 1);
+                    if c.unusable_requests.get() > MAX_UNUSABLE_REQUESTS {
                         return Err(wire::Malformed("too many unusable requests"));
                     }
                     c.push(wire::encode_error(id, "Error", &[]));
@@ -319,99 +333,100 @@
     }
 }
 
-fn take(c: &Rc<Client>, id: u32, ask: ClientRequest) {
+/// Submits a request to the planner, or refuses it while the program is shutting down.
+fn submit(c: &Rc<Client>, id: u32, request: ClientRequest) {
     if c.node.closing() {
         c.node.count(Counter::RefusedClosing);
         return c.push(wire::encode_error(id, "Full", &[]));
     }
-    c.open.borrow_mut().insert(id, 0);
+    c.open_requests.borrow_mut().insert(id, 0);
     let client = Rc::downgrade(c);
-    let reply = Box::new(move |last: FinalAnswer| {
+    let reply = Box::new(move |answer: FinalAnswer| {
         let Some(c) = client.upgrade() else { return };
-        if c.open.borrow_mut().remove(&id).is_none() {
+        if c.open_requests.borrow_mut().remove(&id).is_none() {
             return;
         }
-        c.push(match last {
+        c.push(match answer {
             FinalAnswer::Served(p) => {
                 let (unchanged, etag) = (("notmod", "1"), ("etag", &*p.tag));
                 let tail = wire::encode_fields(&[unchanged, etag][usize::from(!p.unchanged)..]);
                 OutgoingAnswer { head: wire::encode_served_head(id, p.body.len()), body: p.body, tail }
             }
             FinalAnswer::Refused { retry_after: 0 } => wire::encode_error(id, "Full", &[]).into(),
-            FinalAnswer::Refused { retry_after: after } => {
-                wire::encode_error(id, "Full", &[("pushback", &after.div_ceil(1000).to_string())]).into()
+            FinalAnswer::Refused { retry_after: delay } => {
+                wire::encode_error(id, "Full", &[("pushback", &delay.div_ceil(1000).to_string())]).into()
             }
             FinalAnswer::Failed => wire::encode_error(id, "Error", &[]).into(),
         });
     });
-    let number = c.node.plan(|p, now| p.accept_request(now, c.node.held(), ask, reply));
-    if let (Some(n), Some(open)) = (number, c.open.borrow_mut().get_mut(&id)) {
-        *open = n;
+    let request_id = c.node.plan(|p, now| p.accept_request(now, c.node.held(), request, reply));
+    if let (Some(planner_id), Some(entry)) = (request_id, c.open_requests.borrow_mut().get_mut(&id)) {
+        *entry = planner_id;
     }
-    c.touch();
+    c.update_busy();
 }
 
-/// A request from a method and its parameters; nothing where a field is unusable.
+/// Parses a request from a method and its parameters. Returns nothing if a field is unusable.
 pub fn parse_request(
     classes: &[String],
     settings: &threadward_core::Settings,
     method: &[u8],
     params: &[MsgpackValue<'_>],
-    at: Micros,
+    received_at: Micros,
 ) -> Option<ClientRequest> {
     let class = classes.iter().position(|c| c.as_bytes() == method)?;
     let [MsgpackValue::Map(fields), MsgpackValue::Bin(body)] = params else { return None };
-    let mut texts: HashMap<&str, &str> = HashMap::new();
+    let mut fields_by_name: HashMap<&str, &str> = HashMap::new();
     for (name, value) in fields {
         let (MsgpackValue::Str(name), MsgpackValue::Str(value)) = (name, value) else { return None };
-        let old = texts.insert(std::str::from_utf8(name).ok()?, std::str::from_utf8(value).ok()?);
-        if old.is_some() {
+        let previous = fields_by_name.insert(std::str::from_utf8(name).ok()?, std::str::from_utf8(value).ok()?);
+        if previous.is_some() {
             return None;
         }
     }
-    let hex = |t: &&str| t.len() == 16 && t.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    let number = |name: &str, most: u64| -> Option<u64> {
-        let t = texts.get(name)?;
-        let digits = !t.is_empty() && t.len() <= 10 && t.bytes().all(|b| b.is_ascii_digit());
-        t.parse().ok().filter(|n| digits && *n <= most && (t.len() == 1 || !t.starts_with('0')))
+    let is_hex_id = |text: &&str| text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    let parse_number = |name: &str, max: u64| -> Option<u64> {
+        let text = fields_by_name.get(name)?;
+        let digits = !text.is_empty() && text.len() <= 10 && text.bytes().all(|b| b.is_ascii_digit());
+        text.parse().ok().filter(|n| digits && *n <= max && (text.len() == 1 || !text.starts_with('0')))
     };
-    let plain = |name: &str| match texts.get(name) {
-        Some(t) => wire::is_plain_text(t, 128).then(|| Some(Box::from(*t))),
+    let optional_text = |name: &str| match fields_by_name.get(name) {
+        Some(text) => wire::is_plain_text(text, 128).then(|| Some(Box::from(*text))),
         None => Some(None),
     };
-    let call = texts.get("call").copied().filter(|t| hex(t))?;
-    let row = texts.get("row").copied().filter(|t| hex(t))?;
-    let key = plain("dedupe")?;
-    // No client waits for longer than its class has it: such a request would only be held.
-    let patience = settings.classes.get(class)?.deadline;
-    let keyed = settings.classes.get(class)?.effect == nickelgate::Effect::Dedup;
-    if keyed && key.is_none() || body.len() > 48_000 {
+    let call_id = fields_by_name.get("call").copied().filter(|text| is_hex_id(text))?;
+    let object_name = fields_by_name.get("row").copied().filter(|text| is_hex_id(text))?;
+    let idempotency_key = optional_text("dedupe")?;
+    // No client waits for longer than the deadline of its class: such a request would only take up memory.
+    let max_wait = settings.classes.get(class)?.deadline;
+    let needs_key = settings.classes.get(class)?.effect == nickelgate::Effect::Dedup;
+    if needs_key && idempotency_key.is_none() || body.len() > 48_000 {
         return None;
     }
     Some(ClientRequest {
-        call_id: call.into(),
+        call_id: call_id.into(),
         class: u8::try_from(class).ok()?,
-        object: u64::from_str_radix(row, 16).ok()?,
-        object_name: row.into(),
-        part: number("seg", u64::from(u32::MAX))? as u32,
-        group: number("bucket", 255)? as u16,
-        size_kb: size(texts.get("heap").copied()),
-        expires_at: at + number("ttl", patience.div_ceil(1000))? * 1000,
-        marked_retry: texts.get("rep") == Some(&"1"),
-        idempotency_key: key,
-        tag: plain("etag")?,
+        object: u64::from_str_radix(object_name, 16).ok()?,
+        object_name: object_name.into(),
+        part: parse_number("seg", u64::from(u32::MAX))? as u32,
+        group: parse_number("bucket", 255)? as u16,
+        size_kb: parse_size_kb(fields_by_name.get("heap").copied()),
+        expires_at: received_at + parse_number("ttl", max_wait.div_ceil(1000))? * 1000,
+        marked_retry: fields_by_name.get("rep") == Some(&"1"),
+        idempotency_key,
+        tag: optional_text("etag")?,
         body: body.to_vec(),
         policy: RequestPolicy::default(),
     })
 }
 
-/// The size that a client states in `heap`, in KB: a plain decimal up to `MOST_KB`. It only informs the router, so
-/// one that cannot be read is taken as not told, and the request goes on.
-fn size(text: Option<&str>) -> f32 {
-    /// Far beyond the largest object the protocol allows, with the simulator's count of bytes.
-    const MOST_KB: f32 = 1e7;
+/// Parses the size in KB that a client states in `heap`: a plain decimal number up to `MAX_KB`. The router takes it as a
+/// hint only, so an unusable value counts as absent and the request goes on.
+fn parse_size_kb(text: Option<&str>) -> f32 {
+    /// Far beyond the largest object that the protocol allows, even as the simulator counts bytes.
+    const MAX_KB: f32 = 1e7;
     let plain =
         |t: &str| !t.is_empty() && t.len() <= 16 && t.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let kb = text.filter(|t| plain(t)).and_then(|t| t.parse::<f32>().ok());
-    kb.filter(|k| (0.0..=MOST_KB).contains(k)).unwrap_or(0.0)
+    kb.filter(|k| (0.0..=MAX_KB).contains(k)).unwrap_or(0.0)
 }
--- a/node/src/net.rs
+++ b/node/src/net.rs
@@ -1,6 +1,7 @@
-//! What the tasks of the program share: the clock, the log, a wake-up, reads and writes on sockets. It owns nothing that
-//! outlives a call but the one read buffer. It must never know the node, a front or the pool, and nothing here takes
-//! a time-out: waits end at points on the clock.
+//! Helpers that the program's tasks share: the clock, the log, a wake-up signal, and reads and writes on sockets.
+//!
+//! Nothing here depends on the node, a listener or the pool, and the only state is the log's rate limit and one shared
+//! read buffer. Waits are bounded by points in time, not by durations.
 use crate::calls;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
@@ -17,39 +18,41 @@
 
 pub use crate::clock::now;
 
-/// Microseconds since this machine started: no step of the system's clock moves it, and it goes on while the machine
-/// sleeps.
+/// Returns the microseconds since this machine started. Steps of the system's clock don't affect it, and it goes on while
+/// the machine sleeps.
 pub fn uptime() -> Micros {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     t.tv_sec as Micros * 1_000_000 + t.tv_nsec as Micros / 1_000
 }
 
-/// Writes a line to the log, a few dozen in a second at most. A log that is full or gone must not end a task, as
-/// `eprintln!` would.
+/// Writes a line to the log and drops it beyond [`MAX_LINES_PER_SECOND`]. Unlike `eprintln!`, it doesn't panic if the
+/// log's target is full or closed, which would end the calling task.
 pub fn log(line: &str) {
     thread_local!(static SECOND: Cell<(Micros, u32)> = const { Cell::new((0, 0)) });
     static OPENED: Once = Once::new();
     let second = now() / 1_000_000;
-    let (last, n) = SECOND.get();
-    let n = if last == second { n + 1 } else { 1 };
-    SECOND.set((second, n));
-    if n <= LINES {
+    let (previous, lines) = SECOND.get();
+    let lines = if previous == second { lines + 1 } else { 1 };
+    SECOND.set((second, lines));
+    if lines <= MAX_LINES_PER_SECOND {
         OPENED.call_once(open_log);
         log::info!("{line}");
     }
 }
 
-/// Lines in a second.
-const LINES: u32 = 40;
+/// Limit on log lines in a second.
+const MAX_LINES_PER_SECOND: u32 = 40;
 
-/// Plain lines of this program alone, each in one write to standard error, whatever the environment says.
+/// Sets up the log: plain lines of this program alone, each in a single write to standard error, regardless of the
+/// environment.
 fn open_log() {
-    let mut own = env_logger::Builder::new();
-    own.filter_module("threadward", LevelFilter::Info).format(|line, r| writeln!(line, "{}", r.args()));
-    // Whoever uses the library may have a log of their own.
-    let _ = own.try_init();
+    let mut builder = env_logger::Builder::new();
+    builder.filter_module("threadward", LevelFilter::Info).format(|line, r| writeln!(line, "{}", r.args()));
+    // A user of the library may have set up another logger.
+    let _ = builder.try_init();
 }
 
+/// Waits until a point in time; returns at once if it has passed.
 pub async fn sleep_until(at: Micros) {
     let left = at.saturating_sub(now());
     if left > 0 {
@@ -57,30 +60,32 @@
     }
 }
 
-/// Datagrams that are read in one go, and the pause after: a flood takes no more than so many of them.
-const BATCH: usize = 64;
-const PAUSE: Micros = 10_000;
+/// Datagrams that are read before a pause of [`PAUSE_AFTER_BATCH`], which bounds the rate in a flood.
+const MAX_DATAGRAMS_PER_BATCH: usize = 64;
+/// The pause after a batch of datagrams, or after a failed read.
+const PAUSE_AFTER_BATCH: Micros = 10_000;
 
-/// Reads datagrams of up to `most` bytes for as long as the program runs; a longer one comes one byte over it.
+/// Reads datagrams for as long as the program runs and hands them to `handle`. A datagram longer than `max_bytes` is cut
+/// to one byte more than that, so that `handle` can tell.
 pub async fn receive_datagrams(
     socket: &Async<UdpSocket>,
-    most: usize,
-    mut take: impl FnMut(&[u8], SocketAddr),
+    max_bytes: usize,
+    mut handle: impl FnMut(&[u8], SocketAddr),
 ) {
-    let mut buf = vec![0u8; most + 1];
+    let mut buf = vec![0u8; max_bytes + 1];
     loop {
-        for _ in 0..BATCH {
+        for _ in 0..MAX_DATAGRAMS_PER_BATCH {
             match socket.recv_from(&mut buf).await {
-                Ok((n, from)) => take(&buf[..n], from),
+                Ok((n, from)) => handle(&buf[..n], from),
                 Err(_) => break,
             }
             future::yield_now().await;
         }
-        sleep_until(now() + PAUSE).await;
+        sleep_until(now() + PAUSE_AFTER_BATCH).await;
     }
 }
 
-/// Wakes one waiting task; a wake-up with nobody waiting is kept for the next.
+/// Wakes a waiting task. A wake-up while no task waits is kept for the next wait.
 #[derive(Default)]
 pub struct Signal {
     set: Cell<bool>,
@@ -88,6 +93,7 @@
 }
 
 impl Signal {
+    /// Wakes the waiting task, or lets the next wait return at once.
     pub fn notify(&self) {
         self.set.set(true);
         if let Some(w) = self.waker.borrow_mut().take() {
@@ -95,6 +101,7 @@
         }
     }
 
+    /// Waits for the next wake-up and consumes it.
     pub async fn wait(&self) {
         future::poll_fn(|cx| {
             if self.set.replace(false) {
@@ -108,41 +115,41 @@
 }
 
 thread_local! {
-    /// What was just read. One for all connections: those that wait for bytes hold no buffer.
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; 64 * 1024]);
+    /// The buffer of every read. All connections share it, so that those that wait for data hold no buffer.
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; 64 * 1024]);
 }
 
-/// Reads what has come, up to `most` bytes, to the end of `buf`: how many, 0 at the end of the stream or after a failure;
-/// nothing where nothing has come.
-pub fn try_read(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> Option<usize> {
-    SCRATCH.with_borrow_mut(|scratch| {
-        let room = most.min(scratch.len());
-        match calls::uninterrupted(|| stream.get_ref().read(&mut scratch[..room])) {
+/// Appends what has arrived to `buf`, up to `max_bytes`, without waiting. Returns the number of bytes, 0 at the end of the
+/// stream or after an error, or nothing if no data has arrived.
+pub fn try_read(stream: &Async<TcpStream>, buf: &mut Vec<u8>, max_bytes: usize) -> Option<usize> {
+    READ_BUFFER.with_borrow_mut(|buffer| {
+        let room = max_bytes.min(buffer.len());
+        match calls::uninterrupted(|| stream.get_ref().read(&mut buffer[..room])) {
             Ok(n) => {
-                buf.extend_from_slice(&scratch[..n]);
+                buf.extend_from_slice(&buffer[..n]);
                 Some(n)
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
-            // Reset, timed out or unreachable: nothing more comes on this connection.
+            // Reset, timed out or unreachable: nothing more arrives on this connection.
             Err(_) => Some(0),
         }
     })
 }
 
-/// The same, but waits for bytes.
-pub async fn read_some(stream: &Async<TcpStream>, buf: &mut Vec<u8>, most: usize) -> usize {
+/// Waits for data and appends it to `buf`, as [`try_read`] does.
+pub async fn read_some(stream: &Async<TcpStream>, buf: &mut Vec<u8>, max_bytes: usize) -> usize {
     loop {
-        match try_read(stream, buf, most) {
+        match try_read(stream, buf, max_bytes) {
             Some(n) => return n,
             None => calls::readable(stream).await,
         }
     }
 }
 
-/// Writes these bytes whole.
+/// Writes all of these bytes.
 ///
 /// # Errors
-/// Why the connection takes no more.
+/// Returns the error if the connection fails first.
 pub async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> std::io::Result<()> {
     while !bytes.is_empty() {
         match calls::uninterrupted(|| stream.get_ref().write(bytes)) {
@@ -155,11 +162,11 @@
     Ok(())
 }
 
-/// Bytes that are thrown away in a turn.
-const SCRAP: usize = 16 * 1024;
+/// Bytes that are read and discarded at a time.
+const DISCARD_READ_BYTES: usize = 16 * 1024;
 
-/// Ends writing, then reads on and throws away what comes, to the end of the stream or the point on the clock: a close
-/// over unread bytes resets the connection, and what was written last is lost with it.
+/// Shuts down the writing side, then discards what arrives until the end of the stream or the given time. Closing a
+/// connection with unread data would reset it, and what was written last could be lost.
 pub async fn shutdown_and_drain(stream: &Async<TcpStream>, until: Micros) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
@@ -167,31 +174,32 @@
     discard(stream).or(sleep_until(until)).await;
 }
 
-/// Reads on and throws away what comes, to the end of the stream.
+/// Discards what arrives until the end of the stream.
 pub async fn discard(stream: &Async<TcpStream>) {
-    let mut scrap = Vec::new();
-    while read_some(stream, &mut scrap, SCRAP).await > 0 {
-        scrap.clear();
+    let mut discarded = Vec::new();
+    while read_some(stream, &mut discarded, DISCARD_READ_BYTES).await > 0 {
+        discarded.clear();
         future::yield_now().await;
     }
 }
 
-/// Whether bytes have come that were not read.
+/// Returns whether data has arrived that was not read.
 pub fn has_unread_bytes(stream: &Async<TcpStream>) -> bool {
     // After an error, as at the end of the stream, nothing more can be read.
     calls::uninterrupted(|| stream.get_ref().peek(&mut [0])).is_ok_and(|n| n > 0)
 }
 
-/// Connections that may wait to be accepted: a crowd comes at once, and one that is dropped here asks again after 1 s.
+/// Length of the accept backlog. Many clients may connect at once, and one that is dropped here tries again only after
+/// 1 s.
 pub const LISTEN_BACKLOG: i32 = 1024;
 
-/// The clients' address, held but not yet listened at.
+/// A TCP address that is bound but not listened on yet.
 pub struct BoundAddress(OwnedFd);
 
-/// Holds an address for a listener. `shared`: other processes of this user may hold it too.
+/// Binds the address of a listener. If it is `shared`, other processes of this user may bind it too.
 ///
 /// # Errors
-/// Why it cannot be held.
+/// Returns the error if the address cannot be bound.
 pub fn bind_address(at: SocketAddr, shared: bool) -> std::io::Result<BoundAddress> {
     let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
@@ -202,20 +210,20 @@
 }
 
 impl BoundAddress {
-    /// Begins to listen.
+    /// Starts to listen.
     ///
     /// # Errors
-    /// Why it cannot.
+    /// Returns the error if that fails.
     pub fn listen(self) -> std::io::Result<Async<TcpListener>> {
         rustix::net::listen(&self.0, LISTEN_BACKLOG)?;
         Async::new(TcpListener::from(self.0))
     }
 }
 
-/// A socket for datagrams.
+/// Binds a UDP socket. If it is `shared`, other processes of this user may bind the address too.
 ///
 /// # Errors
-/// Why there is none.
+/// Returns the error if the address cannot be bound.
 pub fn bind_datagram_socket(at: SocketAddr, shared: bool) -> std::io::Result<Async<UdpSocket>> {
     let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = rustix::net::socket_with(family, SocketType::DGRAM, SocketFlags::CLOEXEC, None)?;
@@ -224,7 +232,7 @@
     Async::new(UdpSocket::from(socket))
 }
 
-/// An answer on its way to a client: what stands before the body, the body as it came, what stands after it.
+/// An answer to a client: the bytes before the body, the body as it was received, and the bytes after it.
 #[derive(Default)]
 pub struct OutgoingAnswer {
     pub head: Vec<u8>,
@@ -239,19 +247,19 @@
 }
 
 impl OutgoingAnswer {
-    /// Memory that it holds.
+    /// Returns how much memory the answer holds, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.head.capacity() + self.body.allocated_bytes() + self.tail.capacity()
     }
 
-    /// Writes it whole, the parts together; false when the client is gone.
+    /// Writes the whole answer, its parts together. Returns false if the connection fails first.
     pub async fn write(&self, stream: &Async<TcpStream>) -> bool {
         let mut slices = [IoSlice::new(&self.head), IoSlice::new(&self.body), IoSlice::new(&self.tail)];
-        let mut left: &mut [IoSlice<'_>] = &mut slices;
-        IoSlice::advance_slices(&mut left, 0);
-        while !left.is_empty() {
-            match calls::uninterrupted(|| stream.get_ref().write_vectored(left)) {
-                Ok(n) if n > 0 => IoSlice::advance_slices(&mut left, n),
+        let mut remaining: &mut [IoSlice<'_>] = &mut slices;
+        IoSlice::advance_slices(&mut remaining, 0);
+        while !remaining.is_empty() {
+            match calls::uninterrupted(|| stream.get_ref().write_vectored(remaining)) {
+                Ok(n) if n > 0 => IoSlice::advance_slices(&mut remaining, n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => calls::writable(stream).await,
                 _ => return false,
             }
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -1,6 +1,8 @@
-//! The parsers and writers of the three wires: MessagePack-RPC from clients, RESP to caches, server-sent events
-//! of the bulletin. It owns the bytes and nothing else: pure functions from a buffer to a value and the bytes
-//! used. It must never do I/O, keep state between calls, or judge what a well-formed message means.
+//! Parsers and encoders of the three protocols: MessagePack-RPC with clients, RESP with caches, and server-sent events
+//! from discovery.
+//!
+//! All of them are pure functions without I/O or state. A parser takes a buffer and returns a value and the number of
+//! bytes it took, or nothing as long as the value is incomplete. What a well-formed message means is up to the caller.
 use atoi::FromRadix10Checked;
 use httparse::Error::{HeaderName, HeaderValue, TooManyHeaders};
 use httparse::{ParserConfig, Request, Response, Status};
@@ -10,22 +12,25 @@
 use sseer::parser::{parse_line, RawEventLine};
 use std::mem::MaybeUninit;
 
-/// What is wrong with a frame. The connection it came on is closed.
+/// What is wrong with a malformed message. The connection it came on is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
+/// A value and the bytes it took, or nothing if it is incomplete.
 type Parsed<T> = Result<Option<(T, usize)>, Malformed>;
 
-/// The longest frame of a client: a body of 48,000 bytes and its fields.
+/// Limit on the size of a client's message: a body of 48,000 bytes and its fields.
 pub const MAX_CLIENT_FRAME_BYTES: usize = 64 * 1024;
-/// The longest body of a cache's answer, an object of 240,000 bytes, and the longest of the parts before it.
+/// Limit on the body of a cache's answer: an object of 240,000 bytes.
 pub const MAX_BULK_BYTES: usize = 256 * 1024;
+/// Limit on each part of a cache's answer before its body.
 pub const MAX_LEADING_PART_BYTES: usize = 4 * 1024;
-/// The most digits in a length of RESP.
-const DIGITS: usize = 10;
+/// Limit on the digits of a length in RESP.
+const MAX_LENGTH_DIGITS: usize = 10;
 
 // ---- MessagePack ----
 
+/// A MessagePack value, with strings and binary data borrowed from the buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MsgpackValue<'a> {
     Nil,
@@ -35,129 +40,135 @@
     Bin(&'a [u8]),
     List(Vec<MsgpackValue<'a>>),
     Map(Vec<(MsgpackValue<'a>, MsgpackValue<'a>)>),
-    /// A kind that no message here uses.
+    /// A value of a type that no message uses.
     Other,
 }
 
+/// The position of the parser in a message.
 struct Cursor<'a> {
-    rest: &'a [u8],
-    /// Length of what has come of the frame.
-    whole: usize,
-    /// Values that it may still have.
-    left: usize,
+    remaining: &'a [u8],
+    /// How many bytes of the message have arrived.
+    frame_bytes: usize,
+    /// How many values the message may still have.
+    values_left: usize,
 }
 
-enum Stop {
-    Short,
-    Bad(&'static str),
+/// Why parsing stopped.
+enum ParseStop {
+    /// Bytes are missing.
+    Incomplete,
+    /// The message is malformed.
+    Invalid(&'static str),
 }
 
-/// The kind was looked at before the read, so all that can fail is that bytes are missing.
-impl From<ValueReadError> for Stop {
-    fn from(_: ValueReadError) -> Stop {
-        Stop::Short
+/// The value's type is checked before it is read, so the only possible failure is that bytes are missing.
+impl From<ValueReadError> for ParseStop {
+    fn from(_: ValueReadError) -> ParseStop {
+        ParseStop::Incomplete
     }
 }
 
-/// Room made at once for a list or map: what the short forms hold. A longer one grows as its values come.
-const FEW: u32 = 16;
+/// Capacity reserved in advance for a list or map: as many items as the short encodings hold. A longer one grows as its
+/// items are parsed.
+const MAX_PREALLOCATED_ITEMS: u32 = 16;
 
 impl<'a> Cursor<'a> {
-    fn take(&mut self, n: u32) -> Result<&'a [u8], Stop> {
+    fn read_bytes(&mut self, n: u32) -> Result<&'a [u8], ParseStop> {
         let n = n as usize;
-        if n > MAX_CLIENT_FRAME_BYTES - (self.whole - self.rest.len()) {
-            return Err(Stop::Bad("frame too long"));
+        if n > MAX_CLIENT_FRAME_BYTES - (self.frame_bytes - self.remaining.len()) {
+            return Err(ParseStop::Invalid("frame too long"));
         }
-        let (got, rest) = self.rest.split_at_checked(n).ok_or(Stop::Short)?;
-        self.rest = rest;
+        let (got, remaining) = self.remaining.split_at_checked(n).ok_or(ParseStop::Incomplete)?;
+        self.remaining = remaining;
         Ok(got)
     }
-    fn list(&mut self, n: u32, depth: u8) -> Result<MsgpackValue<'a>, Stop> {
-        let mut list = Vec::with_capacity(n.min(FEW) as usize);
+    fn read_list(&mut self, n: u32, depth: u8) -> Result<MsgpackValue<'a>, ParseStop> {
+        let mut items = Vec::with_capacity(n.min(MAX_PREALLOCATED_ITEMS) as usize);
         for _ in 0..n {
-            list.push(self.val(depth)?);
+            items.push(self.read_value(depth)?);
         }
-        Ok(MsgpackValue::List(list))
+        Ok(MsgpackValue::List(items))
     }
-    fn map(&mut self, n: u32, depth: u8) -> Result<MsgpackValue<'a>, Stop> {
-        let mut map = Vec::with_capacity(n.min(FEW) as usize);
+    fn read_map(&mut self, n: u32, depth: u8) -> Result<MsgpackValue<'a>, ParseStop> {
+        let mut entries = Vec::with_capacity(n.min(MAX_PREALLOCATED_ITEMS) as usize);
         for _ in 0..n {
-            map.push((self.val(depth)?, self.val(depth)?));
+            entries.push((self.read_value(depth)?, self.read_value(depth)?));
         }
-        Ok(MsgpackValue::Map(map))
+        Ok(MsgpackValue::Map(entries))
     }
-    /// One value. Guards the stack and the heap against hostile nesting and counts.
-    fn val(&mut self, depth: u8) -> Result<MsgpackValue<'a>, Stop> {
+    /// Reads a value. Limits on depth and on the number of values protect the stack and the heap from hostile input.
+    fn read_value(&mut self, depth: u8) -> Result<MsgpackValue<'a>, ParseStop> {
         use Marker::*;
-        if depth > 6 || self.left == 0 {
-            return Err(Stop::Bad("too many values"));
+        if depth > 6 || self.values_left == 0 {
+            return Err(ParseStop::Invalid("too many values"));
         }
-        self.left -= 1;
-        let kind = Marker::from_u8(*self.rest.first().ok_or(Stop::Short)?);
-        let rest = &mut self.rest;
-        Ok(match kind {
-            Null => (decode::read_nil(rest)?, MsgpackValue::Nil).1,
-            True | False => MsgpackValue::Bool(decode::read_bool(rest)?),
+        self.values_left -= 1;
+        let marker = Marker::from_u8(*self.remaining.first().ok_or(ParseStop::Incomplete)?);
+        let remaining = &mut self.remaining;
+        Ok(match marker {
+            Null => (decode::read_nil(remaining)?, MsgpackValue::Nil).1,
+            True | False => MsgpackValue::Bool(decode::read_bool(remaining)?),
             FixPos(_) | FixNeg(_) | U8 | U16 | U32 | U64 | I8 | I16 | I32 | I64 => {
-                match decode::read_int(rest) {
+                match decode::read_int(remaining) {
                     Ok(n) => MsgpackValue::Int(n),
                     Err(NumValueReadError::OutOfRange) => MsgpackValue::Other,
-                    Err(_) => return Err(Stop::Short),
+                    Err(_) => return Err(ParseStop::Incomplete),
                 }
             }
             FixStr(_) | Str8 | Str16 | Str32 => {
-                let n = decode::read_str_len(rest)?;
-                MsgpackValue::Str(self.take(n)?)
+                let n = decode::read_str_len(remaining)?;
+                MsgpackValue::Str(self.read_bytes(n)?)
             }
             Bin8 | Bin16 | Bin32 => {
-                let n = decode::read_bin_len(rest)?;
-                MsgpackValue::Bin(self.take(n)?)
+                let n = decode::read_bin_len(remaining)?;
+                MsgpackValue::Bin(self.read_bytes(n)?)
             }
             FixArray(_) | Array16 | Array32 => {
-                let n = decode::read_array_len(rest)?;
-                self.list(n, depth + 1)?
+                let n = decode::read_array_len(remaining)?;
+                self.read_list(n, depth + 1)?
             }
             FixMap(_) | Map16 | Map32 => {
-                let n = decode::read_map_len(rest)?;
-                self.map(n, depth + 1)?
+                let n = decode::read_map_len(remaining)?;
+                self.read_map(n, depth + 1)?
             }
-            F32 => (decode::read_f32(rest)?, MsgpackValue::Other).1,
-            F64 => (decode::read_f64(rest)?, MsgpackValue::Other).1,
+            F32 => (decode::read_f32(remaining)?, MsgpackValue::Other).1,
+            F64 => (decode::read_f64(remaining)?, MsgpackValue::Other).1,
             FixExt1 | FixExt2 | FixExt4 | FixExt8 | FixExt16 | Ext8 | Ext16 | Ext32 => {
-                let n = decode::read_ext_meta(rest)?.size;
-                (self.take(n)?, MsgpackValue::Other).1
+                let n = decode::read_ext_meta(remaining)?.size;
+                (self.read_bytes(n)?, MsgpackValue::Other).1
             }
-            Reserved => return Err(Stop::Bad("unused type")),
+            Reserved => return Err(ParseStop::Invalid("unused type")),
         })
     }
 }
 
+/// A MessagePack-RPC message from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rpc<'a> {
     Request { id: u32, method: &'a [u8], params: Vec<MsgpackValue<'a>> },
     Notification { method: &'a [u8], params: Vec<MsgpackValue<'a>> },
 }
 
-/// One value, within the bounds of a client's frame.
+/// Parses a MessagePack value of at most [`MAX_CLIENT_FRAME_BYTES`].
 pub fn parse_msgpack(buf: &[u8]) -> Parsed<MsgpackValue<'_>> {
     let frame = &buf[..buf.len().min(MAX_CLIENT_FRAME_BYTES)];
-    let mut c = Cursor { rest: frame, whole: frame.len(), left: 256 };
-    match c.val(0) {
-        Ok(v) => Ok(Some((v, frame.len() - c.rest.len()))),
-        Err(Stop::Short) if frame.len() == MAX_CLIENT_FRAME_BYTES => Err(Malformed("frame too long")),
-        Err(Stop::Short) => Ok(None),
-        Err(Stop::Bad(why)) => Err(Malformed(why)),
+    let mut cursor = Cursor { remaining: frame, frame_bytes: frame.len(), values_left: 256 };
+    match cursor.read_value(0) {
+        Ok(v) => Ok(Some((v, frame.len() - cursor.remaining.len()))),
+        Err(ParseStop::Incomplete) if frame.len() == MAX_CLIENT_FRAME_BYTES => Err(Malformed("frame too long")),
+        Err(ParseStop::Incomplete) => Ok(None),
+        Err(ParseStop::Invalid(why)) => Err(Malformed(why)),
     }
 }
 
-/// One message of a client.
+/// Parses a message from a client.
 pub fn parse_rpc(buf: &[u8]) -> Parsed<Rpc<'_>> {
-    let (list, used) = match parse_msgpack(buf)? {
-        Some((MsgpackValue::List(list), used)) => (list, used),
+    let (items, length) = match parse_msgpack(buf)? {
+        Some((MsgpackValue::List(items), length)) => (items, length),
         Some(_) => return Err(Malformed("not a list")),
         None => return Ok(None),
     };
-    let mut it = list.into_iter();
+    let mut it = items.into_iter();
     let message = match (it.next(), it.next(), it.next(), it.next(), it.next()) {
         (
             Some(MsgpackValue::Int(0)),
@@ -178,10 +189,10 @@
         ) => Rpc::Notification { method, params },
         _ => return Err(Malformed("not a request")),
     };
-    Ok(Some((message, used)))
+    Ok(Some((message, length)))
 }
 
-/// Bytes in memory take all that is written: the errors below have no values.
+/// Appends a string. Writing to memory cannot fail: the error types of the writes below have no values.
 fn put_str(out: &mut ByteBuf, s: &str) {
     let Ok(()) = encode::write_str(out, s);
 }
@@ -202,7 +213,7 @@
     }
 }
 
-/// `[1, id, ...`: the id takes four bytes whatever it is.
+/// Encodes `[1, id, ...`, with the id in four bytes whatever its value.
 fn answer_head(id: u32) -> ByteBuf {
     let mut out = ByteBuf::new();
     put_list(&mut out, 4);
@@ -211,22 +222,24 @@
     out
 }
 
-/// `[1, id, nil, [BODY, FIELDS]]` as far as the bytes of a body of so many; they and the fields follow.
-pub fn encode_served_head(id: u32, body: usize) -> Vec<u8> {
+/// Encodes `[1, id, nil, [BODY, FIELDS]]` up to the header of a body of `body_bytes`. The body itself and the fields
+/// follow.
+pub fn encode_served_head(id: u32, body_bytes: usize) -> Vec<u8> {
     let mut out = answer_head(id);
     put_nil(&mut out);
     put_list(&mut out, 2);
-    let Ok(_) = encode::write_bin_len(&mut out, body as u32);
+    let Ok(_) = encode::write_bin_len(&mut out, body_bytes as u32);
     out.into_vec()
 }
 
+/// Encodes fields as a map of strings.
 pub fn encode_fields(fields: &[(&str, &str)]) -> Vec<u8> {
     let mut out = ByteBuf::new();
     put_fields(&mut out, fields);
     out.into_vec()
 }
 
-/// `[1, id, [WORD, FIELDS], nil]`
+/// Encodes the error answer `[1, id, [WORD, FIELDS], nil]`.
 pub fn encode_error(id: u32, word: &str, fields: &[(&str, &str)]) -> Vec<u8> {
     let mut out = answer_head(id);
     put_list(&mut out, 2);
@@ -236,194 +249,204 @@
     out.into_vec()
 }
 
-/// `[1, id, nil, [yes, FIELDS]]`
-pub fn encode_alive(id: u32, yes: bool) -> Vec<u8> {
+/// Encodes the answer to a health check, `[1, id, nil, [alive, FIELDS]]`.
+pub fn encode_alive(id: u32, alive: bool) -> Vec<u8> {
     let mut out = answer_head(id);
     put_nil(&mut out);
     put_list(&mut out, 2);
-    let Ok(()) = encode::write_bool(&mut out, yes);
+    let Ok(()) = encode::write_bool(&mut out, alive);
     put_fields(&mut out, &[]);
     out.into_vec()
 }
 
 // ---- RESP ----
 
-/// A mark, a number and CRLF: the number, and where the next line starts.
-fn sized(buf: &[u8], at: usize, mark: u8, most: usize) -> Parsed<usize> {
-    let digits = match buf.get(at..).unwrap_or_default() {
+/// Parses a type mark, a number of at most `max` and CRLF. Returns the number, and where the next line starts.
+fn parse_length(buf: &[u8], start: usize, mark: u8, max: usize) -> Parsed<usize> {
+    let digits = match buf.get(start..).unwrap_or_default() {
         [] => return Ok(None),
         [first, rest @ ..] if *first == mark => rest,
         _ => return Err(Malformed("wrong mark")),
     };
-    let (n, used) = usize::from_radix_10_checked(&digits[..digits.len().min(DIGITS)]);
-    let n = n.filter(|n| *n <= most).ok_or(Malformed("length too large"))?;
-    match &digits[used..] {
-        [b'\r', b'\n', ..] if used > 0 => Ok(Some((n, at + used + 3))),
+    let (length, digit_count) = usize::from_radix_10_checked(&digits[..digits.len().min(MAX_LENGTH_DIGITS)]);
+    let length = length.filter(|length| *length <= max).ok_or(Malformed("length too large"))?;
+    match &digits[digit_count..] {
+        [b'\r', b'\n', ..] if digit_count > 0 => Ok(Some((length, start + digit_count + 3))),
         [] | [b'\r'] => Ok(None),
         _ => Err(Malformed("not a length")),
     }
 }
 
-/// An array of bulk strings.
+/// Parses an array of bulk strings.
 pub fn parse_resp(buf: &[u8]) -> Parsed<Vec<&[u8]>> {
-    let Some((count, mut at)) = sized(buf, 0, b'*', 8)? else { return Ok(None) };
+    let Some((count, mut position)) = parse_length(buf, 0, b'*', 8)? else { return Ok(None) };
     let mut parts = Vec::new();
     for i in 0..count {
-        let most = if i < 3 { MAX_LEADING_PART_BYTES } else { MAX_BULK_BYTES };
-        let Some((n, from)) = sized(buf, at, b'$', most)? else { return Ok(None) };
-        let Some(rest) = buf.get(from..from + n + 2) else { return Ok(None) };
+        let max = if i < 3 { MAX_LEADING_PART_BYTES } else { MAX_BULK_BYTES };
+        let Some((length, start)) = parse_length(buf, position, b'$', max)? else { return Ok(None) };
+        let Some(rest) = buf.get(start..start + length + 2) else { return Ok(None) };
         if !rest.ends_with(b"\r\n") {
             return Err(Malformed("a bulk string without its end"));
         }
-        parts.push(&rest[..n]);
-        at = from + n + 2;
+        parts.push(&rest[..length]);
+        position = start + length + 2;
     }
-    Ok(Some((parts, at)))
+    Ok(Some((parts, position)))
 }
 
-/// The first bulk string of an array of which the rest may still be coming in.
+/// Returns the first bulk string of an array that may still be incomplete.
 pub fn first_resp_part(buf: &[u8]) -> Option<&[u8]> {
-    let (_, at) = sized(buf, 0, b'*', 8).ok()??;
-    let (n, from) = sized(buf, at, b'$', MAX_LEADING_PART_BYTES).ok()??;
-    buf.get(from..from + n)
+    let (_, position) = parse_length(buf, 0, b'*', 8).ok()??;
+    let (length, start) = parse_length(buf, position, b'$', MAX_LEADING_PART_BYTES).ok()??;
+    buf.get(start..start + length)
 }
 
-/// How long an answer whose last bulk string is still coming in will be: so much memory it takes, and no more.
+/// Returns the full length in bytes of an array whose last bulk string is still arriving, so that exactly this much
+/// memory can be reserved.
 pub fn resp_array_bytes(buf: &[u8]) -> Option<usize> {
-    let (count, mut at) = sized(buf, 0, b'*', 8).ok()??;
+    let (count, mut position) = parse_length(buf, 0, b'*', 8).ok()??;
     for _ in 0..count {
-        let (n, from) = sized(buf, at, b'$', MAX_BULK_BYTES).ok()??;
-        at = from + n + 2;
+        let (length, start) = parse_length(buf, position, b'$', MAX_BULK_BYTES).ok()??;
+        position = start + length + 2;
     }
-    Some(at)
+    Some(position)
 }
 
+/// Encodes an array of bulk strings.
 pub fn encode_resp(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::with_capacity(parts.iter().map(|p| p.len() + 16).sum());
-    let mut text = itoa::Buffer::new();
-    let mut size = |out: &mut Vec<u8>, mark, n| {
+    let mut digits = itoa::Buffer::new();
+    let mut write_length = |out: &mut Vec<u8>, mark, n| {
         out.push(mark);
-        out.extend_from_slice(text.format(n).as_bytes());
+        out.extend_from_slice(digits.format(n).as_bytes());
         out.extend_from_slice(b"\r\n");
     };
-    size(&mut out, b'*', parts.len());
+    write_length(&mut out, b'*', parts.len());
     for p in parts {
-        size(&mut out, b'$', p.len());
+        write_length(&mut out, b'$', p.len());
         out.extend_from_slice(p);
         out.extend_from_slice(b"\r\n");
     }
     out
 }
 
-/// The value of a name in `name=value,name=value`.
+/// Returns the value of a name in `name=value,name=value`.
 pub fn find_field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Whether a text may stand in such a list, and on a line.
-pub fn is_plain_text(s: &str, most: usize) -> bool {
-    !s.is_empty() && s.len() <= most && s.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
+/// Returns whether a text may be a value in such a list and may stand in a line: it is neither empty nor longer than
+/// `max_bytes`, and has only printable ASCII characters without spaces, commas and equals signs.
+pub fn is_plain_text(text: &str, max_bytes: usize) -> bool {
+    !text.is_empty() && text.len() <= max_bytes && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
 }
 
 // ---- HTTP and server-sent events ----
 
+/// The start line and the headers of an HTTP/1.1 message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpHead {
-    /// Words of the first line.
+    /// The three parts of the start line.
     pub start_line: [String; 3],
-    /// Names in lower case.
+    /// Names in lower case, and values.
     pub headers: Vec<(String, String)>,
 }
 
 impl HttpHead {
+    /// Returns the value of the first header with this name, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
-    /// The value of a header that may stand only once.
+    /// Returns the value of a header that may occur only once.
+    ///
+    /// # Errors
+    /// Returns an error if it occurs more than once.
     pub fn single_header(&self, name: &str) -> Result<Option<&str>, Malformed> {
         let mut all = self.headers.iter().filter(|(n, _)| n == name);
         match (all.next(), all.next()) {
-            (_, Some(_)) => Err(Malformed("a header that stands twice")),
+            (_, Some(_)) => Err(Malformed("a header occurs twice")),
             (one, None) => Ok(one.map(|(_, v)| v.as_str())),
         }
     }
 }
 
-/// The longest head, and the most headers in one.
-const HEAD: usize = 16 * 1024;
-const HEADERS: usize = 100;
-/// The longest line that tells the size of a chunk.
-const SIZE: usize = 65;
+/// Limit on the size of a head.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Limit on the number of headers in a head.
+const MAX_HEADERS: usize = 100;
+/// Limit on the line with the size of a chunk.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 65;
 
-/// How long a head is, once all of it has come.
-fn whole(read: httparse::Result<usize>, come: usize) -> Result<Option<usize>, Malformed> {
+/// Returns the length of a head, or nothing if it is incomplete.
+fn head_length(read: httparse::Result<usize>, received: usize) -> Result<Option<usize>, Malformed> {
     match read {
-        Ok(Status::Complete(used)) => Ok(Some(used)),
-        Ok(Status::Partial) if come > HEAD => Err(Malformed("head too long")),
+        Ok(Status::Complete(length)) => Ok(Some(length)),
+        Ok(Status::Partial) if received > MAX_HEAD_BYTES => Err(Malformed("head too long")),
         Ok(Status::Partial) => Ok(None),
         Err(HeaderName | HeaderValue | TooManyHeaders) => Err(Malformed("header")),
         Err(_) => Err(Malformed("first line")),
     }
 }
 
-/// The head of an HTTP/1.1 message, to its empty line.
+/// Parses the head of an HTTP/1.1 message up to the empty line that ends it.
 pub fn parse_http_head(buf: &[u8]) -> Parsed<HttpHead> {
-    // Empty lines before the first are passed over by the library, and lines that end in LF alone are taken.
+    // The library skips empty lines before the first and accepts lines that end in LF alone. Both are refused here and
+    // below.
     if buf.starts_with(b"\r") || buf.starts_with(b"\n") {
         return Err(Malformed("first line"));
     }
-    let seen = &buf[..buf.len().min(HEAD)];
-    let mut room = [const { MaybeUninit::uninit() }; HEADERS];
+    let head = &buf[..buf.len().min(MAX_HEAD_BYTES)];
+    let mut header_slots = [const { MaybeUninit::uninit() }; MAX_HEADERS];
     let text = |t: Option<&str>| t.unwrap_or_default().to_owned();
     let version = |v: Option<u8>| format!("HTTP/1.{}", v.unwrap_or_default());
-    let (used, start, headers) = if seen.starts_with(b"HTTP/") {
-        let mut m = Response::new(&mut []);
-        let read = ParserConfig::default().parse_response_with_uninit_headers(&mut m, seen, &mut room);
-        let Some(used) = whole(read, buf.len())? else { return Ok(None) };
-        let code = format!("{:03}", m.code.unwrap_or_default());
-        (used, [version(m.version), code, text(m.reason)], m.headers)
+    let (length, start, headers) = if head.starts_with(b"HTTP/") {
+        let mut message = Response::new(&mut []);
+        let read = ParserConfig::default().parse_response_with_uninit_headers(&mut message, head, &mut header_slots);
+        let Some(length) = head_length(read, buf.len())? else { return Ok(None) };
+        let code = format!("{:03}", message.code.unwrap_or_default());
+        (length, [version(message.version), code, text(message.reason)], message.headers)
     } else {
-        let mut m = Request::new(&mut []);
-        let read = m.parse_with_uninit_headers(seen, &mut room);
-        let Some(used) = whole(read, buf.len())? else { return Ok(None) };
-        (used, [text(m.method), text(m.path), version(m.version)], m.headers)
+        let mut message = Request::new(&mut []);
+        let read = message.parse_with_uninit_headers(head, &mut header_slots);
+        let Some(length) = head_length(read, buf.len())? else { return Ok(None) };
+        (length, [text(message.method), text(message.path), version(message.version)], message.headers)
     };
-    let ends = |mark| seen[..used].iter().filter(|b| **b == mark).count();
-    if ends(b'\r') != ends(b'\n') {
+    let count_of = |mark| head[..length].iter().filter(|b| **b == mark).count();
+    if count_of(b'\r') != count_of(b'\n') {
         return Err(Malformed("end of a line"));
     }
-    let own = |h: &httparse::Header<'_>| {
+    let to_owned_header = |h: &httparse::Header<'_>| {
         let value = std::str::from_utf8(h.value).map_err(|_| Malformed("head is not text"))?;
         Ok((h.name.to_ascii_lowercase(), value.to_owned()))
     };
-    let headers = headers.iter().map(own).collect::<Result<_, _>>()?;
-    Ok(Some((HttpHead { start_line: start, headers }, used)))
+    let headers = headers.iter().map(to_owned_header).collect::<Result<_, _>>()?;
+    Ok(Some((HttpHead { start_line: start, headers }, length)))
 }
 
-/// One chunk of a chunked body; an empty one is the last.
+/// Parses a chunk of a chunked body. An empty chunk is the last one.
 pub fn parse_http_chunk(buf: &[u8]) -> Parsed<&[u8]> {
-    const BAD: Malformed = Malformed("size of a chunk");
-    // The library takes a line with no digits for the last chunk.
+    const BAD_SIZE: Malformed = Malformed("size of a chunk");
+    // The library takes a line without digits for the last chunk.
     if buf.first().is_some_and(|b| !b.is_ascii_hexdigit()) {
-        return Err(BAD);
+        return Err(BAD_SIZE);
     }
-    let (from, n) = match httparse::parse_chunk_size(&buf[..buf.len().min(SIZE)]) {
-        Ok(Status::Complete((from, n))) if n <= MAX_EVENT_BYTES as u64 => (from, n as usize),
-        Ok(Status::Partial) if buf.len() <= SIZE => return Ok(None),
+    let (start, length) = match httparse::parse_chunk_size(&buf[..buf.len().min(MAX_CHUNK_SIZE_LINE_BYTES)]) {
+        Ok(Status::Complete((start, length))) if length <= MAX_EVENT_BYTES as u64 => (start, length as usize),
+        Ok(Status::Partial) if buf.len() <= MAX_CHUNK_SIZE_LINE_BYTES => return Ok(None),
         Ok(Status::Partial) => return Err(Malformed("line too long")),
-        _ => return Err(BAD),
+        _ => return Err(BAD_SIZE),
     };
-    let Some(rest) = buf.get(from..from + n + 2) else { return Ok(None) };
+    let Some(rest) = buf.get(start..start + length + 2) else { return Ok(None) };
     if !rest.ends_with(b"\r\n") {
         return Err(Malformed("a chunk without its end"));
     }
-    Ok(Some((&rest[..n], from + n + 2)))
+    Ok(Some((&rest[..length], start + length + 2)))
 }
 
-/// The longest event.
+/// Limit on the size of an event, and of a chunk.
 pub const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// One block of an event stream, to its empty line: the data, if there are any.
+/// Parses a block of an event stream up to the empty line that ends it. Returns its data, if it has any.
 pub fn parse_sse_event(buf: &[u8]) -> Parsed<Option<String>> {
     let mut rest = buf;
     let mut data: Option<String> = None;
