--- a/node/src/bulletin.rs
+++ b/node/src/bulletin.rs
@@ -1,6 +1,8 @@
-//! Hears what the rest of the platform tells: the bulletin's purges and list changes, and the datagrams of other
-//! proxies. It owns the number of the last event, the calls to the bulletin and the one watch that is
-//! heard. It must never judge an event: it hands each to the pool and the planner once, in order, at once.
+//! Receives the platform's announcements: purges and list changes from discovery (`/bulletins` on the
+//! wire), and datagrams from other proxies.
+//!
+//! Events are applied to the pool and the planner at once, in order and once each, by their numbers. A single
+//! event stream is read at a time.
 use crate::clock::unix_now;
 use crate::config::{event, stand_in, Bulletin, ListedServer};
 use crate::net::{self, now, sleep_until};
@@ -16,43 +18,49 @@
 use std::task::Poll;
 use threadward_core::{Counter, Entry, Lifecycle, ListForm, Micros};
 
-/// A comment comes each second: a watch silent for longer is cut off, though it looks open. A call that is not answered
-/// for as long gets another one beside it.
-const SILENCE: Micros = 1_800_000;
-/// Calls that wait for their answer at once; the oldest makes way. A bulletin that serves hundreds of proxies one by one
-/// takes seconds: whoever gave up each call meanwhile would only ever stand at the end of its queue.
-const CALLS: usize = 4;
-/// Calls begin no closer together than this, give or take half by lot, so that a hundred proxies do not ask in step.
-/// It does not grow: a purge counts as told while the bulletin is out of reach, and its grace is a few such pauses.
-const AGAIN: Micros = 100_000;
-/// Bytes that are read at once of an answer's head, and of the events after it.
-const HEAD_BYTES: usize = 1024;
-const EVENT_BYTES: usize = 16 * 1024;
-/// Numbers above are not exact in JSON, and none could follow the last.
-const NUMBERS: u64 = 1 << 53;
-/// Servers that a list may name, and a proxy may hold: memory for them stays under a few megabytes.
-const SERVERS: usize = 20_000;
+/// Discovery sends a comment each second: a stream that is silent for longer than this is taken to be cut off
+/// although its connection looks open. If a call is not answered for as long, another one is started beside
+/// it.
+const SILENCE_TIMEOUT: Micros = 1_800_000;
+/// Limit on calls that wait for their answer; a further one replaces the oldest. If discovery serves hundreds
+/// of proxies one by one, that takes seconds: a proxy that gave up each call meanwhile would stay at the end
+/// of the queue for good.
+const MAX_PENDING_CALLS: usize = 4;
+/// Mean interval between the starts of calls. Each interval varies randomly by half of it, so that a hundred
+/// proxies don't call in step. There is no exponential backoff: a purge counts as reported even while
+/// discovery is unreachable, and the grace for it is only a few such intervals.
+const CALL_INTERVAL: Micros = 100_000;
+/// Bytes read at a time of an answer's head.
+const HEAD_READ_BYTES: usize = 1024;
+/// Bytes read at a time of the events after the head.
+const EVENT_READ_BYTES: usize = 16 * 1024;
+/// Limit on event numbers: higher ones are not exact in JSON, and the highest one would have no successor.
+const MAX_EVENT_NUMBER: u64 = 1 << 53;
+/// Limit on the servers in a list, and on those that a proxy knows, so that their memory stays below a few
+/// megabytes.
+const MAX_SERVERS: usize = 20_000;
 
-/// An event is passed over: that is said and counted.
-fn unusable(node: &Node, why: &str) {
+/// Logs and counts an event that is skipped as unusable.
+fn reject_event(node: &Node, why: &str) {
     net::log(&format!("bulletin: unusable event ({why})"));
     node.count(Counter::Malformed);
 }
 
-/// Makes the planner and the pool hold what is so of these servers, after a call of the staff that was made no longer ago
-/// than `within`.
-pub fn apply_bans(node: &Node, servers: Vec<ListedServer>, within: Micros) {
+/// Applies the current bans to the pool, and the changed state of these servers to the pool and the planner.
+/// The operator's call behind the change was made at most `max_age` ago.
+pub fn apply_bans(node: &Node, servers: Vec<ListedServer>, max_age: Micros) {
     let bans = node.bans.borrow();
     node.pool
         .set_disabled(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| stand_in(id)).collect());
     drop(bans);
     if !servers.is_empty() {
-        take_over(node, ListForm::Delta, servers, within);
+        apply_servers(node, ListForm::Delta, servers, max_age);
     }
 }
 
-fn take_over(node: &Node, form: ListForm, mut servers: Vec<ListedServer>, within: Micros) {
-    node.start_times.borrow_mut().place(form, &mut servers, (unix_now(), now()), within);
+/// Applies listed servers to the pool and the planner. Servers whose address another one has now are removed.
+fn apply_servers(node: &Node, form: ListForm, mut servers: Vec<ListedServer>, max_age: Micros) {
+    node.start_times.borrow_mut().place(form, &mut servers, (unix_now(), now()), max_age);
     let displaced = node.pool.update_listed(form, &servers);
     let gone = |addr| Entry { addr, state: Lifecycle::Gone, ..Entry::default() };
     let listed = servers.into_iter().map(|s| s.entry);
@@ -60,98 +68,103 @@
     node.plan(|p, now| p.update_members(now, form, entries));
 }
 
-pub fn apply(node: &Node, b: Bulletin, cached: bool) {
-    match b {
+/// Applies a list or a purge. `cached` tells that it comes from the stored configuration rather than from
+/// discovery.
+pub fn apply(node: &Node, update: Bulletin, cached: bool) {
+    match update {
         Bulletin::Roster { form, mut servers } => {
-            let more = |s: &&ListedServer| {
+            let is_new = |s: &&ListedServer| {
                 s.entry.state != Lifecycle::Gone && node.pool.member_id(s.entry.addr).is_none()
             };
-            // The last good list stays in use, and so do the drains it told of.
-            let why = match form {
+            // The last usable list stays in use, and so do the drains that it announced.
+            let rejected = match form {
                 ListForm::Full if servers.is_empty() && !cached => Some("a whole list of no servers"),
                 ListForm::Delta
-                    if servers.iter().filter(more).count() + node.pool.member_count() > SERVERS =>
+                    if servers.iter().filter(is_new).count() + node.pool.member_count() > MAX_SERVERS =>
                 {
                     Some("more servers than can be held")
                 }
-                _ if servers.len() > SERVERS => Some("a list of too many servers"),
+                _ if servers.len() > MAX_SERVERS => Some("a list of too many servers"),
                 _ => None,
             };
-            if let Some(why) = why {
-                return unusable(node, why);
+            if let Some(rejected) = rejected {
+                return reject_event(node, rejected);
             }
             let form = if cached && form == ListForm::Full { ListForm::Cached } else { form };
             node.bans.borrow_mut().apply_list(form, &mut servers);
-            let within = node.all_heard.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
-            take_over(node, form, servers, if cached { Micros::MAX } else { within });
+            let max_age = node.all_heard.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
+            apply_servers(node, form, servers, if cached { Micros::MAX } else { max_age });
         }
-        // It counts from this moment on: copies from before are older, whatever the wall clocks say. It was issued before.
+        // The purge takes effect now rather than when it was issued: every earlier copy is then older,
+        // whatever the wall clocks say.
         Bulletin::Recall { issued: _, object, group } => {
             node.plan(|p, now| p.purge(now, 0, object, group));
         }
     }
 }
 
-/// Says when a call may begin, whatever ended the one before.
-struct Pace {
-    lots: RefCell<fastrand::Rng>,
-    next: Cell<Micros>,
+/// Determines when the next call may start, however the one before ended.
+struct CallPacer {
+    rng: RefCell<fastrand::Rng>,
+    next_call_at: Cell<Micros>,
 }
 
-/// A call that was answered with yes: what follows the head comes from here.
-struct Watch {
+/// The event stream of a call that was accepted.
+struct EventStream {
     stream: Async<TcpStream>,
-    raw: Vec<u8>,
+    /// Bytes that arrived after the head.
+    received: Vec<u8>,
     chunked: bool,
 }
 
-/// A call under way.
-type Calling = Pin<Box<dyn Future<Output = Result<Watch, Malformed>>>>;
+/// A call that waits for its answer.
+type PendingCall = Pin<Box<dyn Future<Output = Result<EventStream, Malformed>>>>;
 
-/// Follows the bulletin for as long as the program runs, at the address that the configuration names at the time.
-/// The number of the last event outlives every connection and every reload, so events apply once and in order.
+/// Follows discovery for as long as the program runs, at the address in the current configuration. The number
+/// of the last event is kept across connections and reloads, so that events are applied once and in order.
 pub async fn follow(node: Rc<Node>) {
-    let lots = RefCell::new(fastrand::Rng::with_seed(node.config.seed));
-    let pace = Pace { lots, next: Cell::new(0) };
+    let rng = RefCell::new(fastrand::Rng::with_seed(node.config.seed));
+    let pacer = CallPacer { rng, next_call_at: Cell::new(0) };
     loop {
-        let at = node.bulletin.get();
-        let moved = async {
-            while node.bulletin.get() == at {
+        let address = node.bulletin.get();
+        let address_changed = async {
+            while node.bulletin.get() == address {
                 node.moved.wait().await;
             }
         };
-        moved.or(attend(&node, at, &pace)).await;
+        address_changed.or(follow_address(&node, address, &pacer)).await;
     }
 }
 
-/// Goes from watch to watch. There is one at a time, and the one before is closed when the next call begins: what it
-/// still says is heard by nobody.
-async fn attend(node: &Rc<Node>, at: SocketAddr, pace: &Pace) {
+/// Follows discovery at an address, one event stream after the other. A stream is closed before the next call
+/// starts, and anything that still arrives on it is ignored.
+async fn follow_address(node: &Rc<Node>, address: SocketAddr, pacer: &CallPacer) {
     loop {
-        let watch = reach(node, at, pace).await;
-        let heard = Cell::new(now());
+        let stream = open_stream(node, address, pacer).await;
+        let last_received_at = Cell::new(now());
         let silence = async {
-            while now() < heard.get() + SILENCE {
-                sleep_until(heard.get() + SILENCE).await;
+            while now() < last_received_at.get() + SILENCE_TIMEOUT {
+                sleep_until(last_received_at.get() + SILENCE_TIMEOUT).await;
             }
             Err(Malformed("silent"))
         };
-        let ended = listen(node, watch, &heard).or(silence).await;
-        lost(node, ended.map_or_else(|Malformed(why)| why, |()| "ended"));
+        let ended = read_events(node, stream, &last_received_at).or(silence).await;
+        count_loss(node, ended.map_or_else(|Malformed(why)| why, |()| "ended"));
     }
 }
 
-fn lost(node: &Node, why: &str) {
+/// Counts and logs a call or stream that has ended.
+fn count_loss(node: &Node, why: &str) {
     node.count(Counter::DiscoveryLosses);
     net::log(&format!("bulletin: connection lost ({why}), last event {}", node.last_event.get()));
 }
 
-/// Calls until one is answered; the others are given up then. Nothing of an event is read here.
-async fn reach(node: &Rc<Node>, at: SocketAddr, pace: &Pace) -> Watch {
-    let mut calls: Vec<Calling> = Vec::new();
-    let mut due = pace.next.get();
+/// Makes calls until one is answered, and drops the others then. No event is processed here.
+async fn open_stream(node: &Rc<Node>, address: SocketAddr, pacer: &CallPacer) -> EventStream {
+    let mut calls: Vec<PendingCall> = Vec::new();
+    let mut next_at = pacer.next_call_at.get();
     loop {
-        let ended = future::poll_fn(|cx| {
+        let finished = future::poll_fn(|cx| {
             for i in 0..calls.len() {
                 if let Poll::Ready(result) = calls[i].as_mut().poll(cx) {
                     drop(calls.remove(i));
@@ -160,179 +173,200 @@
             }
             Poll::Pending
         });
-        let begin = async {
-            sleep_until(due).await;
+        let wait = async {
+            sleep_until(next_at).await;
             None
         };
-        match ended.or(begin).await {
-            Some((Ok(watch), _)) => return watch,
+        match finished.or(wait).await {
+            Some((Ok(stream), _)) => return stream,
             Some((Err(Malformed(why)), i)) => {
-                lost(node, why);
-                // While a later one is out, its time is waited for.
+                count_loss(node, why);
+                // While a later call is pending, its timeout still applies.
                 if i == calls.len() {
-                    due = pace.next.get();
+                    next_at = pacer.next_call_at.get();
                 }
             }
             None => {
                 if !calls.is_empty() {
-                    lost(node, "no answer");
+                    count_loss(node, "no answer");
                 }
-                if calls.len() == CALLS {
+                if calls.len() == MAX_PENDING_CALLS {
                     drop(calls.remove(0));
                 }
-                calls.push(Box::pin(call(node.clone(), at)));
-                pace.next.set(now() + AGAIN / 2 + pace.lots.borrow_mut().u64(0..=AGAIN));
-                due = pace.next.get() + SILENCE;
+                calls.push(Box::pin(call_discovery(node.clone(), address)));
+                pacer
+                    .next_call_at
+                    .set(now() + CALL_INTERVAL / 2 + pacer.rng.borrow_mut().u64(0..=CALL_INTERVAL));
+                next_at = pacer.next_call_at.get() + SILENCE_TIMEOUT;
             }
         }
     }
 }
 
-/// One call, to the end of the answer's head.
-async fn call(node: Rc<Node>, at: SocketAddr) -> Result<Watch, Malformed> {
-    let lost = |_| Malformed("broken");
-    let stream = Async::<TcpStream>::connect(at).await.map_err(lost)?;
-    stream.get_ref().set_nodelay(true).map_err(lost)?;
+/// Makes a call and reads the answer up to the end of its head.
+async fn call_discovery(node: Rc<Node>, address: SocketAddr) -> Result<EventStream, Malformed> {
+    let broken = |_| Malformed("broken");
+    let stream = Async::<TcpStream>::connect(address).await.map_err(broken)?;
+    stream.get_ref().set_nodelay(true).map_err(broken)?;
     let request = format!(
-        "GET /bulletins HTTP/1.1\r\nHost: {at}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
+        "GET /bulletins HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {}\r\n\r\n",
         node.last_event.get()
     );
-    net::write_all(&stream, request.as_bytes()).await.map_err(lost)?;
-    let mut raw = Vec::new();
+    net::write_all(&stream, request.as_bytes()).await.map_err(broken)?;
+    let mut received = Vec::new();
     loop {
-        if net::read_some(&stream, &mut raw, HEAD_BYTES).await == 0 {
+        if net::read_some(&stream, &mut received, HEAD_READ_BYTES).await == 0 {
             return Err(Malformed("ended"));
         }
-        let Some((head, used)) = wire::parse_http_head(&raw)? else { continue };
+        let Some((head, length)) = wire::parse_http_head(&received)? else { continue };
         if head.start_line[1] != "200" {
             return Err(Malformed("the bulletin refused"));
         }
         node.heard.set(true);
-        raw.drain(..used);
+        received.drain(..length);
         let chunked = head.header("transfer-encoding").unwrap_or("").eq_ignore_ascii_case("chunked");
-        return Ok(Watch { stream, raw, chunked });
+        return Ok(EventStream { stream, received, chunked });
     }
 }
 
-/// Where the block that stands first ends, whatever it holds.
-fn block(text: &[u8]) -> Option<usize> {
-    let end = |mark: &[u8]| text.windows(mark.len()).position(|w| w == mark).map(|at| at + mark.len());
-    [end(b"\n\n"), end(b"\r\n\r\n"), end(b"\r\r")].into_iter().flatten().min()
+/// Returns where the first block ends, whatever it contains.
+fn block_end(text: &[u8]) -> Option<usize> {
+    let end_after =
+        |mark: &[u8]| text.windows(mark.len()).position(|w| w == mark).map(|position| position + mark.len());
+    [end_after(b"\n\n"), end_after(b"\r\n\r\n"), end_after(b"\r\r")].into_iter().flatten().min()
 }
 
-/// Whether what cannot be read at this place is asked for once more, as it was perhaps cut on the way. It must not
-/// stand before all others for good.
-fn asks_again(node: &Node) -> bool {
+/// Returns whether an unreadable event should be requested again, and remembers that it was. This is so only
+/// once for each event number: the event may have been damaged in transit, but it must not block all later
+/// ones for good.
+fn should_refetch(node: &Node) -> bool {
     let next = node.last_event.get().saturating_add(1);
     node.unread.replace(next) != next
 }
 
-async fn listen(node: &Rc<Node>, watch: Watch, heard: &Cell<Micros>) -> Result<(), Malformed> {
-    let Watch { stream, mut raw, chunked } = watch;
+/// Reads a stream and applies its events until it ends.
+///
+/// # Errors
+/// Returns an error if the stream is malformed or an event has to be requested again.
+async fn read_events(
+    node: &Rc<Node>,
+    events: EventStream,
+    last_received_at: &Cell<Micros>,
+) -> Result<(), Malformed> {
+    let EventStream { stream, mut received, chunked } = events;
     let mut text = Vec::new();
-    // The rest of a block that cannot be read is passed over.
-    let mut passing = false;
+    // The rest of an unreadable block is being skipped.
+    let mut skipping = false;
     loop {
-        let (known, mut last) = (text.len(), false);
+        let (previous_length, mut last_chunk) = (text.len(), false);
         if chunked {
-            let mut from = 0;
-            while let Some((part, used)) = wire::parse_http_chunk(&raw[from..])? {
-                text.extend_from_slice(part);
-                from += used;
-                last = part.is_empty();
-                if last {
+            let mut start = 0;
+            while let Some((chunk, length)) = wire::parse_http_chunk(&received[start..])? {
+                text.extend_from_slice(chunk);
+                start += length;
+                last_chunk = chunk.is_empty();
+                if last_chunk {
                     break;
                 }
             }
-            raw.drain(..from);
+            received.drain(..start);
         } else {
-            text.append(&mut raw);
+            text.append(&mut received);
         }
-        let mut from = 0;
-        // Without a further end of a line no block can have become whole.
-        let mut more =
-            text.len() > wire::MAX_EVENT_BYTES || text[known..].iter().any(|b| matches!(b, b'\n' | b'\r'));
-        while more {
-            if passing {
-                let end = block(&text[from..]);
-                from = end.map_or(text.len().saturating_sub(3).max(from), |n| from + n);
-                passing = end.is_none();
+        let mut start = 0;
+        // No block can be complete without a further line end.
+        let mut may_have_block = text.len() > wire::MAX_EVENT_BYTES
+            || text[previous_length..].iter().any(|b| matches!(b, b'\n' | b'\r'));
+        while may_have_block {
+            if skipping {
+                let end = block_end(&text[start..]);
+                start = end.map_or(text.len().saturating_sub(3).max(start), |n| start + n);
+                skipping = end.is_none();
             }
-            if passing {
+            if skipping {
                 break;
             }
-            match wire::parse_sse_event(&text[from..]) {
-                Ok(Some((data, used))) => {
-                    from += used;
+            match wire::parse_sse_event(&text[start..]) {
+                Ok(Some((data, length))) => {
+                    start += length;
                     if let Some(data) = data {
-                        take(node, &data)?;
+                        apply_event(node, &data)?;
                         future::yield_now().await;
                     }
                 }
-                Ok(None) => more = false,
-                Err(why) if asks_again(node) => return Err(why),
+                Ok(None) => may_have_block = false,
+                Err(why) if should_refetch(node) => return Err(why),
                 Err(Malformed(why)) => {
-                    unusable(node, why);
-                    passing = true;
+                    reject_event(node, why);
+                    skipping = true;
                 }
             }
         }
-        text.drain(..from);
-        node.all_heard.set(Some(heard.get()));
-        if last {
+        text.drain(..start);
+        node.all_heard.set(Some(last_received_at.get()));
+        if last_chunk {
             return Ok(());
         }
-        if net::read_some(&stream, &mut raw, EVENT_BYTES).await == 0 {
+        if net::read_some(&stream, &mut received, EVENT_READ_BYTES).await == 0 {
             return Ok(());
         }
-        heard.set(now());
-        // A read that finds bytes does not wait: others have their turn, and a move is heeded.
+        last_received_at.set(now());
+        // A read that finds data doesn't wait: this lets other tasks run and a change of the address take
+        // effect.
         future::yield_now().await;
     }
 }
 
-/// Takes one event in its turn.
-fn take(node: &Node, data: &str) -> Result<(), Malformed> {
-    let last = &node.last_event;
-    let next = last.get().saturating_add(1);
-    let v = match serde_json::from_str(data) {
-        Ok(v) => v,
-        Err(_) if asks_again(node) => return Err(Malformed("an event that is not JSON")),
+/// Applies an event if it is the next one; skips it if it is a repetition or unusable.
+///
+/// # Errors
+/// Returns an error if the connection is to be closed, so that events are requested again from the last one
+/// on.
+fn apply_event(node: &Node, data: &str) -> Result<(), Malformed> {
+    let last_event = &node.last_event;
+    let next = last_event.get().saturating_add(1);
+    let json = match serde_json::from_str(data) {
+        Ok(json) => json,
+        Err(_) if should_refetch(node) => return Err(Malformed("an event that is not JSON")),
         Err(_) => {
-            unusable(node, "not JSON, twice");
+            reject_event(node, "not JSON, twice");
             return Ok(());
         }
     };
-    match event(&v, &node.config.names) {
-        // What was sent again after a reconnect is passed over.
-        Ok((no, _)) if no <= last.get() => {}
-        Ok((no, _)) if no > NUMBERS => unusable(node, "a number that none can follow"),
-        // Something is missing before it: asked for once, as numbers may also have been left out. What comes the second
-        // time is taken, whatever its number: else a bulletin that only tells what is new would never be heard.
-        Ok((no, _)) if no > next && node.out_of_turn.replace(next) != next => {
+    match event(&json, &node.config.names) {
+        // Events that were sent again after a reconnect are skipped.
+        Ok((number, _)) if number <= last_event.get() => {}
+        Ok((number, _)) if number > MAX_EVENT_NUMBER => reject_event(node, "a number that none can follow"),
+        // Events before this one are missing. They are requested once, as numbers may also have been left
+        // out. The second time the event is accepted whatever its number: otherwise nothing would ever be
+        // accepted from a discovery service that only sends new events.
+        Ok((number, _)) if number > next && node.out_of_turn.replace(next) != next => {
             return Err(Malformed("an event out of turn"));
         }
-        Ok((no, b)) => {
-            if let Some(b) = b {
-                apply(node, b, false);
+        Ok((number, update)) => {
+            if let Some(update) = update {
+                apply(node, update, false);
             }
-            last.set(no);
+            last_event.set(number);
         }
-        Err(e) => unusable(node, &e),
+        Err(e) => reject_event(node, &e),
     }
     Ok(())
 }
 
-/// Takes datagrams of other proxies; from elsewhere, or too long, they are dropped and counted.
+/// Hands datagrams of other proxies to the planner. Those that are too long or come from elsewhere are
+/// dropped and counted.
 pub async fn receive_peer_messages(node: Rc<Node>, socket: Rc<Async<UdpSocket>>) {
     let mut buf = [0u8; 257];
     loop {
-        let Ok((n, from)) = socket.recv_from(&mut buf).await else {
+        let Ok((length, from)) = socket.recv_from(&mut buf).await else {
             sleep_until(now() + 10_000).await;
             continue;
         };
-        match node.config.peers.iter().position(|p| *p == from) {
-            Some(i) if n <= 256 => node.plan(|p, now| p.peer_message(now, i as u32, buf[..n].to_vec())),
+        match node.config.peers.iter().position(|peer| *peer == from) {
+            Some(index) if length <= 256 => {
+                node.plan(|planner, now| planner.peer_message(now, index as u32, buf[..length].to_vec()))
+            }
             _ => node.count(Counter::PeerDropped),
         }
     }
--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -1,6 +1,6 @@
-//! Retries of system calls that fail temporarily. Errors that Linux documents as transient are retried and counted here;
-//! only an error that ends a connection is returned. A call that keeps failing backs off, so that it doesn't starve other
-//! tasks.
+//! Retries of system calls that fail temporarily. Errors that Linux documents as transient are retried and
+//! counted here; only an error that ends a connection is returned. A call that keeps failing backs off, so
+//! that it doesn't starve other tasks.
 use crate::clock::now;
 use crate::net::sleep_until;
 use async_io::Async;
@@ -12,7 +12,8 @@
 
 /// A call that was interrupted so often in a row waits for its socket before it is retried.
 const MAX_INTERRUPTED_CALLS: u32 = 64;
-/// The pause before the retry of a call that failed for lack of a system resource: descriptors, buffers or memory.
+/// The pause before the retry of a call that failed for lack of a system resource: descriptors, buffers or
+/// memory.
 pub const BACKOFF: Micros = 10_000;
 
 static RETRIED_CALLS: AtomicU64 = AtomicU64::new(0);
@@ -30,8 +31,8 @@
 /// Makes a call on a non-blocking socket and retries it if a signal interrupted it.
 ///
 /// # Errors
-/// Returns the error of the call, but never [`ErrorKind::Interrupted`]; after [`MAX_INTERRUPTED_CALLS`] interruptions
-/// that is [`ErrorKind::WouldBlock`].
+/// Returns the error of the call, but never [`ErrorKind::Interrupted`]: after [`MAX_INTERRUPTED_CALLS`]
+/// interruptions it is [`ErrorKind::WouldBlock`].
 pub fn uninterrupted<T>(mut call: impl FnMut() -> Result<T>) -> Result<T> {
     for _ in 0..MAX_INTERRUPTED_CALLS {
         match call() {
@@ -42,7 +43,8 @@
     Err(ErrorKind::WouldBlock.into())
 }
 
-/// Waits until a socket is readable. A failure of the wait itself is retried, as it says nothing about the socket.
+/// Waits until a socket is readable. A failure of the wait itself is retried, as it says nothing about the
+/// socket.
 pub async fn readable<T: AsFd>(socket: &Async<T>) {
     while socket.readable().await.is_err() {
         count_retry();
@@ -95,7 +97,8 @@
     }
 }
 
-/// Limit on consecutive failed accepts that are retried at once, so that a lasting error doesn't cause a busy loop.
+/// Limit on consecutive failed accepts that are retried at once, so that a lasting error doesn't cause a busy
+/// loop.
 const MAX_IMMEDIATE_RETRIES: u32 = 16;
 
 /// Decides in an accept loop when to retry after a failure.
@@ -118,7 +121,8 @@
         }
         count_retry();
         self.consecutive_failures += 1;
-        let immediate = failure == AcceptFailure::RetryAtOnce && self.consecutive_failures <= MAX_IMMEDIATE_RETRIES;
+        let immediate =
+            failure == AcceptFailure::RetryAtOnce && self.consecutive_failures <= MAX_IMMEDIATE_RETRIES;
         if !immediate {
             sleep_until(now() + BACKOFF).await;
         }
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -1,8 +1,8 @@
 //! The listener for the platform's clients, which speak MessagePack-RPC over TCP.
 //!
-//! One task serves one connection. It parses requests, submits them to the planner and writes the answers; this module
-//! has no routing policy and no knowledge of the caches. Once this side of a connection is shut down, nothing that
-//! arrives on it is processed.
+//! One task serves one connection. It parses requests, submits them to the planner and writes the answers;
+//! this module has no routing policy and no knowledge of the caches. Once this side of a connection is shut
+//! down, nothing that arrives on it is processed.
 use crate::calls::{AcceptFailure, AcceptRetry};
 use crate::net::{self, now, read_some, sleep_until, OutgoingAnswer, Signal, LISTEN_BACKLOG};
 use crate::node::{Node, Place};
@@ -17,21 +17,22 @@
 
 /// Limit on open requests of one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Limit on answers that wait to be written on one connection beyond [`MAX_OPEN_REQUESTS`]: a client that cancels may
-/// count fewer of its requests as open.
+/// Limit on answers that wait to be written on one connection beyond [`MAX_OPEN_REQUESTS`]: a client that
+/// cancels may count fewer of its requests as open.
 const MAX_EXTRA_WAITING_ANSWERS: usize = 32;
-/// How many requests with unusable fields a connection may send before it is closed. Each of them costs an answer, and
-/// no limit on open requests applies to them.
+/// How many requests with unusable fields a connection may send before it is closed. Each of them costs an
+/// answer, and no limit on open requests applies to them.
 const MAX_UNUSABLE_REQUESTS: u32 = 8;
 /// Messages of one connection that are handled before other tasks get a turn, and the most bytes of one read.
 const MESSAGES_PER_TURN: usize = 32;
 const READ_BYTES: usize = 16 * 1024;
-/// Further reads after the first one before its messages are handled. They bound how much a connection may buffer.
+/// Further reads after the first one before its messages are handled. They bound how much a connection may
+/// buffer.
 const MAX_FURTHER_READS: usize = 3;
 /// A read buffer larger than this is freed once it is empty.
 const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
-/// Time limit for writing an answer. The connection is then closed, as a client that never reads would hold memory
-/// for ever.
+/// Time limit for writing an answer. The connection is then closed, as a client that never reads would hold
+/// memory for ever.
 const WRITE_TIMEOUT: Micros = 10_000_000;
 /// How often a connection from which nothing more is read is checked for requests that are still open.
 const OPEN_REQUESTS_POLL_INTERVAL: Micros = 5_000;
@@ -48,7 +49,8 @@
     signal: Signal,
     last_message_id: Cell<u32>,
     writing: Cell<bool>,
-    /// The client sent a malformed message: nothing more is read, and the answers to its earlier requests are written.
+    /// The client sent a malformed message: nothing more is read, and the answers to its earlier requests are
+    /// written.
     malformed: Cell<bool>,
     unusable_requests: Cell<u32>,
 }
@@ -63,9 +65,12 @@
         self.update_busy();
         self.signal.notify();
     }
-    /// Updates whether the connection counts as busy, after each change of its open requests and unwritten answers.
+    /// Updates whether the connection counts as busy, after each change of its open requests and unwritten
+    /// answers.
     fn update_busy(&self) {
-        let answer_owed = self.writing.get() || !self.open_requests.borrow().is_empty() || !self.outgoing.borrow().is_empty();
+        let answer_owed = self.writing.get()
+            || !self.open_requests.borrow().is_empty()
+            || !self.outgoing.borrow().is_empty();
         self.place.1.busy(answer_owed);
     }
     /// Tells the planner that the client no longer waits for any of its open requests.
@@ -82,11 +87,12 @@
     }
 }
 
-/// Accepts clients for as long as the program runs, also while it is shutting down, until it hands over to another
-/// process.
+/// Accepts clients for as long as the program runs, also while it is shutting down, until it hands over to
+/// another process.
 pub async fn serve(node: Rc<Node>, listener: Rc<Async<TcpListener>>) {
-    // A place prepared for a client whose connection turned out to be gone is kept for the next client if that one is
-    // accepted at once. A client's time to send its first request runs from when its place was made.
+    // A place prepared for a client whose connection turned out to be gone is kept for the next client if
+    // that one is accepted at once. A client's time to send its first request runs from when its place was
+    // made.
     let (mut place, mut retry) = (None, AcceptRetry::default());
     // This also ends a task that was restarted after a panic when the process had given way already.
     while !node.giving_way.get() {
@@ -107,14 +113,16 @@
         }
         let failure = AcceptFailure::of(&e);
         if failure == AcceptFailure::RetryAfterBackoff {
-            // For example a shortage of descriptors. The connections wait in the backlog, and nothing is lost by a retry.
+            // For example a shortage of descriptors. The connections wait in the backlog, and nothing is lost
+            // by a retry.
             net::log(&format!("accept: {e}"));
         }
         if !retry.wait_after(failure).await {
             place = None;
         }
     }
-    // If the successor has a backlog of its own, closing this socket would reset the connections still in this one.
+    // If the successor has a backlog of its own, closing this socket would reset the connections still in
+    // this one.
     for _ in 0..LISTEN_BACKLOG {
         let Err(e) = accept_client(&node, &listener, &mut place).await else { continue };
         let failure = AcceptFailure::of(&e);
@@ -127,8 +135,8 @@
     }
 }
 
-/// Accepts one connection and starts its task. Its place is reserved before; if there is none, the connection is closed
-/// at once.
+/// Accepts one connection and starts its task. Its place is reserved before; if there is none, the connection
+/// is closed at once.
 async fn accept_client(
     node: &Rc<Node>,
     listener: &Async<TcpListener>,
@@ -185,8 +193,9 @@
     c.place.close(&stream).await;
 }
 
-/// An answer that is being written. Its bytes are taken out of the totals however that ends, also when the connection's
-/// task is dropped meanwhile: otherwise they would count as held for ever and admission control would refuse requests.
+/// An answer that is being written. Its bytes are taken out of the totals however that ends, also when the
+/// connection's task is dropped meanwhile: otherwise they would count as held for ever and admission control
+/// would refuse requests.
 struct AnswerBeingWritten<'a>(&'a Client, OutgoingAnswer);
 
 impl Drop for AnswerBeingWritten<'_> {
@@ -195,7 +204,8 @@
     }
 }
 
-/// Writes answers until the connection is to be closed. Returns the counter for the reason unless it is counted already.
+/// Writes answers until the connection is to be closed. Returns the counter for the reason unless it is
+/// counted already.
 async fn write(c: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
     loop {
         let Some(answer) = c.outgoing.borrow_mut().pop_front() else {
@@ -223,8 +233,8 @@
 async fn read(c: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
     let mut buf = Vec::new();
     while read_some(stream, &mut buf, READ_BYTES).await > 0 {
-        // A client that has closed its connection no longer wants what it sent: the end of the stream is looked for
-        // before the messages are handled.
+        // A client that has closed its connection no longer wants what it sent: the end of the stream is
+        // looked for before the messages are handled.
         let further_reads = (0..MAX_FURTHER_READS).map_while(|_| net::try_read(stream, &mut buf, READ_BYTES));
         if further_reads.into_iter().any(|n| n == 0) {
             break;
@@ -265,8 +275,8 @@
     Some(Counter::ClosedByClient)
 }
 
-/// Stops reading messages after a malformed one. Requests accepted before are still answered, as far as the client stays
-/// and reads the answers soon.
+/// Stops reading messages after a malformed one. Requests accepted before are still answered, as far as the
+/// client stays and reads the answers soon.
 async fn stop_reading(c: &Rc<Client>, stream: &Async<TcpStream>, why: wire::Malformed) {
     c.node.count(Counter::Malformed);
     net::log(&format!("client: malformed frame ({}), connection closed", why.0));
@@ -311,10 +321,18 @@
                 c.push(wire::encode_alive(id, ready));
                 return Ok(());
             }
-            if c.open_requests.borrow().len() >= MAX_OPEN_REQUESTS || c.outgoing.borrow().len() >= MAX_OPEN_REQUESTS + MAX_EXTRA_WAITING_ANSWERS {
+            if c.open_requests.borrow().len() >= MAX_OPEN_REQUESTS
+                || c.outgoing.borrow().len() >= MAX_OPEN_REQUESTS + MAX_EXTRA_WAITING_ANSWERS
+            {
                 return Err(wire::Malformed("too many open requests"));
             }
-            match parse_request(&c.node.config.names.classes, &c.node.config.settings, method, &params, received_at) {
+            match parse_request(
+                &c.node.config.names.classes,
+                &c.node.config.settings,
+                method,
+                &params,
+                received_at,
+            ) {
                 Some(mut request) => {
                     request.expires_at = request.expires_at.min(c.node.last_due());
                     submit(c, id, request);
@@ -379,12 +397,14 @@
     let mut fields_by_name: HashMap<&str, &str> = HashMap::new();
     for (name, value) in fields {
         let (MsgpackValue::Str(name), MsgpackValue::Str(value)) = (name, value) else { return None };
-        let previous = fields_by_name.insert(std::str::from_utf8(name).ok()?, std::str::from_utf8(value).ok()?);
+        let previous =
+            fields_by_name.insert(std::str::from_utf8(name).ok()?, std::str::from_utf8(value).ok()?);
         if previous.is_some() {
             return None;
         }
     }
-    let is_hex_id = |text: &&str| text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    let is_hex_id =
+        |text: &&str| text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     let parse_number = |name: &str, max: u64| -> Option<u64> {
         let text = fields_by_name.get(name)?;
         let digits = !text.is_empty() && text.len() <= 10 && text.bytes().all(|b| b.is_ascii_digit());
@@ -420,8 +440,8 @@
     })
 }
 
-/// Parses the size in KB that a client states in `heap`: a plain decimal number up to `MAX_KB`. The router takes it as a
-/// hint only, so an unusable value counts as absent and the request goes on.
+/// Parses the size in KB that a client states in `heap`: a plain decimal number up to `MAX_KB`. The router
+/// takes it as a hint only, so an unusable value counts as absent and the request goes on.
 fn parse_size_kb(text: Option<&str>) -> f32 {
     /// Far beyond the largest object that the protocol allows, even as the simulator counts bytes.
     const MAX_KB: f32 = 1e7;
--- a/node/src/net.rs
+++ b/node/src/net.rs
@@ -1,7 +1,8 @@
-//! Helpers that the program's tasks share: the clock, the log, a wake-up signal, and reads and writes on sockets.
+//! Helpers that the program's tasks share: the clock, the log, a wake-up signal, and reads and writes on
+//! sockets.
 //!
-//! Nothing here depends on the node, a listener or the pool, and the only state is the log's rate limit and one shared
-//! read buffer. Waits are bounded by points in time, not by durations.
+//! Nothing here depends on the node, a listener or the pool, and the only state is the log's rate limit and
+//! one shared read buffer. Waits are bounded by points in time, not by durations.
 use crate::calls;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
@@ -18,15 +19,15 @@
 
 pub use crate::clock::now;
 
-/// Returns the microseconds since this machine started. Steps of the system's clock don't affect it, and it goes on while
-/// the machine sleeps.
+/// Returns the microseconds since this machine started. Steps of the system's clock don't affect it, and it
+/// goes on while the machine sleeps.
 pub fn uptime() -> Micros {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     t.tv_sec as Micros * 1_000_000 + t.tv_nsec as Micros / 1_000
 }
 
-/// Writes a line to the log and drops it beyond [`MAX_LINES_PER_SECOND`]. Unlike `eprintln!`, it doesn't panic if the
-/// log's target is full or closed, which would end the calling task.
+/// Writes a line to the log and drops it beyond [`MAX_LINES_PER_SECOND`]. Unlike `eprintln!`, it doesn't
+/// panic if the log's target is full or closed, which would end the calling task.
 pub fn log(line: &str) {
     thread_local!(static SECOND: Cell<(Micros, u32)> = const { Cell::new((0, 0)) });
     static OPENED: Once = Once::new();
@@ -43,8 +44,8 @@
 /// Limit on log lines in a second.
 const MAX_LINES_PER_SECOND: u32 = 40;
 
-/// Sets up the log: plain lines of this program alone, each in a single write to standard error, regardless of the
-/// environment.
+/// Sets up the log: plain lines of this program alone, each in a single write to standard error, regardless
+/// of the environment.
 fn open_log() {
     let mut builder = env_logger::Builder::new();
     builder.filter_module("threadward", LevelFilter::Info).format(|line, r| writeln!(line, "{}", r.args()));
@@ -65,8 +66,8 @@
 /// The pause after a batch of datagrams, or after a failed read.
 const PAUSE_AFTER_BATCH: Micros = 10_000;
 
-/// Reads datagrams for as long as the program runs and hands them to `handle`. A datagram longer than `max_bytes` is cut
-/// to one byte more than that, so that `handle` can tell.
+/// Reads datagrams for as long as the program runs and hands them to `handle`. A datagram longer than
+/// `max_bytes` is cut to one byte more than that, so that `handle` can tell.
 pub async fn receive_datagrams(
     socket: &Async<UdpSocket>,
     max_bytes: usize,
@@ -119,8 +120,8 @@
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; 64 * 1024]);
 }
 
-/// Appends what has arrived to `buf`, up to `max_bytes`, without waiting. Returns the number of bytes, 0 at the end of the
-/// stream or after an error, or nothing if no data has arrived.
+/// Appends what has arrived to `buf`, up to `max_bytes`, without waiting. Returns the number of bytes, 0 at
+/// the end of the stream or after an error, or nothing if no data has arrived.
 pub fn try_read(stream: &Async<TcpStream>, buf: &mut Vec<u8>, max_bytes: usize) -> Option<usize> {
     READ_BUFFER.with_borrow_mut(|buffer| {
         let room = max_bytes.min(buffer.len());
@@ -165,8 +166,8 @@
 /// Bytes that are read and discarded at a time.
 const DISCARD_READ_BYTES: usize = 16 * 1024;
 
-/// Shuts down the writing side, then discards what arrives until the end of the stream or the given time. Closing a
-/// connection with unread data would reset it, and what was written last could be lost.
+/// Shuts down the writing side, then discards what arrives until the end of the stream or the given time.
+/// Closing a connection with unread data would reset it, and what was written last could be lost.
 pub async fn shutdown_and_drain(stream: &Async<TcpStream>, until: Micros) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
@@ -189,8 +190,8 @@
     calls::uninterrupted(|| stream.get_ref().peek(&mut [0])).is_ok_and(|n| n > 0)
 }
 
-/// Length of the accept backlog. Many clients may connect at once, and one that is dropped here tries again only after
-/// 1 s.
+/// Length of the accept backlog. Many clients may connect at once, and one that is dropped here tries again
+/// only after 1 s.
 pub const LISTEN_BACKLOG: i32 = 1024;
 
 /// A TCP address that is bound but not listened on yet.
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -1,15 +1,18 @@
-//! The second front: signed links over HTTP/1.1, as RFC 9246 signs URIs with a JWT (RFC 7515, RFC 7519). It owns
-//! the gate (keys, the rules on tokens, the register of redeemed ones) and the connections of its clients. It
-//! must never write a token or a key to a log, send on a request whose token was not redeemed here, or hold
-//! policy of its own: behind the gate stand the same planner, stages and rules as behind the platform's front.
+//! The listener for signed links over HTTP/1.1. URIs are signed with a JWT (RFC 7515, RFC 7519) as in RFC
+//! 9246.
 //!
-//! The gate reads the clock it is given. `skew` is how far the clocks of signers and proxies may lie apart, and
-//! every rule errs towards refusal by it:
-//! - expired once `now + skew >= exp`, so that a slow clock never prolongs a link;
-//! - `iat` has to lie between the start of this proxy plus `skew` (the register of redeemed tokens did not outlive
-//!   the last one) and `now + skew`;
-//! - a `jti` is redeemed once, at its home only, and the register holds it until `exp`. When the register is full
-//!   the gate fails closed. A request that was refused unserved gives its `jti` back: that try never ran.
+//! A request is handled only after its token has been verified and redeemed here; it then takes the same way
+//! through planner, stages and rules as a request of the platform's clients. Tokens and keys are never
+//! logged.
+//!
+//! The verifier reads the clock it is given. `skew` is how far the clocks of signers and proxies may differ,
+//! and every rule errs towards refusal by it:
+//! - A link has expired once `now + skew >= exp`, so that a slow clock never prolongs it.
+//! - `iat` has to lie between the start of this proxy plus `skew` (the register of redeemed tokens is lost in
+//!   a restart) and `now + skew`.
+//! - A `jti` is redeemed once, at a single front that depends on it, and stays in the register until `exp`.
+//!   When the register is full, tokens are refused. If a request is refused without being served, its `jti`
+//!   is released, because nothing ran for it.
 use crate::calls::{self, AcceptFailure, AcceptRetry};
 use crate::net::{has_unread_bytes, now, read_some, sleep_until, OutgoingAnswer, Signal};
 use crate::node::{Guest, Node};
@@ -29,56 +32,67 @@
 use threadward_core::{ClientRequest, Counter, FinalAnswer, Micros, Payload, RequestPolicy};
 
 /// The attribute that carries the token (RFC 9246, section 3.3).
-const ATTRIBUTE: &str = "URISigningPackage";
-/// The longest token that is looked at.
-const TOKEN: usize = 4096;
-/// The longest body of a write.
-const BODY: usize = 48_000;
-/// A client that has not taken an answer by so long after its writing began is closed.
-const STALLED: Micros = 10_000_000;
-/// Refused requests after which a connection is closed: each costs a check of a signature.
-const REFUSED: u32 = 32;
-/// What a proxy that is full advises.
-const PAUSE: Micros = 1_000_000;
-
-/// Why the gate turned a token away.
+const TOKEN_PARAMETER: &str = "URISigningPackage";
+/// Limit on the length of a token.
+const MAX_TOKEN_BYTES: usize = 4096;
+/// Limit on the body of a write.
+const MAX_BODY_BYTES: usize = 48_000;
+/// Time limit for writing an answer; the connection is then closed.
+const WRITE_TIMEOUT: Micros = 10_000_000;
+/// How many refused requests a connection may send before it is closed: each costs a signature check.
+const MAX_REFUSED_REQUESTS: u32 = 32;
+/// The least delay that an overloaded proxy asks clients to wait.
+const MIN_RETRY_AFTER: Micros = 1_000_000;
+
+/// Why a token was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
+    /// The request has no token.
     Missing,
+    /// The signature, a claim or the URI is wrong.
     Bad,
+    /// The link has expired.
     Expired,
+    /// The link is not valid yet (`nbf`).
     Early,
+    /// The token was redeemed before.
     Replayed,
+    /// The register of redeemed tokens is full.
     Full,
 }
 
-/// A token whose signature, times and URI hold.
+/// A token whose signature, times and URI were verified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerifiedToken {
+    /// The id of the token.
     pub jti: String,
-    /// `exp` on the signer's clock.
+    /// When the token expires, on the signer's clock.
     pub exp: Micros,
 }
 
+/// Verifies tokens and keeps the register of redeemed ones.
 pub struct TokenVerifier {
-    s: Settings,
+    settings: Settings,
     started: Micros,
-    /// The latest time seen: a clock that is set back must not bring a dropped token to life.
+    /// The latest time observed: setting the clock back must not revalidate a token that has left the
+    /// register.
     latest: Cell<Micros>,
-    redeemed: RefCell<BTreeSet<(String, Micros)>>,
-    by_end: RefCell<BTreeMap<(Micros, String), ()>>,
+    redeemed_tokens: RefCell<BTreeSet<(String, Micros)>>,
+    expiries: RefCell<BTreeMap<(Micros, String), ()>>,
 }
 
-fn part(text: &str) -> Option<Vec<u8>> {
+/// Decodes unpadded base64url.
+fn decode_base64(text: &str) -> Option<Vec<u8>> {
     URL_SAFE_NO_PAD.decode(text).ok()
 }
 
-fn object(bytes: &[u8]) -> Option<Value> {
+/// Parses a JSON object.
+fn parse_object(bytes: &[u8]) -> Option<Value> {
     serde_json::from_slice::<Value>(bytes).ok().filter(Value::is_object)
 }
 
-/// A NumericDate in microseconds.
-fn date(v: &Value, name: &str) -> Result<Option<Micros>, Denial> {
+/// Returns a claim of type NumericDate in microseconds.
+fn numeric_date(v: &Value, name: &str) -> Result<Option<Micros>, Denial> {
     match v.get(name) {
         None => Ok(None),
         Some(d) => match d.as_f64() {
@@ -89,147 +103,160 @@
 }
 
 impl TokenVerifier {
-    pub fn new(s: Settings, started: Micros) -> TokenVerifier {
+    /// Creates a verifier with an empty register. Tokens issued before `started` are refused.
+    pub fn new(settings: Settings, started: Micros) -> TokenVerifier {
         TokenVerifier {
-            s,
+            settings,
             started,
             latest: Cell::new(started),
-            redeemed: RefCell::default(),
-            by_end: RefCell::default(),
+            redeemed_tokens: RefCell::default(),
+            expiries: RefCell::default(),
         }
     }
 
-    fn clock(&self, now: Micros) -> Micros {
+    /// Returns the latest time observed, `now` included, and remembers it.
+    fn latest_time(&self, now: Micros) -> Micros {
         self.latest.set(self.latest.get().max(now));
         self.latest.get()
     }
 
-    pub fn is_expired(&self, pass: &VerifiedToken, now: Micros) -> bool {
-        self.clock(now) + self.s.skew >= pass.exp
+    /// Returns whether a token has expired.
+    pub fn is_expired(&self, token: &VerifiedToken, now: Micros) -> bool {
+        self.latest_time(now) + self.settings.skew >= token.exp
     }
 
-    /// Checks a token against the path it came with. Nothing is redeemed by it.
+    /// Verifies a token for the path it was sent with, without redeeming it.
     ///
     /// # Errors
-    /// Why the token does not open this path now.
+    /// Returns the reason if the token doesn't allow this path now.
     pub fn verify(&self, now: Micros, path: &str, token: Option<&str>) -> Result<VerifiedToken, Denial> {
-        let now = self.clock(now);
+        let now = self.latest_time(now);
         let token = token.filter(|t| !t.is_empty()).ok_or(Denial::Missing)?;
-        let claims = self.signed(token).ok_or(Denial::Bad)?;
-        let known = ["iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniuc"];
-        let critical = match claims.get("cdnicrit") {
+        let claims = self.verify_signature(token).ok_or(Denial::Bad)?;
+        let known_claims = ["iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniuc"];
+        let critical_known = match claims.get("cdnicrit") {
             None => true,
-            Some(Value::String(list)) => list.split(',').all(|c| known.contains(&c.trim())),
+            Some(Value::String(list)) => list.split(',').all(|c| known_claims.contains(&c.trim())),
             Some(_) => false,
         };
-        // Claims that narrow a link and that this front cannot enforce close it.
-        let narrowed = ["cdniip", "cdniets", "cdnistt", "cdnistd"].iter().any(|c| claims.get(c).is_some());
-        let version = claims.get("cdniv").is_none_or(|v| v.as_u64() == Some(1));
-        let audience = match (claims.get("aud"), &self.s.audience) {
+        // A link with a claim that restricts its use is refused if this listener can't enforce the
+        // restriction.
+        let has_restrictions =
+            ["cdniip", "cdniets", "cdnistt", "cdnistd"].iter().any(|c| claims.get(c).is_some());
+        let version_supported = claims.get("cdniv").is_none_or(|v| v.as_u64() == Some(1));
+        let audience_matches = match (claims.get("aud"), &self.settings.audience) {
             (None, _) => true,
-            (Some(Value::String(a)), Some(own)) => a == own,
-            (Some(Value::Array(all)), Some(own)) => all.iter().any(|a| a.as_str() == Some(own)),
+            (Some(Value::String(audience)), Some(expected)) => audience == expected,
+            (Some(Value::Array(all)), Some(expected)) => {
+                all.iter().any(|audience| audience.as_str() == Some(expected))
+            }
             _ => false,
         };
-        if !critical || narrowed || !version || !audience {
+        if !critical_known || has_restrictions || !version_supported || !audience_matches {
             return Err(Denial::Bad);
         }
-        let (exp, iat) = match (date(&claims, "exp")?, date(&claims, "iat")?) {
+        let (exp, iat) = match (numeric_date(&claims, "exp")?, numeric_date(&claims, "iat")?) {
             (Some(exp), Some(iat)) => (exp, iat),
             _ => return Err(Denial::Bad),
         };
         let jti = claims.get("jti").and_then(Value::as_str).filter(|j| !j.is_empty() && j.len() <= 128);
         let jti = jti.ok_or(Denial::Bad)?.to_owned();
-        let container = claims.get("cdniuc").and_then(Value::as_str).ok_or(Denial::Bad)?;
-        let digest = container.strip_prefix("hash:sha-256;").and_then(part).ok_or(Denial::Bad)?;
-        let mut uri = Sha256::new();
-        uri.update(self.s.base.as_bytes());
-        uri.update(path.as_bytes());
-        if digest != uri.finalize()[..] {
+        let uri_container = claims.get("cdniuc").and_then(Value::as_str).ok_or(Denial::Bad)?;
+        let uri_digest =
+            uri_container.strip_prefix("hash:sha-256;").and_then(decode_base64).ok_or(Denial::Bad)?;
+        let mut uri_hash = Sha256::new();
+        uri_hash.update(self.settings.base.as_bytes());
+        uri_hash.update(path.as_bytes());
+        if uri_digest != uri_hash.finalize()[..] {
             return Err(Denial::Bad);
         }
-        if now + self.s.skew >= exp {
+        if now + self.settings.skew >= exp {
             return Err(Denial::Expired);
         }
-        if iat < self.started + self.s.skew || iat > now + self.s.skew {
+        if iat < self.started + self.settings.skew || iat > now + self.settings.skew {
             return Err(Denial::Bad);
         }
-        if date(&claims, "nbf")?.is_some_and(|nbf| now < nbf) {
+        if numeric_date(&claims, "nbf")?.is_some_and(|nbf| now < nbf) {
             return Err(Denial::Early);
         }
         Ok(VerifiedToken { jti, exp })
     }
 
-    /// The claims, where the signature holds. The key says which algorithm it is for, never the token.
-    fn signed(&self, token: &str) -> Option<Value> {
+    /// Verifies the signature and returns the claims. The key determines the algorithm, never the token.
+    fn verify_signature(&self, token: &str) -> Option<Value> {
         let mut parts = token.split('.');
-        let (head, claims, mac) = (parts.next()?, parts.next()?, parts.next()?);
-        if token.len() > TOKEN || parts.next().is_some() {
+        let (head, claims, signature) = (parts.next()?, parts.next()?, parts.next()?);
+        if token.len() > MAX_TOKEN_BYTES || parts.next().is_some() {
             return None;
         }
-        let header = object(&part(head)?)?;
-        let key = self.s.keys.get(header.get("kid")?.as_str()?)?;
+        let header = parse_object(&decode_base64(head)?)?;
+        let key = self.settings.keys.get(header.get("kid")?.as_str()?)?;
         if header.get("alg")?.as_str()? != "HS256" || header.get("crit").is_some() {
             return None;
         }
-        let mut own = Hmac::<Sha256>::new_from_slice(key).ok()?;
-        own.update(&token.as_bytes()[..head.len() + 1 + claims.len()]);
-        // In constant time.
-        own.verify_slice(&part(mac)?).ok()?;
-        object(&part(claims)?)
+        let mut expected = Hmac::<Sha256>::new_from_slice(key).ok()?;
+        expected.update(&token.as_bytes()[..head.len() + 1 + claims.len()]);
+        // This compares in constant time.
+        expected.verify_slice(&decode_base64(signature)?).ok()?;
+        parse_object(&decode_base64(claims)?)
     }
 
-    /// The front at which a `jti` is redeemed: the highest rendezvous hash over the fronts in the file. Every proxy
-    /// of the tier finds the same one, with no word between them.
+    /// Returns the name and URL of the front at which a `jti` is redeemed: the one with the highest
+    /// rendezvous hash among the fronts in the settings. All proxies of the tier determine the same one
+    /// without communication.
     pub fn redeeming_front(&self, jti: &str) -> Option<&(String, String)> {
         let score = |name: &str| {
-            let mut h = Sha256::new();
-            h.update(name.as_bytes());
-            h.update([0]);
-            h.update(jti.as_bytes());
-            <[u8; 32]>::from(h.finalize())
+            let mut hash = Sha256::new();
+            hash.update(name.as_bytes());
+            hash.update([0]);
+            hash.update(jti.as_bytes());
+            <[u8; 32]>::from(hash.finalize())
         };
-        self.s.fronts.iter().max_by_key(|(name, _)| score(name))
+        self.settings.fronts.iter().max_by_key(|(name, _)| score(name))
     }
 
-    /// Where a client is to go with a token whose home is another front.
-    pub fn redirect_target(&self, pass: &VerifiedToken) -> Option<&str> {
-        self.redeeming_front(&pass.jti).filter(|(name, _)| *name != self.s.name).map(|(_, url)| url.as_str())
+    /// Returns the URL of the front at which a token has to be redeemed, if that is not this one.
+    pub fn redirect_target(&self, token: &VerifiedToken) -> Option<&str> {
+        self.redeeming_front(&token.jti)
+            .filter(|(name, _)| *name != self.settings.name)
+            .map(|(_, url)| url.as_str())
     }
 
-    /// Redeems a token: once, and only while the register has room.
+    /// Redeems a token and records it in the register until it expires.
     ///
     /// # Errors
-    /// When it was redeemed before, or the register is full.
-    pub fn redeem(&self, pass: &VerifiedToken, now: Micros) -> Result<(), Denial> {
-        let now = self.clock(now);
-        let (mut redeemed, mut by_end) = (self.redeemed.borrow_mut(), self.by_end.borrow_mut());
-        while by_end.first_key_value().is_some_and(|((end, _), ())| *end <= now) {
-            if let Some(((end, jti), ())) = by_end.pop_first() {
-                redeemed.remove(&(jti, end));
+    /// Returns the reason if the token was redeemed before or the register is full.
+    pub fn redeem(&self, token: &VerifiedToken, now: Micros) -> Result<(), Denial> {
+        let now = self.latest_time(now);
+        let (mut redeemed_tokens, mut expiries) =
+            (self.redeemed_tokens.borrow_mut(), self.expiries.borrow_mut());
+        while expiries.first_key_value().is_some_and(|((expires_at, _), ())| *expires_at <= now) {
+            if let Some(((expires_at, jti), ())) = expiries.pop_first() {
+                redeemed_tokens.remove(&(jti, expires_at));
             }
         }
-        // The same jti under another end is the same jti.
-        let from = (pass.jti.clone(), 0);
-        if redeemed.range(from..).next().is_some_and(|(jti, _)| *jti == pass.jti) {
+        // A token with the same jti and another expiry counts as the same token.
+        let first_with_jti = (token.jti.clone(), 0);
+        if redeemed_tokens.range(first_with_jti..).next().is_some_and(|(jti, _)| *jti == token.jti) {
             return Err(Denial::Replayed);
         }
-        if redeemed.len() >= self.s.register {
+        if redeemed_tokens.len() >= self.settings.register {
             return Err(Denial::Full);
         }
-        redeemed.insert((pass.jti.clone(), pass.exp));
-        by_end.insert((pass.exp, pass.jti.clone()), ());
+        redeemed_tokens.insert((token.jti.clone(), token.exp));
+        expiries.insert((token.exp, token.jti.clone()), ());
         Ok(())
     }
 
-    /// Gives a `jti` back after a refusal: nothing was served for it and nothing ran.
-    pub fn release(&self, pass: &VerifiedToken) {
-        self.redeemed.borrow_mut().remove(&(pass.jti.clone(), pass.exp));
-        self.by_end.borrow_mut().remove(&(pass.exp, pass.jti.clone()));
+    /// Removes a `jti` from the register after its request was refused: nothing was served for it and nothing
+    /// ran.
+    pub fn release(&self, token: &VerifiedToken) {
+        self.redeemed_tokens.borrow_mut().remove(&(token.jti.clone(), token.exp));
+        self.expiries.borrow_mut().remove(&(token.exp, token.jti.clone()));
     }
 }
 
-/// What a request line and its headers ask for.
+/// A request as parsed from a request line and headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkRequest {
     pub path: String,
@@ -240,23 +267,26 @@
     pub object_name: String,
     pub part: u32,
     pub is_write: bool,
+    /// Length of the body.
     pub body_bytes: usize,
+    /// The client asks to close the connection after the answer.
     pub close_connection: bool,
     pub idempotency_key: Option<String>,
+    /// The entity tag of the copy that the client has.
     pub held_tag: Option<String>,
 }
 
-/// Reads a head. The error is the status that answers it.
+/// Parses the head of a request.
 ///
 /// # Errors
-/// The status for what is malformed or not allowed.
+/// Returns the HTTP status to answer with if the head is malformed or the request is not allowed.
 pub fn parse_link_request(head: &HttpHead) -> Result<LinkRequest, u16> {
     let malformed = |_: Malformed| 400u16;
     let [method, target, version] = &head.start_line;
     if version != "HTTP/1.1" || head.single_header("host").map_err(malformed)?.is_none() {
         return Err(400);
     }
-    let write = match method.as_str() {
+    let is_write = match method.as_str() {
         "GET" => false,
         "POST" => true,
         _ => return Err(405),
@@ -265,64 +295,70 @@
     let token = match query {
         None => None,
         Some(q) => match q.split_once('=') {
-            Some((ATTRIBUTE, token)) if !token.contains('&') => Some(token.to_owned()),
+            Some((TOKEN_PARAMETER, token)) if !token.contains('&') => Some(token.to_owned()),
             _ => return Err(400),
         },
     };
     let mut parts = path.strip_prefix('/').ok_or(400u16)?.split('/');
-    let (Some(class), Some(group), Some(row), Some(part), None) =
+    let (Some(class), Some(group), Some(object_name), Some(part), None) =
         (parts.next(), parts.next(), parts.next(), parts.next(), parts.next())
     else {
         return Err(400);
     };
-    let number = |t: &str, most: u64| {
-        let digits =
-            t.len() <= 10 && t.bytes().all(|b| b.is_ascii_digit()) && (t.len() == 1 || !t.starts_with('0'));
-        t.parse::<u64>().ok().filter(|n| digits && *n <= most).ok_or(400u16)
+    let parse_number = |text: &str, max: u64| {
+        let digits = text.len() <= 10
+            && text.bytes().all(|b| b.is_ascii_digit())
+            && (text.len() == 1 || !text.starts_with('0'));
+        text.parse::<u64>().ok().filter(|number| digits && *number <= max).ok_or(400u16)
     };
-    let hex = row.len() == 16 && row.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    if !hex || !wire::is_plain_text(class, 64) {
+    let is_hex_name =
+        object_name.len() == 16 && object_name.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    if !is_hex_name || !wire::is_plain_text(class, 64) {
         return Err(400);
     }
-    let length = match head.single_header("content-length").map_err(malformed)? {
-        Some(n) => number(n, u64::from(u32::MAX))? as usize,
-        None if write => return Err(411),
+    let body_bytes = match head.single_header("content-length").map_err(malformed)? {
+        Some(number) => parse_number(number, u64::from(u32::MAX))? as usize,
+        None if is_write => return Err(411),
         None => 0,
     };
-    // A body whose length two headers tell differently is how requests are smuggled.
-    if head.header("transfer-encoding").is_some() || !write && length > 0 {
+    // A second, contradicting length of the body would allow request smuggling.
+    if head.header("transfer-encoding").is_some() || !is_write && body_bytes > 0 {
         return Err(400);
     }
-    if length > BODY {
+    if body_bytes > MAX_BODY_BYTES {
         return Err(413);
     }
-    let key = head.single_header("idempotency-key").map_err(malformed)?;
-    let key = key.map(|k| k.trim_matches('"').to_owned());
-    if key.as_ref().is_some_and(|k| !wire::is_plain_text(k, 128)) || write && key.is_none() {
+    let idempotency_key = head.single_header("idempotency-key").map_err(malformed)?;
+    let idempotency_key = idempotency_key.map(|key| key.trim_matches('"').to_owned());
+    if idempotency_key.as_ref().is_some_and(|key| !wire::is_plain_text(key, 128))
+        || is_write && idempotency_key.is_none()
+    {
         return Err(400);
     }
-    // One strong or weak tag; of a list or `*` nothing is passed on, and the answer is whole.
-    let tag = head.header("if-none-match").map(|t| t.trim().trim_start_matches("W/"));
-    let tag =
-        tag.and_then(|t| t.strip_prefix('"')?.strip_suffix('"')).filter(|t| wire::is_plain_text(t, 128));
+    // A single strong or weak tag is passed on. A list or `*` is ignored, and the answer has the whole body.
+    let held_tag = head.header("if-none-match").map(|text| text.trim().trim_start_matches("W/"));
+    let held_tag = held_tag
+        .and_then(|text| text.strip_prefix('"')?.strip_suffix('"'))
+        .filter(|text| wire::is_plain_text(text, 128));
     Ok(LinkRequest {
         token,
         class: class.to_owned(),
-        group: number(group, 255)? as u16,
-        object: u64::from_str_radix(row, 16).map_err(|_| 400u16)?,
-        object_name: row.to_owned(),
-        part: number(part, u64::from(u32::MAX))? as u32,
+        group: parse_number(group, 255)? as u16,
+        object: u64::from_str_radix(object_name, 16).map_err(|_| 400u16)?,
+        object_name: object_name.to_owned(),
+        part: parse_number(part, u64::from(u32::MAX))? as u32,
         path: path.to_owned(),
-        is_write: write,
-        body_bytes: length,
+        is_write,
+        body_bytes,
         close_connection: head.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close")),
-        idempotency_key: key,
-        held_tag: tag.map(str::to_owned),
+        idempotency_key,
+        held_tag: held_tag.map(str::to_owned),
     })
 }
 
-/// The head of an answer with a body of so many bytes. None of these may be stored by others: each link is good once.
-pub fn response(status: u16, headers: &[(&str, &str)], body: usize) -> Vec<u8> {
+/// Encodes the head of an answer with a body of `body_bytes`. Shared caches must not store it, as each link
+/// is valid only once.
+pub fn response(status: u16, headers: &[(&str, &str)], body_bytes: usize) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         304 => "Not Modified",
@@ -341,7 +377,7 @@
     };
     let mut out = format!("HTTP/1.1 {status} {reason}\r\nCache-Control: private, no-store\r\n");
     if status != 304 {
-        out.push_str(&format!("Content-Length: {body}\r\n"));
+        out.push_str(&format!("Content-Length: {body_bytes}\r\n"));
     }
     for (name, value) in headers {
         out.push_str(&format!("{name}: {value}\r\n"));
@@ -350,24 +386,25 @@
     out.into_bytes()
 }
 
-/// The front: a gate before the node's planner, and the clock the gate is given.
+/// The listener's state: the token verifier in front of the node's planner, and the verifier's clock.
 pub struct SignedFront {
     pub node: Rc<Node>,
     pub verifier: TokenVerifier,
     pub clock: Box<dyn Fn() -> Micros>,
-    calls: Cell<u64>,
+    request_count: Cell<u64>,
 }
 
 impl SignedFront {
-    pub fn new(node: Rc<Node>, s: Settings, clock: Box<dyn Fn() -> Micros>) -> Rc<SignedFront> {
-        let gate = TokenVerifier::new(s, clock());
-        Rc::new(SignedFront { node, verifier: gate, clock, calls: Cell::new(0) })
+    /// Creates the state; tokens issued before now are refused.
+    pub fn new(node: Rc<Node>, settings: Settings, clock: Box<dyn Fn() -> Micros>) -> Rc<SignedFront> {
+        let verifier = TokenVerifier::new(settings, clock());
+        Rc::new(SignedFront { node, verifier, clock, request_count: Cell::new(0) })
     }
 
-    /// A new id for a try: 16 hex digits, not again in this tier (the seed is new with each start).
-    fn call(&self) -> Box<str> {
-        self.calls.set(self.calls.get() + 1);
-        let mut x = self.node.config.seed ^ self.calls.get().wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    /// Returns a new call id of 16 hex digits. It is not reused in the tier, as every start has a new seed.
+    fn next_call_id(&self) -> Box<str> {
+        self.request_count.set(self.request_count.get() + 1);
+        let mut x = self.node.config.seed ^ self.request_count.get().wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         format!("{:016x}", x ^ (x >> 31)).into()
@@ -376,92 +413,95 @@
 
 /// Accepts clients for as long as the program runs.
 pub async fn serve(front: Rc<SignedFront>, listener: Rc<Async<TcpListener>>) {
-    let (mut seat, mut retry) = (None, AcceptRetry::default());
+    let (mut reserved_place, mut retry) = (None, AcceptRetry::default());
     loop {
         calls::readable(&listener).await;
-        // A place for it is there before; where there is none it is closed at once.
-        if seat.is_none() {
-            seat = front.node.welcome().await;
+        // The place is reserved before the connection is accepted; if there is none, the connection is closed
+        // at once.
+        if reserved_place.is_none() {
+            reserved_place = front.node.welcome().await;
         }
         let stream = match listener.get_ref().accept().and_then(|accepted| Async::new(accepted.0)) {
             Ok(stream) => stream,
             Err(e) => {
                 if !retry.wait_after(AcceptFailure::of(&e)).await {
-                    seat = None;
+                    reserved_place = None;
                 }
                 continue;
             }
         };
         retry.reset();
-        let Some(place) = seat.take() else { continue };
+        let Some(place) = reserved_place.take() else { continue };
         stream.get_ref().set_nodelay(true).ok();
-        let f = front.clone();
+        let connection_front = front.clone();
         front.node.spawn("signed connection", async move {
             let overdue = async {
                 place.1.overdue(|| has_unread_bytes(&stream)).await;
-                f.node.count(Counter::Overdue);
+                connection_front.node.count(Counter::Overdue);
             };
-            connection(&f, &place.1, &stream).or(overdue).await;
+            run_connection(&connection_front, &place.1, &stream).or(overdue).await;
             place.close(&stream).await;
         });
     }
 }
 
-/// An answer that is being written counts as unwritten, so that an ending program waits for it.
-async fn send(node: &Node, stream: &Async<TcpStream>, answer: OutgoingAnswer) -> bool {
-    struct InHand<'a>(&'a Node, OutgoingAnswer);
-    // Given back however the writing ends, also when the task is dropped in the middle.
-    impl Drop for InHand<'_> {
+/// Writes an answer and returns whether that succeeded. Until then the answer counts as unwritten, so that a
+/// program that is shutting down waits for it.
+async fn send_answer(node: &Node, stream: &Async<TcpStream>, answer: OutgoingAnswer) -> bool {
+    struct AnswerBeingWritten<'a>(&'a Node, OutgoingAnswer);
+    // The totals are corrected however the writing ends, also when the task is dropped meanwhile.
+    impl Drop for AnswerBeingWritten<'_> {
         fn drop(&mut self) {
             self.0.unwritten.set(self.0.unwritten.get() - 1);
             self.0.unwritten_bytes.set(self.0.unwritten_bytes.get() - self.1.memory_bytes());
         }
     }
-    let until = now() + STALLED;
+    let until = now() + WRITE_TIMEOUT;
     node.unwritten.set(node.unwritten.get() + 1);
     node.unwritten_bytes.set(node.unwritten_bytes.get() + answer.memory_bytes());
-    let answer = InHand(node, answer);
+    let answer = AnswerBeingWritten(node, answer);
     answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await
 }
 
-/// Reads more; false at the end of the connection. The others have their turn in between.
-async fn more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> bool {
+/// Yields to other tasks, then reads more. Returns false at the end of the connection.
+async fn read_more(stream: &Async<TcpStream>, buf: &mut Vec<u8>) -> bool {
     futures_lite::future::yield_now().await;
     read_some(stream, buf, 8 * 1024).await > 0
 }
 
-async fn connection(f: &Rc<SignedFront>, guest: &Guest, stream: &Async<TcpStream>) {
+/// Serves a client's connection until it is to be closed.
+async fn run_connection(front: &Rc<SignedFront>, guest: &Guest, stream: &Async<TcpStream>) {
     let (mut buf, mut refused) = (Vec::new(), 0);
     loop {
-        let (head, used) = loop {
+        let (head, length) = loop {
             guest.receiving(!buf.is_empty());
             match wire::parse_http_head(&buf) {
                 Ok(Some(found)) => break found,
                 Ok(None) => {
-                    if !more(stream, &mut buf).await {
+                    if !read_more(stream, &mut buf).await {
                         return;
                     }
                 }
-                Err(_) => return malformed(f, stream, 400).await,
+                Err(_) => return answer_malformed(front, stream, 400).await,
             }
         };
-        buf.drain(..used);
-        let w = match parse_link_request(&head) {
-            Ok(w) => w,
-            Err(status) => return malformed(f, stream, status).await,
+        buf.drain(..length);
+        let request = match parse_link_request(&head) {
+            Ok(request) => request,
+            Err(status) => return answer_malformed(front, stream, status).await,
         };
-        while buf.len() < w.body_bytes {
-            if !more(stream, &mut buf).await {
+        while buf.len() < request.body_bytes {
+            if !read_more(stream, &mut buf).await {
                 return;
             }
         }
         guest.receiving(false);
         guest.busy(true);
-        let body: Vec<u8> = buf.drain(..w.body_bytes).collect();
-        let close = w.close_connection;
-        let Some(answer) = answer(f, stream, &mut buf, w, body).await else { return };
+        let body: Vec<u8> = buf.drain(..request.body_bytes).collect();
+        let close_after = request.close_connection;
+        let Some(answer) = answer_request(front, stream, &mut buf, request, body).await else { return };
         refused += u32::from(answer.head.starts_with(b"HTTP/1.1 4"));
-        if !send(&f.node, stream, answer).await || close || refused > REFUSED {
+        if !send_answer(&front.node, stream, answer).await || close_after || refused > MAX_REFUSED_REQUESTS {
             return;
         }
         guest.answered();
@@ -469,15 +509,16 @@
     }
 }
 
-/// What cannot be read is answered once; the connection ends, for what follows cannot be told apart.
-async fn malformed(f: &Rc<SignedFront>, stream: &Async<TcpStream>, status: u16) {
-    f.node.count(Counter::Malformed);
+/// Answers a malformed request. The connection is then closed, as the start of the next request is unknown.
+async fn answer_malformed(front: &Rc<SignedFront>, stream: &Async<TcpStream>, status: u16) {
+    front.node.count(Counter::Malformed);
     let allow = if status == 405 { ("Allow", "GET, POST") } else { ("Connection", "close") };
     let headers = &[("Connection", "close"), allow][..if status == 405 { 2 } else { 1 }];
-    send(&f.node, stream, response(status, headers, 0).into()).await;
+    send_answer(&front.node, stream, response(status, headers, 0).into()).await;
 }
 
-fn denied(node: &Node, why: Denial) -> Vec<u8> {
+/// Counts a refused token and returns the answer to it.
+fn denial_response(node: &Node, why: Denial) -> Vec<u8> {
     let (counter, status) = match why {
         Denial::Missing => (Counter::LinksBad, 401),
         Denial::Bad | Denial::Early => (Counter::LinksBad, 403),
@@ -487,106 +528,109 @@
     };
     node.count(counter);
     match status {
-        401 => response(401, &[("WWW-Authenticate", ATTRIBUTE)], 0),
+        401 => response(401, &[("WWW-Authenticate", TOKEN_PARAMETER)], 0),
         503 => response(503, &[("Retry-After", "1")], 0),
         _ => response(status, &[], 0),
     }
 }
 
-/// The one answer to a request; nothing where the client has left.
-async fn answer(
-    f: &Rc<SignedFront>,
+/// Handles a request and returns its answer, or nothing if the client has left.
+async fn answer_request(
+    front: &Rc<SignedFront>,
     stream: &Async<TcpStream>,
     buf: &mut Vec<u8>,
-    w: LinkRequest,
+    request: LinkRequest,
     body: Vec<u8>,
 ) -> Option<OutgoingAnswer> {
-    let node = &f.node;
+    let node = &front.node;
     if node.closing() {
         return Some(response(503, &[("Retry-After", "1")], 0).into());
     }
-    let pass = match f.verifier.verify((f.clock)(), &w.path, w.token.as_deref()) {
-        Ok(pass) => pass,
-        Err(why) => return Some(denied(node, why).into()),
+    let token = match front.verifier.verify((front.clock)(), &request.path, request.token.as_deref()) {
+        Ok(token) => token,
+        Err(why) => return Some(denial_response(node, why).into()),
     };
     let names = &node.config.names.classes;
-    let class = names.iter().position(|c| *c == w.class);
-    let Some((class, c)) = class.and_then(|i| Some((i, node.config.settings.classes.get(i)?))) else {
+    let class = names.iter().position(|name| *name == request.class);
+    let Some((class, policy)) = class.and_then(|i| Some((i, node.config.settings.classes.get(i)?))) else {
         return Some(response(404, &[], 0).into());
     };
-    if c.pass_through != w.is_write {
-        return Some(response(405, &[("Allow", if c.pass_through { "POST" } else { "GET" })], 0).into());
+    if policy.pass_through != request.is_write {
+        return Some(response(405, &[("Allow", if policy.pass_through { "POST" } else { "GET" })], 0).into());
     }
-    if let Some(url) = f.verifier.redirect_target(&pass) {
+    if let Some(url) = front.verifier.redirect_target(&token) {
         node.count(Counter::LinksElsewhere);
-        let to = format!("{url}{}?{ATTRIBUTE}={}", w.path, w.token.as_deref().unwrap_or(""));
-        return Some(response(307, &[("Location", &to)], 0).into());
+        let location =
+            format!("{url}{}?{TOKEN_PARAMETER}={}", request.path, request.token.as_deref().unwrap_or(""));
+        return Some(response(307, &[("Location", &location)], 0).into());
     }
-    if let Err(why) = f.verifier.redeem(&pass, (f.clock)()) {
-        return Some(denied(node, why).into());
+    if let Err(why) = front.verifier.redeem(&token, (front.clock)()) {
+        return Some(denial_response(node, why).into());
     }
-    // The end of the link on the planner's clock: a deadline is a point on the clock that it travels by.
-    let ends = now() + pass.exp.saturating_sub((f.clock)() + f.verifier.s.skew);
-    let due = ends.min(now() + c.deadline);
-    let ask = ClientRequest {
-        call_id: f.call(),
+    // The link's expiry is converted to the planner's clock, on which deadlines are given.
+    let link_ends_at = now() + token.exp.saturating_sub((front.clock)() + front.verifier.settings.skew);
+    let expires_at = link_ends_at.min(now() + policy.deadline);
+    let client_request = ClientRequest {
+        call_id: front.next_call_id(),
         class: class as u8,
-        object: w.object,
-        object_name: w.object_name.into(),
-        part: w.part,
-        group: w.group,
+        object: request.object,
+        object_name: request.object_name.into(),
+        part: request.part,
+        group: request.group,
         size_kb: 0.0,
-        expires_at: due,
+        expires_at,
         marked_retry: false,
-        idempotency_key: w.idempotency_key.map(Into::into),
-        tag: w.held_tag.map(Into::into),
+        idempotency_key: request.idempotency_key.map(Into::into),
+        tag: request.held_tag.map(Into::into),
         body,
         policy: RequestPolicy::default(),
     };
     let (slot, signal) = (Rc::new(RefCell::new(None)), Rc::new(Signal::default()));
-    let (s, g) = (slot.clone(), signal.clone());
-    let reply = Box::new(move |last: FinalAnswer| {
-        *s.borrow_mut() = Some(last);
-        g.notify();
+    let (reply_slot, reply_signal) = (slot.clone(), signal.clone());
+    let reply = Box::new(move |final_answer: FinalAnswer| {
+        *reply_slot.borrow_mut() = Some(final_answer);
+        reply_signal.notify();
     });
-    let number = node.plan(|p, now| p.accept_request(now, node.held(), ask, reply));
-    let leaving = Leaving { node: node.clone(), number: Cell::new(number) };
-    let gone = async {
-        // What a client sends ahead is kept for its turn, within a bound.
+    let request_id = node.plan(|p, now| p.accept_request(now, node.held(), client_request, reply));
+    let cancel_guard = CancelOnDrop { node: node.clone(), request_id: Cell::new(request_id) };
+    let client_leaves = async {
+        // Pipelined requests are buffered for later, up to a limit.
         while buf.len() < wire::MAX_CLIENT_FRAME_BYTES {
-            if !more(stream, buf).await {
+            if !read_more(stream, buf).await {
                 return true;
             }
         }
         futures_lite::future::pending().await
     };
-    let left = async { (signal.wait().await, false).1 }.or(gone).await;
-    if left && slot.borrow().is_none() {
+    let client_left = async { (signal.wait().await, false).1 }.or(client_leaves).await;
+    if client_left && slot.borrow().is_none() {
         return None;
     }
-    leaving.number.set(None);
-    let last = slot.borrow_mut().take()?;
-    // Whatever came: not a byte of it goes out once the link has ended.
+    cancel_guard.request_id.set(None);
+    let final_answer = slot.borrow_mut().take()?;
+    // Whatever the result, nothing of it is sent once the link has expired.
     let tick = 2 * node.config.settings.min_event_interval.max(1_000);
-    if f.verifier
-        .is_expired(&pass, (f.clock)() + if matches!(last, FinalAnswer::Served(_)) { 0 } else { tick })
-    {
-        return Some(denied(node, Denial::Expired).into());
+    if front.verifier.is_expired(
+        &token,
+        (front.clock)() + if matches!(final_answer, FinalAnswer::Served(_)) { 0 } else { tick },
+    ) {
+        return Some(denial_response(node, Denial::Expired).into());
     }
-    let late = now() + tick >= due;
-    Some(match last {
-        FinalAnswer::Served(p) => served(p),
-        FinalAnswer::Refused { .. } | FinalAnswer::Failed if late => response(504, &[], 0).into(),
-        FinalAnswer::Refused { retry_after: after } => {
-            f.verifier.release(&pass);
-            let secs = after.max(PAUSE).div_ceil(1_000_000).to_string();
-            response(503, &[("Retry-After", &secs)], 0).into()
+    let past_deadline = now() + tick >= expires_at;
+    Some(match final_answer {
+        FinalAnswer::Served(p) => served_answer(p),
+        FinalAnswer::Refused { .. } | FinalAnswer::Failed if past_deadline => response(504, &[], 0).into(),
+        FinalAnswer::Refused { retry_after: delay } => {
+            front.verifier.release(&token);
+            let seconds = delay.max(MIN_RETRY_AFTER).div_ceil(1_000_000).to_string();
+            response(503, &[("Retry-After", &seconds)], 0).into()
         }
         FinalAnswer::Failed => response(502, &[], 0).into(),
     })
 }
 
-fn served(p: Payload) -> OutgoingAnswer {
+/// Encodes the answer with an object, or that the client's copy is unchanged.
+fn served_answer(p: Payload) -> OutgoingAnswer {
     let tag = format!("\"{}\"", p.tag);
     let headers = [("ETag", tag.as_str()), ("Content-Type", "application/octet-stream")];
     let head = match (p.unchanged, p.tag.is_empty()) {
@@ -597,15 +641,15 @@
     OutgoingAnswer { head, body: p.body, ..OutgoingAnswer::default() }
 }
 
-/// Tells the planner when a client leaves before its answer, however the task ends.
-struct Leaving {
+/// Tells the planner that the client has left if the task ends before the answer, however it ends.
+struct CancelOnDrop {
     node: Rc<Node>,
-    number: Cell<Option<u64>>,
+    request_id: Cell<Option<u64>>,
 }
 
-impl Drop for Leaving {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        if let Some(id) = self.number.take() {
+        if let Some(id) = self.request_id.take() {
             self.node.plan(|p, now| p.client_left(now, id));
         }
     }
--- a/node/src/wire.rs
+++ b/node/src/wire.rs
@@ -1,8 +1,9 @@
-//! Parsers and encoders of the three protocols: MessagePack-RPC with clients, RESP with caches, and server-sent events
-//! from discovery.
+//! Parsers and encoders of the three protocols: MessagePack-RPC with clients, RESP with caches, and
+//! server-sent events from discovery.
 //!
-//! All of them are pure functions without I/O or state. A parser takes a buffer and returns a value and the number of
-//! bytes it took, or nothing as long as the value is incomplete. What a well-formed message means is up to the caller.
+//! All of them are pure functions without I/O or state. A parser takes a buffer and returns a value and the
+//! number of bytes it took, or nothing as long as the value is incomplete. What a well-formed message means
+//! is up to the caller.
 use atoi::FromRadix10Checked;
 use httparse::Error::{HeaderName, HeaderValue, TooManyHeaders};
 use httparse::{ParserConfig, Request, Response, Status};
@@ -68,8 +69,8 @@
     }
 }
 
-/// Capacity reserved in advance for a list or map: as many items as the short encodings hold. A longer one grows as its
-/// items are parsed.
+/// Capacity reserved in advance for a list or map: as many items as the short encodings hold. A longer one
+/// grows as its items are parsed.
 const MAX_PREALLOCATED_ITEMS: u32 = 16;
 
 impl<'a> Cursor<'a> {
@@ -96,7 +97,8 @@
         }
         Ok(MsgpackValue::Map(entries))
     }
-    /// Reads a value. Limits on depth and on the number of values protect the stack and the heap from hostile input.
+    /// Reads a value. Limits on depth and on the number of values protect the stack and the heap from hostile
+    /// input.
     fn read_value(&mut self, depth: u8) -> Result<MsgpackValue<'a>, ParseStop> {
         use Marker::*;
         if depth > 6 || self.values_left == 0 {
@@ -155,7 +157,9 @@
     let mut cursor = Cursor { remaining: frame, frame_bytes: frame.len(), values_left: 256 };
     match cursor.read_value(0) {
         Ok(v) => Ok(Some((v, frame.len() - cursor.remaining.len()))),
-        Err(ParseStop::Incomplete) if frame.len() == MAX_CLIENT_FRAME_BYTES => Err(Malformed("frame too long")),
+        Err(ParseStop::Incomplete) if frame.len() == MAX_CLIENT_FRAME_BYTES => {
+            Err(Malformed("frame too long"))
+        }
         Err(ParseStop::Incomplete) => Ok(None),
         Err(ParseStop::Invalid(why)) => Err(Malformed(why)),
     }
@@ -222,8 +226,8 @@
     out
 }
 
-/// Encodes `[1, id, nil, [BODY, FIELDS]]` up to the header of a body of `body_bytes`. The body itself and the fields
-/// follow.
+/// Encodes `[1, id, nil, [BODY, FIELDS]]` up to the header of a body of `body_bytes`. The body itself and the
+/// fields follow.
 pub fn encode_served_head(id: u32, body_bytes: usize) -> Vec<u8> {
     let mut out = answer_head(id);
     put_nil(&mut out);
@@ -261,7 +265,8 @@
 
 // ---- RESP ----
 
-/// Parses a type mark, a number of at most `max` and CRLF. Returns the number, and where the next line starts.
+/// Parses a type mark, a number of at most `max` and CRLF. Returns the number, and where the next line
+/// starts.
 fn parse_length(buf: &[u8], start: usize, mark: u8, max: usize) -> Parsed<usize> {
     let digits = match buf.get(start..).unwrap_or_default() {
         [] => return Ok(None),
@@ -301,8 +306,8 @@
     buf.get(start..start + length)
 }
 
-/// Returns the full length in bytes of an array whose last bulk string is still arriving, so that exactly this much
-/// memory can be reserved.
+/// Returns the full length in bytes of an array whose last bulk string is still arriving, so that exactly
+/// this much memory can be reserved.
 pub fn resp_array_bytes(buf: &[u8]) -> Option<usize> {
     let (count, mut position) = parse_length(buf, 0, b'*', 8).ok()??;
     for _ in 0..count {
@@ -335,10 +340,12 @@
     fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Returns whether a text may be a value in such a list and may stand in a line: it is neither empty nor longer than
-/// `max_bytes`, and has only printable ASCII characters without spaces, commas and equals signs.
+/// Returns whether a text may be a value in such a list and may stand in a line: it is neither empty nor
+/// longer than `max_bytes`, and has only printable ASCII characters without spaces, commas and equals signs.
 pub fn is_plain_text(text: &str, max_bytes: usize) -> bool {
-    !text.is_empty() && text.len() <= max_bytes && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
+    !text.is_empty()
+        && text.len() <= max_bytes
+        && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
 }
 
 // ---- HTTP and server-sent events ----
@@ -390,8 +397,8 @@
 
 /// Parses the head of an HTTP/1.1 message up to the empty line that ends it.
 pub fn parse_http_head(buf: &[u8]) -> Parsed<HttpHead> {
-    // The library skips empty lines before the first and accepts lines that end in LF alone. Both are refused here and
-    // below.
+    // The library skips empty lines before the first and accepts lines that end in LF alone. Both are refused
+    // here and below.
     if buf.starts_with(b"\r") || buf.starts_with(b"\n") {
         return Err(Malformed("first line"));
     }
@@ -401,7 +408,8 @@
     let version = |v: Option<u8>| format!("HTTP/1.{}", v.unwrap_or_default());
     let (length, start, headers) = if head.starts_with(b"HTTP/") {
         let mut message = Response::new(&mut []);
-        let read = ParserConfig::default().parse_response_with_uninit_headers(&mut message, head, &mut header_slots);
+        let read =
+            ParserConfig::default().parse_response_with_uninit_headers(&mut message, head, &mut header_slots);
         let Some(length) = head_length(read, buf.len())? else { return Ok(None) };
         let code = format!("{:03}", message.code.unwrap_or_default());
         (length, [version(message.version), code, text(message.reason)], message.headers)
