--- a/node/examples/measure-door.rs
+++ b/node/examples/measure-door.rs
@@ -61,8 +61,8 @@
         let dir = std::env::temp_dir().join(format!("threadward-measure-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let (shift, at) = door(&w, Some(&dir));
-        w.node.keep("shift", move || shift.clone().attend());
-        until("the bulletin", || w.node.heard.get()).await;
+        w.node.spawn_restarting("shift", move || shift.clone().watch_files());
+        until("the bulletin", || w.node.discovery_heard.get()).await;
         // Overload: each connection has as many open as it may, at any time.
         for (name, every, seconds) in [("usual", 1_000_000 * CONNECTIONS / RATE, 8), ("overload", 300, 4)] {
             let (answered, from) = (Rc::new(Cell::new(0)), now());
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -2,7 +2,7 @@
 //! never judge a call, hold up a client's work, or let callers that say nothing keep others out.
 use crate::net::{log, now, read_some, sleep_until, Out, Signal};
 use crate::node::Node;
-use crate::shift::Shift;
+use crate::shift::ProcessGroup;
 use async_io::Async;
 use futures_lite::FutureExt;
 use std::cell::{Cell, RefCell};
@@ -12,7 +12,7 @@
 use threadward_core::{Counter, Micros};
 
 /// Callers at a time. Beyond that the one that has waited longest with its call unfinished goes.
-pub const PLACES: usize = 12;
+pub const MAX_CALLERS: usize = 12;
 /// A line is no longer than this: the longest id and a word.
 const LINE: usize = 256;
 /// A caller that has not finished its line by then, or not taken its answer, is closed.
@@ -22,7 +22,7 @@
 
 /// A call, as its line words it.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Call<'a> {
+pub enum AdminCommand<'a> {
     Ready,
     Disable(&'a str),
     Enable(&'a str),
@@ -32,16 +32,16 @@
 ///
 /// # Errors
 /// What is wrong with it, in words for staff.
-pub fn call(line: &[u8]) -> Result<Call<'_>, &'static str> {
+pub fn parse_command(line: &[u8]) -> Result<AdminCommand<'_>, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "not text")?;
     let words: Vec<&str> = text.split_ascii_whitespace().collect();
     match words[..] {
         [] => Err("empty call"),
-        ["READY"] => Ok(Call::Ready),
+        ["READY"] => Ok(AdminCommand::Ready),
         ["DISABLE" | "ENABLE"] => Err("the id is missing"),
         ["DISABLE" | "ENABLE", id] if !crate::wire::plain(id, 128) => Err("unknown cache server"),
-        ["DISABLE", id] => Ok(Call::Disable(id)),
-        ["ENABLE", id] => Ok(Call::Enable(id)),
+        ["DISABLE", id] => Ok(AdminCommand::Disable(id)),
+        ["ENABLE", id] => Ok(AdminCommand::Enable(id)),
         ["READY" | "DISABLE" | "ENABLE", ..] => Err("too many words"),
         _ => Err("unknown call: READY, DISABLE ID or ENABLE ID"),
     }
@@ -65,7 +65,7 @@
 }
 
 /// Answers calls for as long as the program runs.
-pub async fn serve(node: Rc<Node>, shift: Rc<Shift>, listener: Rc<Async<TcpListener>>) {
+pub async fn serve(node: Rc<Node>, shift: Rc<ProcessGroup>, listener: Rc<Async<TcpListener>>) {
     let callers: Rc<RefCell<VecDeque<Rc<Waiting>>>> = Rc::default();
     loop {
         let stream = match listener.accept().await {
@@ -81,11 +81,11 @@
         };
         let mut all = callers.borrow_mut();
         all.retain(|w| !w.gone.get());
-        if all.len() >= PLACES {
+        if all.len() >= MAX_CALLERS {
             // One whose call is whole is answered within moments, so one that says nothing makes way.
             match all.iter().position(|w| !w.finished.get()).and_then(|at| all.remove(at)) {
                 Some(w) => w.go.notify(),
-                None if all.len() < PLACES * 2 => {}
+                None if all.len() < MAX_CALLERS * 2 => {}
                 None => continue,
             }
         }
@@ -105,7 +105,7 @@
     }
 }
 
-async fn serve_one(node: &Rc<Node>, shift: &Rc<Shift>, own: &Waiting, stream: &Async<TcpStream>) {
+async fn serve_one(node: &Rc<Node>, shift: &Rc<ProcessGroup>, own: &Waiting, stream: &Async<TcpStream>) {
     let mut buf = Vec::new();
     let line = loop {
         let end = buf.iter().position(|b| *b == b'\n');
@@ -125,13 +125,13 @@
     own.finished.set(true);
     node.count(Counter::AdminCommands);
     let asked = match line {
-        Some(line) if line.len() <= LINE => call(line),
+        Some(line) if line.len() <= LINE => parse_command(line),
         _ => Err("a line too long"),
     };
     let answer = match asked {
-        Ok(Call::Ready) => shift.ready().map(|()| "ready".to_owned()).map_err(str::to_owned),
-        Ok(Call::Disable(id)) => shift.call(true, id).await,
-        Ok(Call::Enable(id)) => shift.call(false, id).await,
+        Ok(AdminCommand::Ready) => shift.ready().map(|()| "ready".to_owned()).map_err(str::to_owned),
+        Ok(AdminCommand::Disable(id)) => shift.set_ban(true, id).await,
+        Ok(AdminCommand::Enable(id)) => shift.set_ban(false, id).await,
         Err(why) => Err(why.to_owned()),
     };
     let text = match &answer {
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -4,7 +4,7 @@
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
-use crate::operators::{BudgetSettings, Division, TreeSettings, COLD, PROBE};
+use crate::operators::{BudgetSettings, Division, TreeSettings, COLD_UNITS, PROBE_UNITS};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use threadward_budgets::seal::{open, seal};
@@ -112,7 +112,8 @@
         let socket = ControlSocket::bind(listen, proxies)?;
         let mut entropy = [0; 32];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
-        let (place, wholes, leaderships) = (division.place(), division.wholes(), Leadership::all(&division));
+        let (place, totals, leaderships) =
+            (division.own_index(), division.budget_totals(), Leadership::all(&division));
         let client = Rc::new(BudgetClient {
             node,
             socket,
@@ -121,9 +122,9 @@
             instance: Instance::new(division, entropy)?.into(),
             was_leased: Cell::new(false),
             leaderships,
-            has_cold_budget: wholes.len() > COLD_MEMBERS,
+            has_cold_budget: totals.len() > COLD_MEMBERS,
         });
-        client.pace_probes(wholes.get(PROBES).copied().unwrap_or(0));
+        client.pace_probes(totals.get(PROBES).copied().unwrap_or(0));
         let receiver = Rc::downgrade(&client);
         let take = move |datagram: &[u8]| {
             if let Some(client) = receiver.upgrade() {
@@ -145,7 +146,7 @@
         let client = self.clone();
         let pause = Rc::new(move || match client.share(PROBES) {
             0 => Micros::MAX,
-            units => (1_000_000 * PROBE).div_ceil(units.into()),
+            units => (1_000_000 * PROBE_UNITS).div_ceil(units.into()),
         });
         let probed = self.node.plan(|p, _| p.set_probe_pause(pause));
         if !probed {
@@ -212,8 +213,8 @@
     /// What this proxy sends to members that started lately is kept to its share.
     fn keep_cold(&self) {
         let share = self.share(COLD_MEMBERS);
-        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
-        self.want(COLD_MEMBERS, sends.saturating_mul(COLD));
+        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD_UNITS));
+        self.want(COLD_MEMBERS, sends.saturating_mul(COLD_UNITS));
     }
 
     /// Says what changed, and keeps the counters.
--- a/node/src/bulletin.rs
+++ b/node/src/bulletin.rs
@@ -2,7 +2,7 @@
 //! proxies. It owns the number of the last event, the calls to the bulletin and the one watch that is
 //! heard. It must never judge an event: it hands each to the pool and the planner once, in order, at once.
 use crate::clock::unix_now;
-use crate::config::{event, stand_in, Bulletin, ListedServer};
+use crate::config::{address_for_id, parse_event, DiscoveryEvent, ListedServer};
 use crate::net::{self, now, sleep_until};
 use crate::node::Node;
 use crate::wire::{self, Malformed};
@@ -43,7 +43,8 @@
 /// than `within`.
 pub fn hold(node: &Node, servers: Vec<ListedServer>, within: Micros) {
     let bans = node.bans.borrow();
-    node.pool.bar(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| stand_in(id)).collect());
+    node.pool
+        .bar(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| address_for_id(id)).collect());
     drop(bans);
     if !servers.is_empty() {
         take_over(node, ListForm::Delta, servers, within);
@@ -51,7 +52,7 @@
 }
 
 fn take_over(node: &Node, form: ListForm, mut servers: Vec<ListedServer>, within: Micros) {
-    node.start_times.borrow_mut().place(form, &mut servers, (unix_now(), now()), within);
+    node.start_times.borrow_mut().assign(form, &mut servers, (unix_now(), now()), within);
     let displaced = node.pool.roster(form, &servers);
     let gone = |addr| Entry { addr, state: Lifecycle::Gone, ..Entry::default() };
     let listed = servers.into_iter().map(|s| s.entry);
@@ -59,9 +60,9 @@
     node.plan(|p, now| p.update_members(now, form, entries));
 }
 
-pub fn apply(node: &Node, b: Bulletin, cached: bool) {
+pub fn apply(node: &Node, b: DiscoveryEvent, cached: bool) {
     match b {
-        Bulletin::Roster { form, mut servers } => {
+        DiscoveryEvent::Members { form, mut servers } => {
             let more =
                 |s: &&ListedServer| s.entry.state != Lifecycle::Gone && node.pool.id(s.entry.addr).is_none();
             // The last good list stays in use, and so do the drains it told of.
@@ -78,11 +79,11 @@
             }
             let form = if cached && form == ListForm::Full { ListForm::Cached } else { form };
             node.bans.borrow_mut().apply_list(form, &mut servers);
-            let within = node.all_heard.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
+            let within = node.caught_up_at.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
             take_over(node, form, servers, if cached { Micros::MAX } else { within });
         }
         // It counts from this moment on: copies from before are older, whatever the wall clocks say. It was issued before.
-        Bulletin::Recall { issued: _, object, group } => {
+        DiscoveryEvent::Purge { issued: _, object, group } => {
             node.plan(|p, now| p.purge(now, 0, object, group));
         }
     }
@@ -110,10 +111,10 @@
     let lots = RefCell::new(fastrand::Rng::with_seed(node.config.seed));
     let pace = Pace { lots, next: Cell::new(0) };
     loop {
-        let at = node.bulletin.get();
+        let at = node.discovery_addr.get();
         let moved = async {
-            while node.bulletin.get() == at {
-                node.moved.wait().await;
+            while node.discovery_addr.get() == at {
+                node.discovery_moved.wait().await;
             }
         };
         moved.or(attend(&node, at, &pace)).await;
@@ -203,7 +204,7 @@
         if head.start[1] != "200" {
             return Err(Malformed("the bulletin refused"));
         }
-        node.heard.set(true);
+        node.discovery_heard.set(true);
         raw.drain(..used);
         let chunked = head.get("transfer-encoding").unwrap_or("").eq_ignore_ascii_case("chunked");
         return Ok(Watch { stream, raw, chunked });
@@ -220,7 +221,7 @@
 /// stand before all others for good.
 fn asks_again(node: &Node) -> bool {
     let next = node.last_event.get().saturating_add(1);
-    node.unread.replace(next) != next
+    node.reread_event.replace(next) != next
 }
 
 async fn listen(node: &Rc<Node>, watch: Watch, heard: &Cell<Micros>) -> Result<(), Malformed> {
@@ -273,7 +274,7 @@
             }
         }
         text.drain(..from);
-        node.all_heard.set(Some(heard.get()));
+        node.caught_up_at.set(Some(heard.get()));
         if last {
             return Ok(());
         }
@@ -298,13 +299,13 @@
             return Ok(());
         }
     };
-    match event(&v, &node.config.names) {
+    match parse_event(&v, &node.config.names) {
         // What was sent again after a reconnect is passed over.
         Ok((no, _)) if no <= last.get() => {}
         Ok((no, _)) if no > NUMBERS => unusable(node, "a number that none can follow"),
         // Something is missing before it: asked for once, as numbers may also have been left out. What comes the second
         // time is taken, whatever its number: else a bulletin that only tells what is new would never be heard.
-        Ok((no, _)) if no > next && node.out_of_turn.replace(next) != next => {
+        Ok((no, _)) if no > next && node.out_of_order_event.replace(next) != next => {
             return Err(Malformed("an event out of turn"));
         }
         Ok((no, b)) => {
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -334,9 +334,10 @@
     fn connection(self: &Rc<Self>, s: &Rc<Server>, call: &str) -> Option<Rc<Conn>> {
         let at = now();
         let conns = s.conns.borrow();
-        let usable = conns.iter().filter(|c| c.takes(call, self.names.streams));
-        let best =
-            usable.filter(|c| !c.silent(at, self.names.connect)).min_by_key(|c| c.pending.borrow().len());
+        let usable = conns.iter().filter(|c| c.takes(call, self.names.streams_per_connection));
+        let best = usable
+            .filter(|c| !c.silent(at, self.names.connect_timeout))
+            .min_by_key(|c| c.pending.borrow().len());
         let live = conns.iter().filter(|c| !c.closed.get()).count();
         let few = live < MOST && self.open.get() < self.most.get() && at >= s.enough.get();
         match best {
@@ -391,7 +392,7 @@
         c.probes.borrow_mut().push((tag.clone(), None));
         c.queue.borrow_mut().push_back(Item::Probe(word, tag.clone()));
         c.signal.notify();
-        let until = now() + self.names.connect;
+        let until = now() + self.names.connect_timeout;
         let told = |c: &Conn| c.probes.borrow().iter().find(|(t, _)| *t == tag).and_then(|(_, told)| *told);
         while now() < until && !c.closed.get() && told(&c).is_none() {
             sleep_until(now() + 5_000).await;
@@ -403,7 +404,7 @@
     }
 
     async fn run(self: &Rc<Self>, s: &Rc<Server>, c: &Rc<Conn>) {
-        let until = now() + self.names.connect;
+        let until = now() + self.names.connect_timeout;
         let connected = async { Async::<TcpStream>::connect(c.sock).await };
         let late = async { (sleep_until(until).await, Err(ErrorKind::TimedOut.into())).1 };
         let failed = match connected.or(late).await {
@@ -435,7 +436,7 @@
         // A connection that does not come up tells of the member, unless others to it work (then it takes no
         // more of them) or the failure is this machine's own.
         let own = failed.as_ref().is_some_and(|e| !matches!(e.kind(), REFUSED | RESET | TIMED_OUT));
-        let lately = now().saturating_sub(self.names.connect);
+        let lately = now().saturating_sub(self.names.connect_timeout);
         let others = s.conns.borrow().iter().any(|o| o.sound(lately));
         if failed.is_some() && others {
             s.enough.set(now() + ENOUGH);
@@ -568,7 +569,7 @@
             decided_at: d.decided_at,
             // What purges and drains told since counts from the first byte.
             notified_since: home.epoch() != d.epoch,
-            grace: OUTDATED.min(self.names.grace),
+            grace: OUTDATED.min(self.names.epoch_grace),
             send_by: d.send_by,
             // A ban holds from the yes on, for what was decided just before it as well.
             server_out: [Some(d.member), d.source].into_iter().flatten().any(|a| barred.contains(&a)),
@@ -784,7 +785,7 @@
         let Some((call, p)) = found else { return false };
         // A connection that stays silent while its requests are given up would look clean again: one answer that
         // never ends would hold up every later one.
-        if c.silent(now(), self.0.names.connect) {
+        if c.silent(now(), self.0.names.connect_timeout) {
             c.retired.set(true);
         }
         c.pending.borrow_mut().remove(&call);
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -49,27 +49,27 @@
 
 /// What is asked for.
 #[derive(Debug, PartialEq)]
-pub enum Asked {
+pub enum Invocation {
     Run(Option<PathBuf>),
     Check {
         file: PathBuf,
         name: String,
         json: bool,
     },
-    Key(PathBuf),
+    CreateKey(PathBuf),
     /// A text for standard output: help, or the version.
-    Say(String),
+    Print(String),
 }
 
 /// # Errors
 /// One line that says what is wrong with the words; where they ask for a run, that it cannot start.
-pub fn parse(words: impl IntoIterator<Item = std::ffi::OsString>) -> Result<Asked, String> {
+pub fn parse(words: impl IntoIterator<Item = std::ffi::OsString>) -> Result<Invocation, String> {
     let words: Vec<_> = words.into_iter().collect();
     let asks = words.get(1).is_some_and(|w| w == "check" || w == "new-gossip-key");
     let cli = match Cli::try_parse_from(words) {
         Ok(cli) => cli,
         Err(e) if matches!(e.kind(), ErrorKind::DisplayHelp | ErrorKind::DisplayVersion) => {
-            return Ok(Asked::Say(e.to_string()));
+            return Ok(Invocation::Print(e.to_string()));
         }
         Err(e) => {
             let text = e.to_string();
@@ -82,10 +82,10 @@
         }
     };
     Ok(match cli.command {
-        None => Asked::Run(cli.run.fronts),
-        Some(Command::Run(run)) => Asked::Run(run.fronts),
-        Some(Command::Check { file, name, json }) => Asked::Check { file, name, json },
-        Some(Command::NewGossipKey { file }) => Asked::Key(file),
+        None => Invocation::Run(cli.run.fronts),
+        Some(Command::Run(run)) => Invocation::Run(run.fronts),
+        Some(Command::Check { file, name, json }) => Invocation::Check { file, name, json },
+        Some(Command::NewGossipKey { file }) => Invocation::CreateKey(file),
     })
 }
 
@@ -93,23 +93,23 @@
 mod tests {
     use super::*;
 
-    fn asked(words: &str) -> Result<Asked, String> {
+    fn asked(words: &str) -> Result<Invocation, String> {
         parse(["threadward"].into_iter().chain(words.split_whitespace()).map(Into::into))
     }
 
     #[test]
     fn words_come_to_what_is_asked() {
-        assert_eq!(asked(""), Ok(Asked::Run(None)));
-        assert_eq!(asked("run"), Ok(Asked::Run(None)));
+        assert_eq!(asked(""), Ok(Invocation::Run(None)));
+        assert_eq!(asked("run"), Ok(Invocation::Run(None)));
         for words in ["--fronts a.toml", "run --fronts a.toml"] {
-            assert_eq!(asked(words), Ok(Asked::Run(Some("a.toml".into()))));
+            assert_eq!(asked(words), Ok(Invocation::Run(Some("a.toml".into()))));
         }
-        let check = |name: &str, json| Asked::Check { file: "a.toml".into(), name: name.into(), json };
+        let check = |name: &str, json| Invocation::Check { file: "a.toml".into(), name: name.into(), json };
         assert_eq!(asked("check a.toml"), Ok(check("n0", false)));
         assert_eq!(asked("check a.toml --name n3 --json"), Ok(check("n3", true)));
-        assert_eq!(asked("new-gossip-key k"), Ok(Asked::Key("k".into())));
+        assert_eq!(asked("new-gossip-key k"), Ok(Invocation::CreateKey("k".into())));
         for words in ["--help", "run --help", "--version"] {
-            assert!(matches!(asked(words), Ok(Asked::Say(t)) if t.contains("threadward")), "{words}");
+            assert!(matches!(asked(words), Ok(Invocation::Print(t)) if t.contains("threadward")), "{words}");
         }
     }
 
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -13,33 +13,33 @@
     pub name: String,
     pub listen: SocketAddr,
     /// Where operators call; nothing: there is no door.
-    pub admin: Option<SocketAddr>,
+    pub admin_addr: Option<SocketAddr>,
     pub seed: u64,
-    pub sockets: usize,
-    pub memory: usize,
+    pub max_sockets: usize,
+    pub memory_bytes: usize,
     pub peer_listen: Option<SocketAddr>,
     pub peers: Vec<SocketAddr>,
-    pub bulletin: SocketAddr,
+    pub discovery_addr: SocketAddr,
     pub settings: Settings,
     /// The settings as they were written.
-    pub text: Value,
+    pub settings_json: Value,
     pub names: Names,
-    pub last: u64,
-    pub known: Vec<Bulletin>,
+    pub last_known_event: u64,
+    pub known_events: Vec<DiscoveryEvent>,
 }
 
 impl Config {
     /// What differs in another configuration and takes effect with a restart only. `seed` and `known` belong to a
     /// start, so they are passed over.
-    pub fn fixed(&self, new: &Config) -> Vec<&'static str> {
+    pub fn restart_only_changes(&self, new: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
-            ("admin_addr", self.admin != new.admin),
-            ("limits", (self.sockets, self.memory) != (new.sockets, new.memory)),
+            ("admin_addr", self.admin_addr != new.admin_addr),
+            ("limits", (self.max_sockets, self.memory_bytes) != (new.max_sockets, new.memory_bytes)),
             ("peer_listen", self.peer_listen != new.peer_listen),
             ("peers", self.peers != new.peers),
-            ("settings", self.text != new.text),
+            ("settings", self.settings_json != new.settings_json),
         ];
         differs.into_iter().filter(|(_, d)| *d).map(|(key, _)| key).collect()
     }
@@ -51,26 +51,26 @@
     pub classes: Vec<String>,
     pub zones: Vec<String>,
     /// The hub that each zone is tied to, by its place; a hub is tied to itself.
-    pub hubs: Vec<u16>,
+    pub zone_parents: Vec<u16>,
     pub kinds: Vec<String>,
     pub columns: Vec<String>,
     pub keepalive: Micros,
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Within this time after a drain or a purge was told, whichever has less, sends still count as made before it.
-    pub grace: Micros,
-    pub streams: usize,
+    pub epoch_grace: Micros,
+    pub streams_per_connection: usize,
     pub max_open: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Bulletin {
-    Roster { form: ListForm, servers: Vec<ListedServer> },
-    Recall { issued: UnixTime, object: Option<u64>, group: u16 },
+pub enum DiscoveryEvent {
+    Members { form: ListForm, servers: Vec<ListedServer> },
+    Purge { issued: UnixTime, object: Option<u64>, group: u16 },
 }
 
 /// The module knows members by address. A new server may get the address of one that has gone, so what it is
 /// given stands for the id, alike at every proxy of the tier.
-pub fn stand_in(id: &str) -> Addr {
+pub fn address_for_id(id: &str) -> Addr {
     let mut h = 0xcbf2_9ce4_8422_2325u64;
     for b in id.bytes() {
         h = (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
@@ -180,13 +180,13 @@
     let names = Names {
         classes,
         zones,
-        hubs: places(at("/family_info/zone_hub")),
+        zone_parents: places(at("/family_info/zone_hub")),
         kinds,
         columns: words(at("/report/columns")),
         keepalive: num("/limits/keepalive", 30_000_000.0, KEEPALIVE) as Micros,
-        connect: connect as Micros,
-        grace: settings.drain_grace.min(settings.purge_grace),
-        streams: num("/limits/streams_per_conn", 32.0, (1.0, 1e6)) as usize,
+        connect_timeout: connect as Micros,
+        epoch_grace: settings.drain_grace.min(settings.purge_grace),
+        streams_per_connection: num("/limits/streams_per_conn", 32.0, (1.0, 1e6)) as usize,
         max_open: num("/limits/max_open", 1024.0, (1.0, 4096.0)) as usize,
     };
     let seed = v.get("seed").and_then(Value::as_str).and_then(|t| u64::from_str_radix(t, 16).ok());
@@ -201,23 +201,23 @@
     let known = v.get("known").unwrap_or(&Value::Null);
     let mut items = Vec::new();
     for item in known.get("items").and_then(Value::as_array).into_iter().flatten() {
-        let (_, b) = event(item, &names).map_err(|e| format!("'known': {e}"))?;
+        let (_, b) = parse_event(item, &names).map_err(|e| format!("'known': {e}"))?;
         items.extend(b);
     }
     Ok(Config {
         name: v.get("name").and_then(Value::as_str).unwrap_or("threadward").to_owned(),
         listen,
-        admin: v.get("admin_addr").map(|_| address(&v, "admin_addr")).transpose()?,
+        admin_addr: v.get("admin_addr").map(|_| address(&v, "admin_addr")).transpose()?,
         seed: seed.ok_or("'seed' is missing or no hexadecimal number")?,
-        sockets: limit("sockets", 1024.0, MOST_SOCKETS)? as usize,
-        memory: (limit("memory_mb", 192.0, MOST_MEMORY)? * 1_048_576.0) as usize,
+        max_sockets: limit("sockets", 1024.0, MOST_SOCKETS)? as usize,
+        memory_bytes: (limit("memory_mb", 192.0, MOST_MEMORY)? * 1_048_576.0) as usize,
         peer_listen: v.get("peer_listen").and_then(Value::as_str).and_then(|t| t.parse().ok()),
         peers: peers.iter().filter_map(|p| p.as_str()?.parse().ok()).collect(),
-        bulletin: address(&v, "bulletin")?,
+        discovery_addr: address(&v, "bulletin")?,
         settings,
-        text: s.clone(),
-        last: known.get("no").and_then(Value::as_u64).unwrap_or(0),
-        known: items,
+        settings_json: s.clone(),
+        last_known_event: known.get("no").and_then(Value::as_u64).unwrap_or(0),
+        known_events: items,
         names,
     })
 }
@@ -231,7 +231,7 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn event(v: &Value, names: &Names) -> Result<(u64, Option<Bulletin>), String> {
+pub fn parse_event(v: &Value, names: &Names) -> Result<(u64, Option<DiscoveryEvent>), String> {
     let no = v.get("no").and_then(Value::as_u64).ok_or("an event without a number")?;
     if let Some(r) = v.get("recall") {
         let issued = r.get("issued").and_then(Value::as_u64).ok_or("a recall without its time")?;
@@ -247,7 +247,10 @@
             return Err("a recall of nothing".into());
         }
         let group = lot.unwrap_or(0);
-        return Ok((no, Some(Bulletin::Recall { issued: UnixTime::from_millis(issued), object, group })));
+        return Ok((
+            no,
+            Some(DiscoveryEvent::Purge { issued: UnixTime::from_millis(issued), object, group }),
+        ));
     }
     let Some(r) = v.get("roster") else { return Ok((no, None)) };
     let full = r.get("full").and_then(Value::as_bool).unwrap_or(false);
@@ -276,7 +279,7 @@
         // One of unknown kind must not pass for a cache of the own zone.
         let zone = zone.filter(|_| kind.is_some()).and_then(|z| u16::try_from(z).ok()).unwrap_or(u16::MAX);
         let entry = Entry {
-            addr: stand_in(&id),
+            addr: address_for_id(&id),
             zone,
             cell: s.get("cell").and_then(Value::as_u64).unwrap_or(0) as u16,
             kind: kind.and_then(|k| u8::try_from(k).ok()).unwrap_or(u8::MAX),
@@ -288,5 +291,5 @@
         servers.push(ListedServer { id, socket_addr: sock, entry, started_at: started, lifted_at: None });
     }
     let form = if full { ListForm::Full } else { ListForm::Delta };
-    Ok((no, Some(Bulletin::Roster { form, servers })))
+    Ok((no, Some(DiscoveryEvent::Members { form, servers })))
 }
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -3,7 +3,7 @@
 //! relays, and one task serves one connection. Once our side of a connection is shut down, nothing of it is handed on.
 use crate::calls::{AcceptFailure, AcceptRetry};
 use crate::net::{self, now, read_some, sleep_until, Out, Signal, QUEUE};
-use crate::node::{Node, Place};
+use crate::node::{ConnectionSlot, Node};
 use crate::wire::{self, Rpc, Val};
 use async_io::Async;
 use futures_lite::{future, FutureExt};
@@ -35,7 +35,7 @@
 
 struct Client {
     node: Rc<Node>,
-    place: Place,
+    place: ConnectionSlot,
     /// Message ids that are owed an answer, with the planner's numbers (0: not known yet).
     open: RefCell<HashMap<u32, u64>>,
     out: RefCell<VecDeque<Out>>,
@@ -50,7 +50,7 @@
 impl Client {
     fn push(&self, answer: impl Into<Out>) {
         let answer = answer.into();
-        self.node.unwritten.set(self.node.unwritten.get() + 1);
+        self.node.unwritten_answers.set(self.node.unwritten_answers.get() + 1);
         self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() + answer.held());
         self.out.borrow_mut().push_back(answer);
         self.touch();
@@ -59,7 +59,7 @@
     /// Keeps its place up to date, after each change of what is owed.
     fn touch(&self) {
         let owed = self.writing.get() || !self.open.borrow().is_empty() || !self.out.borrow().is_empty();
-        self.place.1.busy(owed);
+        self.place.1.set_busy(owed);
     }
     /// Nothing that is open is owed any longer.
     fn leave(&self) {
@@ -69,7 +69,7 @@
         }
     }
     fn written(&self, answer: &Out) {
-        self.node.unwritten.set(self.node.unwritten.get() - 1);
+        self.node.unwritten_answers.set(self.node.unwritten_answers.get() - 1);
         self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() - answer.held());
     }
 }
@@ -80,9 +80,9 @@
     // a client has its time to ask from when its place was made.
     let (mut place, mut retry) = (None, AcceptRetry::default());
     // Also where a panic made this task anew after the sign was heard.
-    while !node.giving_way.get() {
+    while !node.handing_over.get() {
         let told = async {
-            node.gave_way.wait().await;
+            node.handover_started.wait().await;
             Err(std::io::ErrorKind::NotConnected.into())
         };
         let greeted = match listener.readable().or(told).await {
@@ -93,7 +93,7 @@
             retry.reset();
             continue;
         };
-        if node.giving_way.get() {
+        if node.handing_over.get() {
             break;
         }
         let failure = AcceptFailure::of(&e);
@@ -122,10 +122,10 @@
 async fn greet(
     node: &Rc<Node>,
     listener: &Async<TcpListener>,
-    place: &mut Option<Place>,
+    place: &mut Option<ConnectionSlot>,
 ) -> std::io::Result<()> {
     if place.is_none() {
-        *place = node.welcome().await;
+        *place = node.admit_client().await;
     }
     let stream = Async::new(listener.get_ref().accept()?.0)?;
     let Some(place) = place.take() else { return Ok(()) };
@@ -149,7 +149,7 @@
     }
 }
 
-async fn client(node: Rc<Node>, place: Place, stream: Async<TcpStream>) {
+async fn client(node: Rc<Node>, place: ConnectionSlot, stream: Async<TcpStream>) {
     let c = Rc::new(Client {
         node,
         place,
@@ -163,8 +163,8 @@
     });
     let held = Held(c.clone());
     let overdue = async {
-        c.place.1.overdue(|| net::unread(&stream)).await;
-        let drained = c.node.giving_way.get() || c.node.closing();
+        c.place.1.wait_until_due(|| net::unread(&stream)).await;
+        let drained = c.node.handing_over.get() || c.node.refuses_new_requests();
         Some(if drained { Counter::ClosedDrained } else { Counter::Overdue })
     };
     let reason = write(&c, &stream).or(read(&c, &stream)).or(overdue).await;
@@ -203,7 +203,7 @@
             return Some(Counter::ClosedStalled);
         }
         c.writing.set(false);
-        c.place.1.answered();
+        c.place.1.set_answered();
         c.touch();
     }
 }
@@ -217,7 +217,7 @@
         if ahead.into_iter().any(|n| n == 0) {
             break;
         }
-        c.place.1.reading(true);
+        c.place.1.set_parsing(true);
         let mut at = 0;
         for n in 1.. {
             match wire::rpc(&buf[at..]) {
@@ -240,10 +240,10 @@
         }
         buf.drain(..at);
         if at > 0 {
-            c.place.1.receiving(false);
+            c.place.1.set_receiving(false);
         }
-        c.place.1.receiving(!buf.is_empty());
-        c.place.1.reading(false);
+        c.place.1.set_receiving(!buf.is_empty());
+        c.place.1.set_parsing(false);
         if buf.is_empty() && buf.capacity() > SPARE {
             buf = Vec::new();
         }
@@ -292,7 +292,7 @@
             c.last.set(id);
             if method == b"alive" {
                 // With a successor there the proxy lives on, though this process ends.
-                let stays = c.node.stopping.get().is_none() || c.node.giving_way.get();
+                let stays = c.node.stopping.get().is_none() || c.node.handing_over.get();
                 let yes = stays && c.node.plan(|p, _| p.ready());
                 c.push(wire::rpc_alive(id, yes));
                 return Ok(());
@@ -302,7 +302,7 @@
             }
             match ask(&c.node.config.names.classes, &c.node.config.settings, method, &params, at) {
                 Some(mut ask) => {
-                    ask.expires_at = ask.expires_at.min(c.node.last_due());
+                    ask.expires_at = ask.expires_at.min(c.node.latest_answer_time());
                     take(c, id, ask);
                 }
                 None => {
@@ -320,7 +320,7 @@
 }
 
 fn take(c: &Rc<Client>, id: u32, ask: ClientRequest) {
-    if c.node.closing() {
+    if c.node.refuses_new_requests() {
         c.node.count(Counter::RefusedClosing);
         return c.push(wire::rpc_error(id, "Full", &[]));
     }
@@ -344,7 +344,7 @@
             FinalAnswer::Failed => wire::rpc_error(id, "Error", &[]).into(),
         });
     });
-    let number = c.node.plan(|p, now| p.accept_request(now, c.node.held(), ask, reply));
+    let number = c.node.plan(|p, now| p.accept_request(now, c.node.held_bytes(), ask, reply));
     if let (Some(n), Some(open)) = (number, c.open.borrow_mut().get_mut(&id)) {
         *open = n;
     }
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -3,7 +3,7 @@
 //! ask for. Off unless the operators' file has a `[gossip]` part.
 use crate::net::{self, now, sleep_until};
 use crate::node::Node;
-use crate::operators::Talk as Settings;
+use crate::operators::GossipSettings as Settings;
 use async_io::Async;
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -165,8 +165,8 @@
             g.observe(now, &standings, out);
         });
         let g = self.gossip.borrow();
-        self.node.peers_live.set(g.quorum().live);
-        self.node.suspects.set(g.suspected_members().len());
+        self.node.live_peers.set(g.quorum().live);
+        self.node.suspected_count.set(g.suspected_members().len());
         let t = g.counts;
         self.node.plan(|p, _| {
             let c = &mut p.counters;
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// Why it cannot be given.
-pub fn give(stream: &UnixStream, listener: &TcpListener) -> rustix::io::Result<usize> {
+pub fn send_listener(stream: &UnixStream, listener: &TcpListener) -> rustix::io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut with = SendAncillaryBuffer::new(&mut space);
     let fds = [listener.as_fd()];
@@ -56,19 +56,19 @@
 
 /// Opens the path at which this process is asked. It is there before the process shows that it listens: one that sees
 /// that and asks at once would else find nobody, and listen at a queue of its own.
-pub fn open(path: &Path) -> Option<Async<UnixListener>> {
+pub fn bind_socket(path: &Path) -> Option<Async<UnixListener>> {
     let _ = std::fs::remove_file(path);
     let bound = short(path).and_then(|(_folder, at)| Async::new(UnixListener::bind(at)?));
     bound.map_err(|e| log(&format!("handover: not offered: {e}"))).ok()
 }
 
 /// Hands the socket to every process that asks, for as long as this one listens.
-pub async fn offer(at: Async<UnixListener>, listener: Weak<Async<TcpListener>>) {
+pub async fn serve_requests(at: Async<UnixListener>, listener: Weak<Async<TcpListener>>) {
     loop {
         match at.accept().await {
             // A caller that is gone again is no harm; the byte always fits a new socket's buffer.
             Ok((stream, _)) => match listener.upgrade() {
-                Some(l) => drop(give(stream.get_ref(), l.get_ref())),
+                Some(l) => drop(send_listener(stream.get_ref(), l.get_ref())),
                 None => return,
             },
             Err(_) => sleep_until(now() + 10_000).await,
@@ -77,7 +77,7 @@
 }
 
 /// Asks an older process for its socket; nothing where there is none by then, or it is another's.
-pub async fn ask(path: &Path, own: SocketAddr, until: Micros) -> Option<Async<TcpListener>> {
+pub async fn request_listener(path: &Path, own: SocketAddr, until: Micros) -> Option<Async<TcpListener>> {
     let asked = async {
         let (_folder, at) = short(path).ok()?;
         let stream = Async::<UnixStream>::connect(at).await.ok()?;
--- a/node/src/ledger.rs
+++ b/node/src/ledger.rs
@@ -48,7 +48,7 @@
 }
 
 /// The calls as they stand in the file, with their version: it counts up with each change.
-pub fn write_calls(version: u64, calls: &BanStates) -> String {
+pub fn format_bans(version: u64, calls: &BanStates) -> String {
     let mut text = format!("version {version}\n");
     for (id, c) in calls {
         text += &match c {
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// Why it cannot be trusted.
-pub fn read_calls(text: &str) -> Result<(u64, BanStates), String> {
+pub fn parse_bans(text: &str) -> Result<(u64, BanStates), String> {
     let mut lines = unseal("bans", text)?.lines();
     let version = lines.next().and_then(|l| l.strip_prefix("version ")?.parse().ok()).ok_or("no version")?;
     let mut calls = BanStates::new();
@@ -84,7 +84,7 @@
 }
 
 /// What one process hands to the next: the figures, and the classes that they are about, by name.
-pub fn write_learned(classes: &[String], learned: &Learned) -> String {
+pub fn format_learned(classes: &[String], learned: &Learned) -> String {
     seal("learned", &format!("{}\n", serde_json::json!({ "classes": classes, "learned": learned })))
 }
 
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// Why it cannot be trusted.
-pub fn read_learned(classes: &[String], text: &str) -> Result<Learned, String> {
+pub fn parse_learned(classes: &[String], text: &str) -> Result<Learned, String> {
     #[derive(serde::Deserialize)]
     struct File {
         classes: Vec<String>,
@@ -118,15 +118,15 @@
 
 /// Why the calls are not there.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum BansFileError {
     /// The file could not be read this time, for want of descriptors, say.
-    Unread(String),
+    Unreadable(String),
     /// What it holds cannot be trusted, however often it is read.
-    Bad(String),
+    Invalid(String),
 }
 
 /// The files of one proxy, by its name.
-pub struct Ledger {
+pub struct SharedFiles {
     folder: PathBuf,
     name: String,
     /// The file by which the others see this process; nothing while it cannot be made.
@@ -136,13 +136,13 @@
     lived: RefCell<Vec<ProcessStatus>>,
 }
 
-impl Ledger {
+impl SharedFiles {
     /// Opens the folder and shows this process in it. Where nothing can be written for now, what is kept there is read all
-    /// the same, and each [`Ledger::show`] tries to show this process again.
+    /// the same, and each [`SharedFiles::show`] tries to show this process again.
     ///
     /// # Errors
     /// Where there is no such folder.
-    pub fn open(folder: &Path, name: &str, rank: Rank) -> Result<Ledger, String> {
+    pub fn open(folder: &Path, name: &str, rank: Rank) -> Result<SharedFiles, String> {
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let name = format!("threadward-{}", name.chars().map(plain).collect::<String>());
         if !folder.is_dir() {
@@ -150,7 +150,7 @@
         }
         remove_unnamed(folder, &format!("{name}.new-"));
         let (own, lived) = (RefCell::default(), RefCell::default());
-        let ledger = Ledger { folder: folder.to_owned(), name, own, rank, lived };
+        let ledger = SharedFiles { folder: folder.to_owned(), name, own, rank, lived };
         // Tried again by `show`.
         if let Err(why) = ledger.appear() {
             crate::net::log(&format!("shift: other processes cannot see this one yet: {why}"));
@@ -184,7 +184,7 @@
     ///
     /// # Errors
     /// What cannot be written: the others see what was shown before, or nothing.
-    pub fn show(&self, phase: Phase, bans: u64) -> Result<(), String> {
+    pub fn publish(&self, phase: Phase, bans: u64) -> Result<(), String> {
         let word = match phase {
             Phase::Starting => "starting",
             Phase::Ready => "ready",
@@ -202,7 +202,7 @@
 
     /// The other processes of this proxy that live. What the ended ones left is removed. While the folder cannot be read
     /// they are those that lived before: one that cannot be looked at has not ended.
-    pub fn others(&self) -> Vec<ProcessStatus> {
+    pub fn other_processes(&self) -> Vec<ProcessStatus> {
         if let Ok(found) = self.alive() {
             self.lived.replace(found);
         }
@@ -250,7 +250,7 @@
     }
 
     /// What tells one state of the file of calls from another; nothing: there is none.
-    pub fn stamp(&self) -> Option<(u64, i64, i64, u64)> {
+    pub fn bans_file_stamp(&self) -> Option<(u64, i64, i64, u64)> {
         let m = std::fs::metadata(self.calls_path()).ok()?;
         Some((m.ino(), m.mtime(), m.mtime_nsec(), m.size()))
     }
@@ -259,9 +259,9 @@
     ///
     /// # Errors
     /// Why they cannot be had, or not be trusted.
-    pub fn calls(&self) -> Result<(u64, BanStates), Unusable> {
+    pub fn load_bans(&self) -> Result<(u64, BanStates), BansFileError> {
         let text = bounded(&self.calls_path())?;
-        Ok(text.map(|t| read_calls(&t)).transpose().map_err(Unusable::Bad)?.unwrap_or_default())
+        Ok(text.map(|t| parse_bans(&t)).transpose().map_err(BansFileError::Invalid)?.unwrap_or_default())
     }
 
     /// Where a process hands its listening socket over.
@@ -273,7 +273,7 @@
     ///
     /// # Errors
     /// What cannot be written.
-    pub fn teach(&self, pupil: Rank, text: &str) -> Result<(), String> {
+    pub fn send_learned(&self, pupil: Rank, text: &str) -> Result<(), String> {
         // Not synced: what was learned is lost without harm.
         self.replace(&self.path("learned", pupil), text, |_| Ok(()))
     }
@@ -282,14 +282,15 @@
     ///
     /// # Errors
     /// Why it cannot be trusted.
-    pub fn taught(&self, classes: &[String]) -> Result<Option<Learned>, String> {
+    pub fn take_learned(&self, classes: &[String]) -> Result<Option<Learned>, String> {
         let path = self.path("learned", self.rank);
-        let text = bounded(&path).map_err(|(Unusable::Unread(why) | Unusable::Bad(why))| why)?;
+        let text =
+            bounded(&path).map_err(|(BansFileError::Unreadable(why) | BansFileError::Invalid(why))| why)?;
         if text.is_some() {
             // One that stays is removed with this process's other files.
             let _ = std::fs::remove_file(&path);
         }
-        text.map(|t| read_learned(classes, &t)).transpose()
+        text.map(|t| parse_learned(classes, &t)).transpose()
     }
 
     /// Written aside and renamed, so that no reader sees half of it; `sync`: what has to be done before it has its name.
@@ -310,8 +311,8 @@
     ///
     /// # Errors
     /// What cannot be written or synced. The calls may have taken effect all the same.
-    pub fn keep(&self, version: u64, calls: &BanStates) -> Result<(), String> {
-        self.replace(&self.calls_path(), &write_calls(version, calls), File::sync_all)?;
+    pub fn store_bans(&self, version: u64, calls: &BanStates) -> Result<(), String> {
+        self.replace(&self.calls_path(), &format_bans(version, calls), File::sync_all)?;
         self.sync_folder()
     }
 
@@ -328,7 +329,7 @@
     ///
     /// # Errors
     /// Why it cannot be had at all.
-    pub fn lock(&self) -> Result<Option<File>, String> {
+    pub fn lock_bans(&self) -> Result<Option<File>, String> {
         let path = self.folder.join(format!("{}.lock", self.name));
         let open = OpenOptions::new().write(true).create(true).truncate(false).open(&path);
         let file = open.map_err(|e| format!("{}: {e}", path.display()))?;
@@ -355,8 +356,8 @@
 }
 
 /// A file's text; nothing where there is no such file.
-fn bounded(path: &Path) -> Result<Option<String>, Unusable> {
-    let unread = |e: std::io::Error| Unusable::Unread(e.to_string());
+fn bounded(path: &Path) -> Result<Option<String>, BansFileError> {
+    let unread = |e: std::io::Error| BansFileError::Unreadable(e.to_string());
     let file = match File::open(path) {
         Ok(f) => f,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -365,7 +366,7 @@
     let mut bytes = Vec::new();
     file.take(FILE + 1).read_to_end(&mut bytes).map_err(unread)?;
     if bytes.len() as u64 > FILE {
-        return Err(Unusable::Bad("too long".into()));
+        return Err(BansFileError::Invalid("too long".into()));
     }
-    String::from_utf8(bytes).map(Some).map_err(|_| Unusable::Bad("not a text".into()))
+    String::from_utf8(bytes).map(Some).map_err(|_| BansFileError::Invalid("not a text".into()))
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -9,11 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::rc::Rc;
-use threadward::cli::{self, Asked};
+use threadward::cli::{self, Invocation};
 use threadward::clock::unix_now;
 use threadward::net::{self, now, sleep_until};
 use threadward::node::Node;
-use threadward::shift::Shift;
+use threadward::shift::ProcessGroup;
 use threadward::{admin, budgets, bulletin, calls, config, control_socket, front, gossip};
 use threadward::{operators, signed, snmp, zones};
 use threadward_core::Counter;
@@ -21,11 +21,11 @@
 fn main() -> ExitCode {
     let named = |e: String| format!("threadward: {e}");
     let done = match cli::parse(std::env::args_os()) {
-        Ok(Asked::Run(file)) => start(file).map_err(|e| named(format!("cannot start: {e}"))),
-        Ok(Asked::Key(path)) => gossip::make_key(&path).and_then(|key| say(&key)).map_err(named),
-        Ok(Asked::Say(text)) => say(text.trim_end()).map_err(named),
+        Ok(Invocation::Run(file)) => start(file).map_err(|e| named(format!("cannot start: {e}"))),
+        Ok(Invocation::CreateKey(path)) => gossip::make_key(&path).and_then(|key| say(&key)).map_err(named),
+        Ok(Invocation::Print(text)) => say(text.trim_end()).map_err(named),
         // The line begins with the file and its line, as editors look for it.
-        Ok(Asked::Check { file, name, json }) => check(&file, &name, json),
+        Ok(Invocation::Check { file, name, json }) => check(&file, &name, json),
         Err(e) => Err(named(e)),
     };
     match done {
@@ -44,9 +44,9 @@
     let config = read(&path)?;
     let fronts = match &file {
         Some(file) => operators::read(file, &config.name)?,
-        None => operators::Fronts::default(),
+        None => operators::OperatorConfig::default(),
     };
-    let door = config.admin.map_or_else(door_of_environment, |at| Ok(Some(at)))?;
+    let door = config.admin_addr.map_or_else(door_of_environment, |at| Ok(Some(at)))?;
     // With a door a second process may start beside this one, at the same addresses.
     let reserved =
         net::reserve(config.listen, door.is_some()).map_err(|e| format!("{}: {e}", config.listen))?;
@@ -65,21 +65,21 @@
         // Before the first list, so that every member is known by its zone.
         node.plan(|p, _| p.enable_zones(node.config.names.zones.len()));
     }
-    for b in node.config.known.clone() {
+    for b in node.config.known_events.clone() {
         bulletin::apply(&node, b, true);
     }
     net::log(&format!("start: {} on {}", node.config.name, node.config.listen));
     let n = node.clone();
-    node.keep("bulletin", move || bulletin::follow(n.clone()));
+    node.spawn_restarting("bulletin", move || bulletin::follow(n.clone()));
     let mut shift = None;
     if let Some(door) = door {
         let at = door.get_ref().local_addr().map_err(|e| e.to_string())?;
         net::log(&format!("start: door on {at}"));
-        let s = Shift::new(node.clone(), std::env::var_os("TMPDIR").as_deref().map(Path::new));
+        let s = ProcessGroup::new(node.clone(), std::env::var_os("TMPDIR").as_deref().map(Path::new));
         let (n, t, door) = (node.clone(), s.clone(), Rc::new(door));
-        node.keep("door", move || admin::serve(n.clone(), t.clone(), door.clone()));
+        node.spawn_restarting("door", move || admin::serve(n.clone(), t.clone(), door.clone()));
         let t = s.clone();
-        node.keep("shift", move || t.clone().attend());
+        node.spawn_restarting("shift", move || t.clone().watch_files());
         shift = Some(s);
     }
     match shift.clone().filter(|s| !s.may_listen()) {
@@ -95,7 +95,7 @@
                     sleep_until(now() + 5_000).await;
                 }
                 // One queue for both processes, so that nothing is lost when the old one stops; else one of its own.
-                let given = s.socket().await;
+                let given = s.request_listener().await;
                 // Told to end while it asked: the queue stays with the process that has it.
                 if n.stopping.get().is_some() {
                     return;
@@ -109,7 +109,7 @@
     }
     if let Some(udp) = udp {
         let (n, udp) = (node.clone(), Rc::new(udp));
-        node.keep("peers", move || bulletin::peers(n.clone(), udp.clone()));
+        node.spawn_restarting("peers", move || bulletin::peers(n.clone(), udp.clone()));
     }
     if let Some(s) = fronts.signed {
         let at = s.listen;
@@ -117,13 +117,13 @@
         net::log(&format!("start: signed links on {at}"));
         let front = signed::Front::new(node.clone(), s, Box::new(|| unix_now().micros()));
         let listener = Rc::new(listener);
-        node.keep("signed front", move || signed::serve(front.clone(), listener.clone()));
+        node.spawn_restarting("signed front", move || signed::serve(front.clone(), listener.clone()));
     }
     if let Some(s) = fronts.snmp {
         let socket = Async::<UdpSocket>::bind(s.listen).map_err(|e| format!("{}: {e}", s.listen))?;
         net::log(&format!("start: agent on {}", s.listen));
         let (n, socket) = (node.clone(), Rc::new(socket));
-        node.keep("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
+        node.spawn_restarting("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
     }
     let talk = match fronts.gossip {
         Some(s) => Some(gossip::Talk::new(node.clone(), s)?),
@@ -132,30 +132,30 @@
     if let Some(talk) = &talk {
         net::log("start: gossip between proxies is on");
         let t = talk.clone();
-        node.keep("gossip in", move || gossip::receive(t.clone()));
+        node.spawn_restarting("gossip in", move || gossip::receive(t.clone()));
         let t = talk.clone();
-        node.keep("gossip", move || gossip::attend(t.clone()));
+        node.spawn_restarting("gossip", move || gossip::attend(t.clone()));
     }
     let client = fronts.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
     if let Some(client) = &client {
         net::log("start: budgets shared by all proxies are on");
         let socket = client.socket();
-        node.keep("budgets in", move || control_socket::receive(socket.clone()));
+        node.spawn_restarting("budgets in", move || control_socket::receive(socket.clone()));
         let c = client.clone();
-        node.keep("budgets", move || budgets::attend(c.clone()));
+        node.spawn_restarting("budgets", move || budgets::attend(c.clone()));
     }
     let mut fleet = None;
     if let Some((z, client)) = fronts.zones.zip(client.as_ref()) {
         let f = zones::Fleet::new(node.clone(), client.clone(), z)?;
         net::log("start: zones are left and taken back by all proxies together");
         fleet = Some(f.clone());
-        node.keep("zones", move || zones::attend(f.clone()));
+        node.spawn_restarting("zones", move || zones::attend(f.clone()));
     }
     let n = node.clone();
     node.spawn("counters", async move {
         loop {
             next_signal(&usr).await;
-            net::log(&format!("counters: {}", n.counters()));
+            net::log(&format!("counters: {}", n.counters_line()));
         }
     });
     let (n, t) = (node.clone(), talk.clone());
@@ -169,7 +169,7 @@
             });
             let Some((t, file)) = t.as_ref().zip(file.as_ref()) else { continue };
             net::log(&match operators::read(file, &n.config.name) {
-                Ok(operators::Fronts { gossip: Some(s), zones, .. }) => {
+                Ok(operators::OperatorConfig { gossip: Some(s), zones, .. }) => {
                     fleet.iter().zip(zones).for_each(|(f, z)| f.reload(z));
                     format!("reload: {}", t.reload(s))
                 }
@@ -181,23 +181,23 @@
     async_io::block_on(executor.run(async {
         next_signal(&term).await;
         node.stopping.set(Some(now()));
-        shift.iter().for_each(|s| s.look());
+        shift.iter().for_each(|s| s.refresh());
         talk.iter().for_each(gossip::Talk::leave);
         client.iter().for_each(|c| c.leave());
         net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open_requests())));
-        node.drained().await;
+        node.wait_until_drained().await;
     }));
-    net::log(&format!("counters: {}", node.counters()));
+    net::log(&format!("counters: {}", node.counters_line()));
     net::log("end");
     Ok(())
 }
 
 /// Listens for clients from here on.
-fn listen(node: &Rc<Node>, at: Async<TcpListener>, shift: Option<&Rc<Shift>>) {
+fn listen(node: &Rc<Node>, at: Async<TcpListener>, shift: Option<&Rc<ProcessGroup>>) {
     let listener = Rc::new(at);
-    shift.iter().for_each(|s| s.listens(&listener));
+    shift.iter().for_each(|s| s.start_listening(&listener));
     let n = node.clone();
-    node.keep("front", move || front::serve(n.clone(), listener.clone()));
+    node.spawn_restarting("front", move || front::serve(n.clone(), listener.clone()));
 }
 
 /// Where the door is by the environment; the configuration's word goes first.
@@ -217,14 +217,14 @@
     let read = operators::read(file, name);
     if json {
         let text = match &read {
-            Ok(f) => serde_json::json!({ "ok": true, "parts": f.on() }),
+            Ok(f) => serde_json::json!({ "ok": true, "parts": f.enabled_parts() }),
             Err(e) => serde_json::json!({ "ok": false, "error": e }),
         };
         say(&text.to_string())?;
     }
     let fronts = read?;
     if !json {
-        let on = fronts.on().join(", ");
+        let on = fronts.enabled_parts().join(", ");
         let on = if on.is_empty() { "nothing" } else { &on };
         say(&format!("{}: right for {name}, turns on: {on}", file.display()))?;
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -38,7 +38,7 @@
 const LINGER: Micros = 750_000;
 
 /// A client's connection, as what guards the descriptors sees it. Its own task keeps it up to date.
-pub struct Guest {
+pub struct ClientConnection {
     number: u64,
     opened: Micros,
     /// Whether it was ever answered, and since when it is owed nothing.
@@ -75,9 +75,9 @@
 /// A client that was answered may be idle for so long. The usual ones close sooner, so nothing crosses this close.
 const IDLE: Micros = 6_000_000;
 
-impl Guest {
+impl ClientConnection {
     /// Tells whether anything is owed.
-    pub fn busy(&self, busy: bool) {
+    pub fn set_busy(&self, busy: bool) {
         if self.busy.replace(busy) && !busy {
             self.since.set(now());
             if self.leaving.get().min(self.asked_to_go.get()) < Micros::MAX {
@@ -85,11 +85,11 @@
             }
         }
     }
-    pub fn answered(&self) {
+    pub fn set_answered(&self) {
         self.answered.set(true);
     }
     /// Tells whether a message is coming in.
-    pub fn receiving(&self, some: bool) {
+    pub fn set_receiving(&self, some: bool) {
         if !some {
             return self.begun.set(Micros::MAX);
         }
@@ -99,7 +99,7 @@
         }
     }
     /// Tells whether messages are being made out of what was read. A look whether it goes is due when they are.
-    pub fn reading(&self, some: bool) {
+    pub fn set_parsing(&self, some: bool) {
         self.reading.set(some);
         if !some && now() >= self.goes() {
             self.signal.notify();
@@ -157,7 +157,7 @@
     /// Returns once the connection is to be closed: overdue, or the longest idle when descriptors are short. `unread`:
     /// whether bytes wait to be read; they come first, and so do those not made out yet, as a request that has come whole
     /// is taken.
-    pub async fn overdue(&self, unread: impl Fn() -> bool) {
+    pub async fn wait_until_due(&self, unread: impl Fn() -> bool) {
         let mut looks = 0;
         loop {
             let at = self.goes();
@@ -179,13 +179,13 @@
 }
 
 /// A place among the clients' connections; given back when dropped, which has to be with the connection.
-pub struct Place(Rc<Node>, pub Rc<Guest>);
+pub struct ConnectionSlot(Rc<Node>, pub Rc<ClientConnection>);
 
-impl Place {
+impl ConnectionSlot {
     /// Closes a connection in order, from which nothing is handed on any more: ends writing, then reads on and discards up
     /// to a bounded end. It lingers meanwhile, and may be cut where too many do.
     pub async fn close(&self, stream: &Async<TcpStream>) {
-        let Place(node, guest) = self;
+        let ConnectionSlot(node, guest) = self;
         if node.guests.borrow_mut().remove(&guest.number).is_some() {
             node.lingering.borrow_mut().push_back(guest.clone());
         }
@@ -200,9 +200,9 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        let Place(node, guest) = self;
+        let ConnectionSlot(node, guest) = self;
         node.guests.borrow_mut().remove(&guest.number);
         node.lingering.borrow_mut().retain(|g| !Rc::ptr_eq(g, guest));
         node.room.notify();
@@ -217,59 +217,62 @@
     timers: Signal,
     executor: &'static LocalExecutor<'static>,
     /// Where the bulletin is, as the configuration has it now, and a sign that it moved.
-    pub bulletin: Cell<SocketAddr>,
-    pub moved: Signal,
+    pub discovery_addr: Cell<SocketAddr>,
+    pub discovery_moved: Signal,
     /// Number of the last event that was applied, and of the last that came out of turn.
     pub last_event: Cell<u64>,
-    pub out_of_turn: Cell<u64>,
+    pub out_of_order_event: Cell<u64>,
     /// The number at which one that could not be read was asked for again.
-    pub unread: Cell<u64>,
+    pub reread_event: Cell<u64>,
     /// All that the bulletin had told by then was heard; nothing before the first time.
-    pub all_heard: Cell<Option<Micros>>,
+    pub caught_up_at: Cell<Option<Micros>>,
     /// When the listed servers started.
     pub start_times: RefCell<StartTimes>,
     /// The bulletin was heard since the start.
-    pub heard: Cell<bool>,
+    pub discovery_heard: Cell<bool>,
     /// What the staff took out.
     pub bans: RefCell<Bans>,
     /// When the order to end came.
     pub stopping: Cell<Option<Micros>>,
     /// Another process has taken over: no new connections, and those there go once nothing is owed on them.
-    pub giving_way: Cell<bool>,
-    pub gave_way: Signal,
+    pub handing_over: Cell<bool>,
+    pub handover_started: Signal,
     /// Processes that share the limits, this one among them.
     sharers: Cell<usize>,
     /// Connections of clients that are open, of all fronts, and answers not yet written to them.
-    guests: RefCell<BTreeMap<u64, Rc<Guest>>>,
+    guests: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     guest: Cell<u64>,
     /// Those whose writing we ended, the oldest first, and a sign that a place or a descriptor came free.
-    lingering: RefCell<VecDeque<Rc<Guest>>>,
+    lingering: RefCell<VecDeque<Rc<ClientConnection>>>,
     room: Signal,
-    pub unwritten: Cell<usize>,
+    pub unwritten_answers: Cell<usize>,
     pub unwritten_bytes: Cell<usize>,
     /// Proxies live by own proof, and members suspect by hearsay; 0 without gossip.
-    pub peers_live: Cell<usize>,
-    pub suspects: Cell<usize>,
+    pub live_peers: Cell<usize>,
+    pub suspected_count: Cell<usize>,
 }
 
 impl Node {
     pub fn new(config: Config, executor: &'static LocalExecutor<'static>) -> Rc<Node> {
-        let pool = Pool::new(config.names.clone(), beside_lingering(config.sockets));
-        let limits =
-            Limits { max_open: config.names.max_open, max_bytes: config.memory / 4, retry_after: 250_000 };
+        let pool = Pool::new(config.names.clone(), beside_lingering(config.max_sockets));
+        let limits = Limits {
+            max_open: config.names.max_open,
+            max_bytes: config.memory_bytes / 4,
+            retry_after: 250_000,
+        };
         let planner = Planner::new(config.settings.clone(), config.seed, limits, Box::new(Way(pool.clone())));
         let node = Rc::new(Node {
-            bulletin: Cell::new(config.bulletin),
-            moved: Signal::default(),
-            last_event: Cell::new(config.last),
-            out_of_turn: Cell::new(0),
-            unread: Cell::new(0),
-            all_heard: Cell::new(None),
+            discovery_addr: Cell::new(config.discovery_addr),
+            discovery_moved: Signal::default(),
+            last_event: Cell::new(config.last_known_event),
+            out_of_order_event: Cell::new(0),
+            reread_event: Cell::new(0),
+            caught_up_at: Cell::new(None),
             start_times: RefCell::default(),
-            heard: Cell::new(false),
+            discovery_heard: Cell::new(false),
             bans: RefCell::new(Bans::new(config.settings.origin_kind)),
-            giving_way: Cell::new(false),
-            gave_way: Signal::default(),
+            handing_over: Cell::new(false),
+            handover_started: Signal::default(),
             sharers: Cell::new(1),
             config,
             pool,
@@ -282,15 +285,15 @@
             guest: Cell::new(0),
             lingering: RefCell::default(),
             room: Signal::default(),
-            unwritten: Cell::new(0),
+            unwritten_answers: Cell::new(0),
             unwritten_bytes: Cell::new(0),
-            peers_live: Cell::new(0),
-            suspects: Cell::new(0),
+            live_peers: Cell::new(0),
+            suspected_count: Cell::new(0),
         });
         let home: Rc<dyn Home> = node.clone();
         node.pool.join(&home);
         let n = node.clone();
-        node.keep("timers", move || {
+        node.spawn_restarting("timers", move || {
             let n = n.clone();
             async move { n.run_timers().await }
         });
@@ -298,32 +301,32 @@
     }
 
     /// Memory that answers hold: what waits for clients, and what is still coming in from caches.
-    pub fn held(&self) -> usize {
+    pub fn held_bytes(&self) -> usize {
         self.unwritten_bytes.get() + self.pool.buffered.get()
     }
 
     /// Connections of clients that are open.
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.guests.borrow().len()
     }
 
     /// Those and the ones that linger: each holds a descriptor.
-    pub fn connections(&self) -> usize {
-        self.clients() + self.lingering.borrow().len()
+    pub fn connection_count(&self) -> usize {
+        self.client_count() + self.lingering.borrow().len()
     }
 
     fn places(&self) -> usize {
-        (self.config.sockets / 2 / self.sharers.get()).max(1)
+        (self.config.max_sockets / 2 / self.sharers.get()).max(1)
     }
 
     /// So many processes share the limits, this one among them. Clients that are owed nothing go for it.
-    pub fn share(&self, of: usize) {
+    pub fn set_process_count(&self, of: usize) {
         self.sharers.set(of);
-        self.pool.share(beside_lingering(self.config.sockets), of);
-        self.plan(|p, _| p.share_limits(of, self.config.memory / 4 / of));
+        self.pool.share(beside_lingering(self.config.max_sockets), of);
+        self.plan(|p, _| p.share_limits(of, self.config.memory_bytes / 4 / of));
         let (guests, at) = (self.guests.borrow(), now());
         let idle = guests.values().filter(|g| !g.busy.get() && g.asked_to_go.get() == Micros::MAX);
-        let mut idle: Vec<&Rc<Guest>> = idle.collect();
+        let mut idle: Vec<&Rc<ClientConnection>> = idle.collect();
         idle.sort_by_key(|g| g.rank(at));
         for g in idle.into_iter().take(guests.len().saturating_sub(self.places())) {
             g.make_room();
@@ -335,8 +338,8 @@
     /// Whether so many more connections fit beside those that are open or linger; else the oldest that linger are cut.
     fn fits(&self, more: usize) -> bool {
         let lingering = self.lingering.borrow();
-        let most = self.places() + (self.config.sockets / LINGERING / self.sharers.get()).max(1);
-        let over = (self.clients() + lingering.len() + more).saturating_sub(most);
+        let most = self.places() + (self.config.max_sockets / LINGERING / self.sharers.get()).max(1);
+        let over = (self.client_count() + lingering.len() + more).saturating_sub(most);
         for g in lingering.iter().take(over) {
             g.cut.set(true);
             g.signal.notify();
@@ -345,33 +348,33 @@
     }
 
     /// Another process serves at the same address: leaves new connections to it, and lets those here go.
-    pub fn give_way(&self) {
-        if self.giving_way.replace(true) {
+    pub fn hand_over(&self) {
+        if self.handing_over.replace(true) {
             return;
         }
-        log(&format!("stop: gives way to another process, {} connections of clients", self.clients()));
+        log(&format!("stop: gives way to another process, {} connections of clients", self.client_count()));
         self.count(Counter::HandedOver);
-        self.gave_way.notify();
+        self.handover_started.notify();
         self.let_go();
     }
 
     /// Lets all connections go once nothing is owed on them.
     fn let_go(&self) {
-        self.guests.borrow().values().for_each(|g| g.let_go(self.last_due()));
+        self.guests.borrow().values().for_each(|g| g.let_go(self.latest_answer_time()));
     }
 
     /// The longest deadline of any class.
-    pub fn longest(&self) -> Micros {
+    pub fn longest_deadline(&self) -> Micros {
         self.config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
     /// When the platform kills this process: the end of time before the order to end.
     fn killed(&self) -> Micros {
-        self.stopping.get().map_or(Micros::MAX, |from| from + self.longest().min(KILLED) + GRACE)
+        self.stopping.get().map_or(Micros::MAX, |from| from + self.longest_deadline().min(KILLED) + GRACE)
     }
 
     /// The latest time that a request may be answered at: a process that ends is killed after a while.
-    pub fn last_due(&self) -> Micros {
+    pub fn latest_answer_time(&self) -> Micros {
         match self.killed() {
             Micros::MAX => Micros::MAX,
             killed => killed - LAST_ANSWER,
@@ -381,10 +384,10 @@
     /// A place for a new client, once there is one: all that hold a descriptor are counted, so that there are never more
     /// than meant. When half of the descriptors are in use, one that is owed nothing goes for it, those never answered
     /// first, then the longest idle: silent connections must not keep the usual clients out. Nothing where all are owed.
-    pub async fn welcome(self: &Rc<Self>) -> Option<Place> {
+    pub async fn admit_client(self: &Rc<Self>) -> Option<ConnectionSlot> {
         let mut asked = None;
         while self.makes_room(&mut asked) {
-            if self.clients() < self.places() && self.fits(1) {
+            if self.client_count() < self.places() && self.fits(1) {
                 return Some(self.seat());
             }
             // Those that go have their turns meanwhile.
@@ -395,7 +398,7 @@
     }
 
     /// Asks one to go where all places are taken, unless the one `asked` before is about to; false where none can.
-    fn makes_room(&self, asked: &mut Option<Rc<Guest>>) -> bool {
+    fn makes_room(&self, asked: &mut Option<Rc<ClientConnection>>) -> bool {
         let (guests, at) = (self.guests.borrow(), now());
         // One that was asked may have been about to ask, and stays for its answer.
         let waits = asked.as_ref().is_some_and(|g| guests.contains_key(&g.number) && g.making_room());
@@ -412,9 +415,9 @@
         true
     }
 
-    fn seat(self: &Rc<Self>) -> Place {
+    fn seat(self: &Rc<Self>) -> ConnectionSlot {
         let (number, at) = (self.guest.replace(self.guest.get() + 1), now());
-        let guest = Rc::new(Guest {
+        let guest = Rc::new(ClientConnection {
             number,
             opened: at,
             answered: Cell::new(false),
@@ -429,33 +432,34 @@
             cut: Cell::new(false),
             signal: Signal::default(),
         });
-        if self.giving_way.get() || self.closing() {
-            guest.let_go(self.last_due());
+        if self.handing_over.get() || self.refuses_new_requests() {
+            guest.let_go(self.latest_answer_time());
         }
         self.guests.borrow_mut().insert(number, guest.clone());
         self.count(Counter::Accepted);
-        Place(self.clone(), guest)
+        ConnectionSlot(self.clone(), guest)
     }
 
     /// Whether the program is so far into its end that nothing new is taken: clients have gone elsewhere by then.
-    pub fn closing(&self) -> bool {
+    pub fn refuses_new_requests(&self) -> bool {
         let late = |from: Micros| now() > (from + LATE_ARRIVALS).min(self.killed() - LET_GO);
-        !self.giving_way.get() && self.stopping.get().is_some_and(late)
+        !self.handing_over.get() && self.stopping.get().is_some_and(late)
     }
 
     /// Waits, after the order to end, until all that was taken is answered and written, late arrivals have stopped, and
     /// all clients have left or were let go: those that rest wait for us to end it. What was taken before the order is
     /// waited for longer than the connections are.
-    pub async fn drained(&self) {
-        let latest = now() + self.longest().max(KILLED) + 600_000;
+    pub async fn wait_until_drained(&self) {
+        let latest = now() + self.longest_deadline().max(KILLED) + 600_000;
         let mut let_go = false;
         while now() < latest {
-            if self.closing() && !std::mem::replace(&mut let_go, true) {
+            if self.refuses_new_requests() && !std::mem::replace(&mut let_go, true) {
                 self.let_go();
             }
-            let owed = self.plan(|p, _| p.open_requests()) + self.unwritten.get() > 0;
-            let lasts = self.giving_way.get() || now() < self.killed() - LAST_CLOSE;
-            let late = self.connections() > 0 && lasts || !(self.giving_way.get() || self.closing());
+            let owed = self.plan(|p, _| p.open_requests()) + self.unwritten_answers.get() > 0;
+            let lasts = self.handing_over.get() || now() < self.killed() - LAST_CLOSE;
+            let late = self.connection_count() > 0 && lasts
+                || !(self.handing_over.get() || self.refuses_new_requests());
             if !late && !owed {
                 return;
             }
@@ -465,11 +469,11 @@
 
     /// Takes over what a running program can of a configuration that was read anew, and says so in a line.
     pub fn reload(&self, new: &Config) -> String {
-        let moved = self.bulletin.replace(new.bulletin) != new.bulletin;
-        self.moved.notify();
+        let moved = self.discovery_addr.replace(new.discovery_addr) != new.discovery_addr;
+        self.discovery_moved.notify();
         let what = if moved { "moved to" } else { "stays at" };
-        let line = format!("bulletin {what} {}, last event {}", new.bulletin, self.last_event.get());
-        match self.config.fixed(new) {
+        let line = format!("bulletin {what} {}, last event {}", new.discovery_addr, self.last_event.get());
+        match self.config.restart_only_changes(new) {
             fixed if fixed.is_empty() => line,
             fixed => format!("{line}; only a restart changes {}", fixed.join(", ")),
         }
@@ -490,13 +494,13 @@
     }
 
     /// All counters as one line.
-    pub fn counters(&self) -> String {
-        self.count_calls();
+    pub fn counters_line(&self) -> String {
+        self.update_call_counters();
         self.plan(|p, _| p.counters.line())
     }
 
     /// Takes over what is counted outside of the planner.
-    pub fn count_calls(&self) {
+    pub fn update_call_counters(&self) {
         self.plan(|p, _| p.counters.set(Counter::CallsRetried, calls::retried()));
     }
 
@@ -513,7 +517,7 @@
     }
 
     /// Starts a task that the program cannot do without: after a panic it is made anew.
-    pub fn keep<F: Future<Output = ()> + 'static>(
+    pub fn spawn_restarting<F: Future<Output = ()> + 'static>(
         self: &Rc<Self>,
         what: &'static str,
         make: impl Fn() -> F + 'static,
--- a/node/src/operators/budgets.rs
+++ b/node/src/operators/budgets.rs
@@ -8,25 +8,18 @@
 use threadward_control::{Location, Scope, SettingsError, SharedBudget, Topology, TopologyError};
 use threadward_core::Micros;
 
-pub const KEYS: &[&str] = &[
-    "secret_file",
-    "lease_ms",
-    "probes_per_cache_s",
-    "cold_per_s",
-    "probes_scope",
-    "cold_scope",
-    "proxy",
-];
+pub const KEYS: &[&str] =
+    &["secret_file", "lease_ms", "probes_per_cache_s", "cold_per_s", "probes_scope", "cold_scope", "proxy"];
 const PROXY: &[&str] = &["name", "address", "voter", "region", "site"];
 
-/// Keys of the wholes and of their scopes, in the order of the budgets.
+/// Keys of the budget totals and of their scopes, in the order of the budgets.
 const WHOLES: [&str; 2] = ["probes_per_cache_s", "cold_per_s"];
 const SCOPES: [&str; 2] = ["probes_scope", "cold_scope"];
 
 /// Units of the budget of probes in a probe a second: its shares are whole numbers that 300 proxies can still divide.
-pub const PROBE: Micros = 1000;
+pub const PROBE_UNITS: Micros = 1000;
 /// Units of the budget of cold members in a request a second.
-pub const COLD: u32 = 10;
+pub const COLD_UNITS: u32 = 10;
 
 /// What it says of budgets that all proxies share.
 #[derive(Clone)]
@@ -70,25 +63,25 @@
     let division = division(part, own, &entries)?;
     let key = part.secret_key("secret_file", own.folder)?;
     let proxies: Vec<SocketAddr> = entries.iter().map(|entry| entry.address).collect();
-    let listen = proxies[usize::from(division.place())];
+    let listen = proxies[usize::from(division.own_index())];
     let names = entries.iter().map(|entry| entry.name.to_owned()).collect();
     Ok(BudgetSettings { listen, proxies, names, key, division })
 }
 
 impl Division {
     /// The own place among the proxies of the file.
-    pub fn place(&self) -> u16 {
+    pub fn own_index(&self) -> u16 {
         match self {
-Division::Plain ( settings ) => settings . index , Division::Tree ( tree ) => tree . settings . proxy_index ,
-
+            Division::Plain(settings) => settings.index,
+            Division::Tree(tree) => tree.settings.proxy_index,
         }
     }
 
     /// The whole of each budget, in units.
-    pub fn wholes(&self) -> Vec<u32> {
+    pub fn budget_totals(&self) -> Vec<u32> {
         match self {
-Division::Plain ( settings ) => settings . totals . clone ( ) , Division::Tree ( tree ) => tree . settings . budgets . iter ( ) . map ( | budget | budget . total_units ) . collect ( ) ,
-
+            Division::Plain(settings) => settings.totals.clone(),
+            Division::Tree(tree) => tree.settings.budgets.iter().map(|budget| budget.total_units).collect(),
         }
     }
 }
@@ -118,7 +111,8 @@
     let location = location(&part).map_err(|wrong| wrong.of(&whose))?;
     let voter = part.flag("voter")?;
     if location.is_some() && part.has("voter") {
-        let what = "'voter' has no place beside 'region': the voters of each level follow from the file's order";
+        let what =
+            "'voter' has no place beside 'region': the voters of each level follow from the file's order";
         return Err(part.wrong_at("voter", what).of(&whose));
     }
     Ok(Entry { part, name, address, voter, location })
@@ -144,7 +138,8 @@
         return Ok(None);
     }
     let located = |entry: &Entry<'a>| {
-        let what = format!("proxy '{}' names no region and site, others do: all name both, or none", entry.name);
+        let what =
+            format!("proxy '{}' names no region and site, others do: all name both, or none", entry.name);
         entry.location.ok_or_else(|| entry.part.wrong(what))
     };
     entries.iter().map(located).collect::<Result<Vec<_>, _>>().map(Some)
@@ -177,7 +172,7 @@
         index: place as u16,
         proxies: entries.len() as u16,
         voters,
-        totals: wholes(part)?,
+        totals: budget_totals(part)?,
         lease: lease(part)?,
     };
     threadward_budgets::check(&settings).map_err(|e| {
@@ -187,15 +182,10 @@
     Ok(settings)
 }
 
-fn tree(
-    part: &Part,
-    place: usize,
-    entries: &[Entry],
-    locations: &[Location],
-) -> Result<TreeSettings, Wrong> {
+fn tree(part: &Part, place: usize, entries: &[Entry], locations: &[Location]) -> Result<TreeSettings, Wrong> {
     let topology = Topology::new(locations).map_err(|error| topology_error(part, entries, &error))?;
     let scopes = [scope(part, 0)?, scope(part, 1)?];
-    let budgets = wholes(part)?.into_iter().zip(scopes);
+    let budgets = budget_totals(part)?.into_iter().zip(scopes);
     let settings = threadward_control::Settings {
         // The topology takes no more proxies than fit.
         proxy_index: place as u16,
@@ -239,13 +229,13 @@
 }
 
 /// The whole of each budget that the file gives, in units.
-fn wholes(part: &Part) -> Result<Vec<u32>, Wrong> {
+fn budget_totals(part: &Part) -> Result<Vec<u32>, Wrong> {
     let [probes, cold] = WHOLES;
-    let mut wholes = vec![(positive(part, probes)? * PROBE as f64) as u32];
+    let mut budget_totals = vec![(positive(part, probes)? * PROBE_UNITS as f64) as u32];
     if part.has(cold) {
-        wholes.push((positive(part, cold)? * f64::from(COLD)) as u32);
+        budget_totals.push((positive(part, cold)? * f64::from(COLD_UNITS)) as u32);
     }
-    Ok(wholes)
+    Ok(budget_totals)
 }
 
 fn lease(part: &Part) -> Result<Micros, Wrong> {
--- a/node/src/operators/gossip.rs
+++ b/node/src/operators/gossip.rs
@@ -20,7 +20,7 @@
 
 /// What it says of gossip between proxies.
 #[derive(Clone)]
-pub struct Talk {
+pub struct GossipSettings {
     pub settings: threadward_gossip::Settings,
     /// The own address in the file, where datagrams go out and come in.
     pub listen: SocketAddr,
@@ -28,7 +28,7 @@
     pub probes: f64,
 }
 
-pub fn read(part: &Part, own: &Own) -> Result<Talk, Wrong> {
+pub fn read(part: &Part, own: &Own) -> Result<GossipSettings, Wrong> {
     let number = |key: &str, or: f64| match part.number(key)? {
         None => Ok(or),
         Some(n) if n >= 0.0 => Ok(n),
@@ -60,7 +60,7 @@
         part.wrong_at(key.unwrap_or_default(), e.as_str())
     })?;
     let listen = settings.peers.iter().find(|p| p.name == own.name).map(|p| p.addr);
-    Ok(Talk { listen: listen.ok_or_else(|| part.wrong("no own address"))?, probes, settings })
+    Ok(GossipSettings { listen: listen.ok_or_else(|| part.wrong("no own address"))?, probes, settings })
 }
 
 fn peer(p: &Part, name: &str) -> Result<PeerConfig, Wrong> {
--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -36,13 +36,13 @@
 
         /// What the operators' file turns on.
         #[derive(Clone, Default)]
-        pub struct Fronts {
+        pub struct OperatorConfig {
             $(pub $part: Option<$type>,)*
         }
 
-        impl Fronts {
-            fn read(file: &Part, own: &Own) -> Result<Fronts, Wrong> {
-                Ok(Fronts {
+        impl OperatorConfig {
+            fn read(file: &Part, own: &Own) -> Result<OperatorConfig, Wrong> {
+                Ok(OperatorConfig {
                     $($part: file
                         .table(stringify!($part), $part::KEYS)?
                         .map(|p| $part::read(&p, own).map_err(|w| w.within(stringify!($part))))
@@ -51,7 +51,7 @@
             }
 
             /// The names of the parts that are on.
-            pub fn on(&self) -> Vec<&'static str> {
+            pub fn enabled_parts(&self) -> Vec<&'static str> {
                 [$(self.$part.as_ref().map(|_| stringify!($part))),*].into_iter().flatten().collect()
             }
         }
@@ -59,19 +59,19 @@
 }
 
 parts! {
-    signed: Signed,
-    snmp: Agent,
-    gossip: Talk,
+    signed: SignedLinks,
+    snmp: SnmpAgent,
+    gossip: GossipSettings,
     budgets: BudgetSettings,
-    zones: Zoned,
+    zones: ZoneSettings,
 }
-pub use budgets::{Division, TreeSettings, COLD, PROBE};
+pub use budgets::{Division, TreeSettings, COLD_UNITS, PROBE_UNITS};
 
 /// Reads the operators' file at `path`; `name` is the own one among the fronts.
 ///
 /// # Errors
 /// One line that names the file, the line in it, and what is wrong there.
-pub fn read(path: &Path, name: &str) -> Result<Fronts, String> {
+pub fn read(path: &Path, name: &str) -> Result<OperatorConfig, String> {
     let at = path.display();
     let bytes = bounded(path, MOST).map_err(|e| line(&format!("{at}: {e}"), usize::MAX))?;
     let folder = path.parent().unwrap_or(Path::new("."));
@@ -87,17 +87,17 @@
 ///
 /// # Errors
 /// One line that says what is wrong with it, without its place.
-pub fn fronts(text: &str, name: &str, folder: &Path) -> Result<Fronts, String> {
+pub fn parse_text(text: &str, name: &str, folder: &Path) -> Result<OperatorConfig, String> {
     parse(text, &Own { name, folder }).map_err(|wrong| line(&wrong.what, LONGEST))
 }
 
-fn parse(text: &str, own: &Own) -> Result<Fronts, Wrong> {
+fn parse(text: &str, own: &Own) -> Result<OperatorConfig, Wrong> {
     let (table, errors) = DeTable::parse_recoverable(text);
     let place = |e: &toml::de::Error| e.span().map_or(0, |s| s.start);
     if let Some(first) = errors.iter().min_by_key(|e| place(e)) {
         return Err(Wrong::at(place(first), format!("not TOML: {}", first.message())));
     }
-    let mut fronts = Fronts::read(&Part::new(table.get_ref(), 0, PARTS)?, own)?;
+    let mut fronts = OperatorConfig::read(&Part::new(table.get_ref(), 0, PARTS)?, own)?;
     if let Some(z) = &mut fronts.zones {
         zones::tie(z, fronts.gossip.as_ref(), fronts.budgets.as_ref())?;
     }
--- a/node/src/operators/signed.rs
+++ b/node/src/operators/signed.rs
@@ -13,7 +13,7 @@
 
 /// What the file says of the front for signed links.
 #[derive(Clone)]
-pub struct Signed {
+pub struct SignedLinks {
     pub name: String,
     pub listen: SocketAddr,
     /// Scheme and authority of the links as their signer wrote them.
@@ -27,7 +27,7 @@
     pub audience: Option<String>,
 }
 
-pub fn read(part: &Part, own: &Own) -> Result<Signed, Wrong> {
+pub fn read(part: &Part, own: &Own) -> Result<SignedLinks, Wrong> {
     let number = |key: &str, least: i64, most: i64| {
         let n = part.whole(key)?.filter(|n| (least..=most).contains(n));
         n.ok_or_else(|| part.wrong_at(key, format!("'{key}' is missing or not from {least} to {most}")))
@@ -68,7 +68,7 @@
         fronts.push((name.to_owned(), url.trim_end_matches('/').to_owned()));
     }
     let name = own.name;
-    Ok(Signed {
+    Ok(SignedLinks {
         name: name.to_owned(),
         listen: listen.ok_or_else(|| part.wrong(format!("no front has this proxy's name, '{name}'")))?,
         base: part.word("base")?.trim_end_matches('/').to_owned(),
--- a/node/src/operators/snmp.rs
+++ b/node/src/operators/snmp.rs
@@ -7,15 +7,15 @@
 
 /// What it says of the agent.
 #[derive(Clone)]
-pub struct Agent {
+pub struct SnmpAgent {
     pub listen: SocketAddr,
     pub community: String,
 }
 
-pub fn read(part: &Part, own: &Own) -> Result<Agent, Wrong> {
+pub fn read(part: &Part, own: &Own) -> Result<SnmpAgent, Wrong> {
     let community = part.secret("community_file", own.folder)?;
     if community.is_empty() {
         return Err(part.wrong_at("community_file", "an empty community"));
     }
-    Ok(Agent { listen: part.address("listen")?, community })
+    Ok(SnmpAgent { listen: part.address("listen")?, community })
 }
--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -4,7 +4,7 @@
 use crate::bulletin;
 use crate::clock::unix_now;
 use crate::handover;
-use crate::ledger::{self, Ledger, Unusable};
+use crate::ledger::{self, BansFileError, SharedFiles};
 use crate::net::{log, now, sleep_until};
 use crate::node::Node;
 use async_io::Async;
@@ -27,9 +27,9 @@
 
 type Stamp = Option<(u64, i64, i64, u64)>;
 
-pub struct Shift {
+pub struct ProcessGroup {
     node: Rc<Node>,
-    ledger: Option<Ledger>,
+    ledger: Option<SharedFiles>,
     started: Micros,
     /// The version of the calls that is in force, and the state of the file it was read from; and the state that could not
     /// be read, as it was said.
@@ -51,14 +51,14 @@
 }
 
 /// What a call at the door came to, in words for staff.
-pub type Answer = Result<String, String>;
+pub type CommandResult = Result<String, String>;
 
-impl Shift {
+impl ProcessGroup {
     /// `folder`: where the files are. Without one, or where it cannot be written, bans end with the process.
-    pub fn new(node: Rc<Node>, folder: Option<&Path>) -> Rc<Shift> {
+    pub fn new(node: Rc<Node>, folder: Option<&Path>) -> Rc<ProcessGroup> {
         let rank: Rank = (now(), std::process::id());
         let opened = folder.ok_or_else(|| "TMPDIR is not set".to_owned());
-        let ledger = opened.and_then(|f| Ledger::open(f, &node.config.name, rank));
+        let ledger = opened.and_then(|f| SharedFiles::open(f, &node.config.name, rank));
         let ledger = match ledger {
             Ok(l) => Some(l),
             Err(e) => {
@@ -68,7 +68,7 @@
         };
         let s = &node.config.settings;
         let warm = s.cold_period.max(s.parent_cold_period);
-        let shift = Rc::new(Shift {
+        let shift = Rc::new(ProcessGroup {
             node,
             ledger,
             started: rank.0,
@@ -84,41 +84,41 @@
             listening: Cell::new(false),
             warm,
         });
-        shift.look();
+        shift.refresh();
         shift
     }
 
     /// Looks at the files for as long as the program runs.
-    pub async fn attend(self: Rc<Self>) {
+    pub async fn watch_files(self: Rc<Self>) {
         loop {
-            self.look();
+            self.refresh();
             sleep_until(now() + LOOK).await;
         }
     }
 
-    pub fn look(&self) {
+    pub fn refresh(&self) {
         let Some(ledger) = &self.ledger else { return self.taught.set(true) };
         self.read(ledger);
         self.show();
-        let others = ledger.others();
+        let others = ledger.other_processes();
         self.teach(ledger, &others);
         self.learn(ledger, &others);
         let view = shift::summarize(&others);
         let before = self.view.replace(view);
         if before.count != view.count {
             log(&format!("shift: {} other processes of this proxy live", view.count));
-            self.node.share(1 + view.count);
+            self.node.set_process_count(1 + view.count);
         }
         if view.other_ready && !before.other_ready {
             log("shift: another process is ready to take over");
         }
         if view.other_ready && self.node.stopping.get().is_some() {
-            self.node.give_way();
+            self.node.hand_over();
         }
     }
 
     /// Hands what was learned to each process that starts, once. Two may be seen in one look, in any order.
-    fn teach(&self, ledger: &Ledger, others: &[ProcessStatus]) {
+    fn teach(&self, ledger: &SharedFiles, others: &[ProcessStatus]) {
         let mut pupils = self.pupils.borrow_mut();
         pupils.retain(|p| others.iter().any(|o| o.rank == *p));
         for pupil in others.iter().filter(|o| o.phase == Phase::Starting && self.listening.get()) {
@@ -127,7 +127,8 @@
             }
             pupils.push(pupil.rank);
             let learned = self.node.plan(|p, _| p.learned());
-            match ledger.teach(pupil.rank, &ledger::write_learned(&self.node.config.names.classes, &learned))
+            match ledger
+                .send_learned(pupil.rank, &ledger::format_learned(&self.node.config.names.classes, &learned))
             {
                 Ok(()) => log("shift: what was learned is handed to a process that starts"),
                 Err(e) => log(&format!("shift: what was learned is not handed on: {e}")),
@@ -136,12 +137,12 @@
     }
 
     /// Takes over what an older process has learned; without one, or after a while, goes on without.
-    fn learn(&self, ledger: &Ledger, others: &[ProcessStatus]) {
+    fn learn(&self, ledger: &SharedFiles, others: &[ProcessStatus]) {
         if self.taught.get() {
             return;
         }
         let elder = others.iter().any(|o| o.phase == Phase::Ready);
-        match ledger.taught(&self.node.config.names.classes) {
+        match ledger.take_learned(&self.node.config.names.classes) {
             Ok(Some(learned)) => {
                 self.node.plan(|p, now| p.restore_learned(now, &learned));
                 log("shift: took over what another process has learned");
@@ -165,7 +166,7 @@
         };
         let now = Some((phase, self.version.get()));
         let Some(ledger) = self.ledger.as_ref().filter(|_| self.shown.get() != now) else { return };
-        match ledger.show(phase, self.version.get()) {
+        match ledger.publish(phase, self.version.get()) {
             Ok(()) => {
                 self.shown.set(now);
                 self.hidden.set(None);
@@ -179,13 +180,13 @@
     }
 
     /// Takes over the calls where the file has changed.
-    fn read(&self, ledger: &Ledger) {
-        let stamp = ledger.stamp();
+    fn read(&self, ledger: &SharedFiles) {
+        let stamp = ledger.bans_file_stamp();
         if self.stamp.get() == stamp {
             return self.read_at.set(Some(now()));
         }
-        let calls = ledger.calls();
-        if let Err(Unusable::Unread(why)) = &calls {
+        let calls = ledger.load_bans();
+        if let Err(BansFileError::Unreadable(why)) = &calls {
             // Still to be read: a ban that another process has agreed to may stand there.
             if self.unread.replace(stamp) != stamp {
                 log(&format!("bans: the file of bans cannot be read yet: {why}"));
@@ -204,7 +205,7 @@
                 ));
             }
             Ok(_) => self.read_at.set(Some(now())),
-            Err(Unusable::Unread(e) | Unusable::Bad(e)) => {
+            Err(BansFileError::Unreadable(e) | BansFileError::Invalid(e)) => {
                 log(&format!("bans: the file of bans is not used: {e}"));
             }
         }
@@ -232,13 +233,13 @@
 
     /// The listening socket of the process that this one is to replace, if that hands it over: of the newest that is
     /// ready, else of one that listens though it ends or is not ready.
-    pub async fn socket(&self) -> Option<Async<TcpListener>> {
+    pub async fn request_listener(&self) -> Option<Async<TcpListener>> {
         let (ledger, until) = (self.ledger.as_ref()?, now() + LESSON);
-        let mut elders = ledger.others();
+        let mut elders = ledger.other_processes();
         elders.sort_by_key(|o| (o.phase != Phase::Ready, std::cmp::Reverse(o.rank)));
         for elder in elders {
             let path = ledger.socket_path(elder.rank);
-            let given = handover::ask(&path, self.node.config.listen, until).await;
+            let given = handover::request_listener(&path, self.node.config.listen, until).await;
             if given.is_some() {
                 return given;
             }
@@ -247,10 +248,10 @@
     }
 
     /// Listens: offers the socket to a process that comes later.
-    pub fn listens(&self, listener: &Rc<Async<TcpListener>>) {
+    pub fn start_listening(&self, listener: &Rc<Async<TcpListener>>) {
         let path = self.ledger.as_ref().map(|l| l.socket_path(l.rank()));
-        if let Some(at) = path.and_then(|p| handover::open(&p)) {
-            self.node.spawn("handover", handover::offer(at, Rc::downgrade(listener)));
+        if let Some(at) = path.and_then(|p| handover::bind_socket(&p)) {
+            self.node.spawn("handover", handover::serve_requests(at, Rc::downgrade(listener)));
         }
         self.listening.set(true);
         self.show();
@@ -270,18 +271,18 @@
             list_received: self.node.plan(|p, _| p.ready()),
             // The first look, before anything else, puts the bans in force.
             state_adopted: self.taught.get(),
-            discovery_known: self.node.heard.get() || now() >= self.started + FOLLOW,
+            discovery_known: self.node.discovery_heard.get() || now() >= self.started + FOLLOW,
             listening,
         }
     }
 
     /// Takes a server out, or calls it back, for every process of this proxy, and waits for them.
-    pub async fn call(&self, out: bool, id: &str) -> Answer {
+    pub async fn set_ban(&self, out: bool, id: &str) -> CommandResult {
         let until = now() + AGREE;
         let version = self.change(out, id, until).await?;
         // The other processes look at the file by themselves; the yes is theirs as well.
         while self.ledger.is_some() && now() < until {
-            self.look();
+            self.refresh();
             if self.view.borrow().min_bans_version.is_none_or(|b| b >= version) {
                 break;
             }
@@ -294,13 +295,13 @@
         let mut lock = None;
         if let Some(ledger) = &self.ledger {
             let cannot = |why| format!("cannot be kept: {why}");
-            lock = ledger.lock().map_err(cannot)?;
+            lock = ledger.lock_bans().map_err(cannot)?;
             while lock.is_none() {
                 if now() >= until {
                     return Err("another call is under way".into());
                 }
                 sleep_until(now() + 10_000).await;
-                lock = ledger.lock().map_err(cannot)?;
+                lock = ledger.lock_bans().map_err(cannot)?;
             }
             // What another process changed stays.
             self.read(ledger);
@@ -313,15 +314,15 @@
         })?;
         if !changed {
             // The call before may have failed after the file had its name.
-            let synced = self.ledger.as_ref().map_or(Ok(()), Ledger::sync_folder);
+            let synced = self.ledger.as_ref().map_or(Ok(()), SharedFiles::sync_folder);
             return synced.map(|()| self.version.get()).map_err(|e| format!("cannot be kept: {e}"));
         }
         next.forget_old_lifted(at, self.warm);
         let version = self.version.get() + 1;
         if let Some(ledger) = &self.ledger {
             // Not kept is not agreed: it would be undone by the next version, without a word.
-            ledger.keep(version, next.states()).map_err(|e| format!("cannot be kept: {e}"))?;
-            self.stamp.set(ledger.stamp());
+            ledger.store_bans(version, next.states()).map_err(|e| format!("cannot be kept: {e}"))?;
+            self.stamp.set(ledger.bans_file_stamp());
         }
         self.version.set(version);
         self.apply(next.states().clone(), 0);
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -12,8 +12,8 @@
 //!   the gate fails closed. A request that was refused unserved gives its `jti` back: that try never ran.
 use crate::calls::{self, AcceptFailure, AcceptRetry};
 use crate::net::{now, read_some, sleep_until, unread, Out, Signal};
-use crate::node::{Guest, Node};
-pub use crate::operators::Signed as Settings;
+use crate::node::{ClientConnection, Node};
+pub use crate::operators::SignedLinks as Settings;
 use crate::wire::{self, Head, Malformed};
 use async_io::Async;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -380,7 +380,7 @@
         calls::readable(&listener).await;
         // A place for it is there before; where there is none it is closed at once.
         if seat.is_none() {
-            seat = front.node.welcome().await;
+            seat = front.node.admit_client().await;
         }
         let stream = match listener.get_ref().accept().and_then(|accepted| Async::new(accepted.0)) {
             Ok(stream) => stream,
@@ -397,7 +397,7 @@
         let f = front.clone();
         front.node.spawn("signed connection", async move {
             let overdue = async {
-                place.1.overdue(|| unread(&stream)).await;
+                place.1.wait_until_due(|| unread(&stream)).await;
                 f.node.count(Counter::Overdue);
             };
             connection(&f, &place.1, &stream).or(overdue).await;
@@ -412,12 +412,12 @@
     // Given back however the writing ends, also when the task is dropped in the middle.
     impl Drop for InHand<'_> {
         fn drop(&mut self) {
-            self.0.unwritten.set(self.0.unwritten.get() - 1);
+            self.0.unwritten_answers.set(self.0.unwritten_answers.get() - 1);
             self.0.unwritten_bytes.set(self.0.unwritten_bytes.get() - self.1.held());
         }
     }
     let until = now() + STALLED;
-    node.unwritten.set(node.unwritten.get() + 1);
+    node.unwritten_answers.set(node.unwritten_answers.get() + 1);
     node.unwritten_bytes.set(node.unwritten_bytes.get() + answer.held());
     let answer = InHand(node, answer);
     answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await
@@ -429,11 +429,11 @@
     read_some(stream, buf, 8 * 1024).await > 0
 }
 
-async fn connection(f: &Rc<Front>, guest: &Guest, stream: &Async<TcpStream>) {
+async fn connection(f: &Rc<Front>, guest: &ClientConnection, stream: &Async<TcpStream>) {
     let (mut buf, mut refused) = (Vec::new(), 0);
     loop {
         let (head, used) = loop {
-            guest.receiving(!buf.is_empty());
+            guest.set_receiving(!buf.is_empty());
             match wire::http_head(&buf) {
                 Ok(Some(found)) => break found,
                 Ok(None) => {
@@ -454,8 +454,8 @@
                 return;
             }
         }
-        guest.receiving(false);
-        guest.busy(true);
+        guest.set_receiving(false);
+        guest.set_busy(true);
         let body: Vec<u8> = buf.drain(..w.length).collect();
         let close = w.close;
         let Some(answer) = answer(f, stream, &mut buf, w, body).await else { return };
@@ -463,8 +463,8 @@
         if !send(&f.node, stream, answer).await || close || refused > REFUSED {
             return;
         }
-        guest.answered();
-        guest.busy(false);
+        guest.set_answered();
+        guest.set_busy(false);
     }
 }
 
@@ -501,7 +501,7 @@
     body: Vec<u8>,
 ) -> Option<Out> {
     let node = &f.node;
-    if node.closing() {
+    if node.refuses_new_requests() {
         return Some(response(503, &[("Retry-After", "1")], 0).into());
     }
     let pass = match f.gate.check((f.clock)(), &w.path, w.token.as_deref()) {
@@ -548,7 +548,7 @@
         *s.borrow_mut() = Some(last);
         g.notify();
     });
-    let number = node.plan(|p, now| p.accept_request(now, node.held(), ask, reply));
+    let number = node.plan(|p, now| p.accept_request(now, node.held_bytes(), ask, reply));
     let leaving = Leaving { node: node.clone(), number: Cell::new(number) };
     let gone = async {
         // What a client sends ahead is kept for its turn, within a bound.
--- a/node/src/snmp.rs
+++ b/node/src/snmp.rs
@@ -6,7 +6,7 @@
 
 use crate::net::{now, sleep_until};
 use crate::node::Node;
-pub use crate::operators::Agent as Settings;
+pub use crate::operators::SnmpAgent as Settings;
 use async_io::Async;
 use packet::VARIABLES;
 pub use packet::{decode, encode, Oid, Packet, Value, GET, GET_BULK, GET_NEXT, RESPONSE, SET};
@@ -89,7 +89,7 @@
 
 /// All objects with their present values, in the order of their names.
 pub fn view(node: &Node) -> Vec<(Oid, Value)> {
-    node.count_calls();
+    node.update_call_counters();
     let name = |table: u32, n: usize| [&ROOT[..], &[table, n as u32 + 1, 0]].concat();
     let mut all: Vec<(Oid, Value)> = node.plan(|p, _| {
         let all = Counter::ALL.iter().enumerate();
@@ -98,10 +98,10 @@
     let gauge = |n: usize| Value::Gauge32(u32::try_from(n).unwrap_or(u32::MAX));
     let gauges = [
         node.plan(|p, _| p.open_requests()),
-        node.clients(),
-        node.unwritten.get(),
-        node.peers_live.get(),
-        node.suspects.get(),
+        node.client_count(),
+        node.unwritten_answers.get(),
+        node.live_peers.get(),
+        node.suspected_count.get(),
         node.bans.borrow().banned_count(),
     ];
     all.extend(gauges.iter().enumerate().map(|(i, n)| (name(2, i), gauge(*n))));
--- a/node/src/start_times.rs
+++ b/node/src/start_times.rs
@@ -24,7 +24,7 @@
 impl StartTimes {
     /// Gives the servers of a list their starts. `unix` and `now`: this moment on both clocks; `heard`: how long ago
     /// everything that was told by then had been heard; what is new started no longer ago than that.
-    pub fn place(
+    pub fn assign(
         &mut self,
         form: ListForm,
         servers: &mut [ListedServer],
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -5,7 +5,7 @@
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
-use crate::operators::Zoned;
+use crate::operators::ZoneSettings;
 use crate::pair_keys::PairKeys;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -30,8 +30,8 @@
 fn zones(node: &Node) -> Vec<Zone> {
     let (s, names) = (&node.config.settings, &node.config.names);
     let stands = |z: usize| s.routers_by_zone.get(z).copied().unwrap_or(0) > 0;
-    let tied = |z: usize| names.hubs.get(z).copied().unwrap_or(u16::MAX);
-    let hub = |z: usize| !stands(z) && names.hubs.iter().any(|h| usize::from(*h) == z);
+    let tied = |z: usize| names.zone_parents.get(z).copied().unwrap_or(u16::MAX);
+    let hub = |z: usize| !stands(z) && names.zone_parents.iter().any(|h| usize::from(*h) == z);
     let hubs =
         |but: usize| (0..names.zones.len()).filter(|z| hub(*z) && *z != but).map(|z| z as u16).collect();
     let zone = |z: usize| Zone {
@@ -46,7 +46,7 @@
 impl Fleet {
     /// # Errors
     /// One line that says why it cannot start.
-    pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: Zoned) -> Result<Rc<Fleet>, String> {
+    pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: ZoneSettings) -> Result<Rc<Fleet>, String> {
         let plain = budgets.seat_settings();
         let (me, shared) = plain.ok_or("zones: they take no part in the tree of regions and sites")?;
         let settings = Settings {
@@ -72,7 +72,7 @@
     }
 
     /// Takes over the others' keys of a file that was read anew: one that is no longer there counts no more.
-    pub fn reload(&self, zoned: Zoned) {
+    pub fn reload(&self, zoned: ZoneSettings) {
         self.pairs.borrow_mut().renew(zoned.keys);
     }
 
--- a/node/tests/budgets.rs
+++ b/node/tests/budgets.rs
@@ -160,7 +160,7 @@
     let folder = TempDir::new().unwrap();
     std::fs::write(folder.path().join("key"), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
     let head = "[budgets]\nsecret_file = \"key\"\nlease_ms = 600\nprobes_per_cache_s = 2\n";
-    let read = |rest: &str| threadward::operators::fronts(&format!("{head}{rest}"), "n0", folder.path());
+    let read = |rest: &str| threadward::operators::parse_text(&format!("{head}{rest}"), "n0", folder.path());
     let error = read(rest).err().unwrap();
     assert!(error.starts_with("[budgets]: ") && error.contains(says) && !error.contains('\n'), "{error}");
     assert!(read(PROXY).is_ok_and(|f| f.budgets.is_some()));
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use threadward::net::{now, sleep_until, Signal};
 use threadward::node::Node;
-use threadward::shift::Shift;
+use threadward::shift::ProcessGroup;
 use threadward::wire::{self, Val};
 use threadward::{admin, bulletin, config, front};
 use threadward_faults::{ports, Process};
@@ -278,7 +278,7 @@
     all.push(server("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
     let json = other(configuration(front, at, &all));
     let node = Node::new(config::parse(&json).unwrap(), ex);
-    for b in node.config.known.clone() {
+    for b in node.config.known_events.clone() {
         bulletin::apply(&node, b, true);
     }
     node.spawn("front", front::serve(node.clone(), l));
@@ -434,12 +434,12 @@
 }
 
 /// Opens a door on this world's node, as the program does.
-pub fn door(w: &World, folder: Option<&Path>) -> (Rc<Shift>, SocketAddr) {
-    let shift = Shift::new(w.node.clone(), folder);
+pub fn door(w: &World, folder: Option<&Path>) -> (Rc<ProcessGroup>, SocketAddr) {
+    let shift = ProcessGroup::new(w.node.clone(), folder);
     let (l, at) = listen();
     shift.listening.set(true);
     let (n, s) = (w.node.clone(), shift.clone());
-    w.node.keep("door", move || admin::serve(n.clone(), s.clone(), l.clone()));
+    w.node.spawn_restarting("door", move || admin::serve(n.clone(), s.clone(), l.clone()));
     (shift, at)
 }
 
--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -246,7 +246,7 @@
         let (calls, w) = if moved {
             let (calls, at) = listening(ex, vec![old]);
             let w = world_at(ex, 1, at).await;
-            until("half an event", || w.node.heard.get()).await;
+            until("half an event", || w.node.discovery_heard.get()).await;
             let (new, to) = listening(ex, vec![new]);
             move_to(&w.node, to);
             until("the new watch", || !new.borrow().is_empty()).await;
@@ -336,7 +336,7 @@
         let end = now() + S;
         while now() < end {
             if moves {
-                move_to(&w.node, if w.node.bulletin.get() == at { to } else { at });
+                move_to(&w.node, if w.node.discovery_addr.get() == at { to } else { at });
             }
             sleep_until(now() + 5_000).await;
         }
@@ -413,7 +413,7 @@
     run(|ex| async move {
         let (_, to) = listening(ex, vec![vec![say(OK), say(&purge(1)), Hold]]);
         let w = world_at(ex, 1, at).await;
-        until("the flood", || w.node.heard.get()).await;
+        until("the flood", || w.node.discovery_heard.get()).await;
         let mut longest = 0;
         for _ in 0..10 {
             let before = now();
@@ -547,7 +547,8 @@
             .map(|(i, c)| server(&format!("s-{i}"), c.at, "std", state, 0))
             .collect();
         let text = format!(r#"{{"no":1,{}}}"#, list(false, &both));
-        let (_, b) = config::event(&serde_json::from_str(&text).unwrap(), &w.node.config.names).unwrap();
+        let (_, b) =
+            config::parse_event(&serde_json::from_str(&text).unwrap(), &w.node.config.names).unwrap();
         bulletin::apply(&w.node, b.unwrap(), false);
         until("the answer", || !answers.borrow().is_empty()).await;
 
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -307,17 +307,17 @@
 fn pool(ex: &'static LocalExecutor<'static>, h: &Hand) -> (Rc<Alone>, Rc<dyn Home>, Way) {
     let names = config::Names {
         classes: vec!["booking".into()],
-        connect: 1_000 * MS,
+        connect_timeout: 1_000 * MS,
         keepalive: 30_000 * MS,
-        grace: 300 * MS,
-        streams: 10_000,
+        epoch_grace: 300 * MS,
+        streams_per_connection: 10_000,
         ..config::Names::default()
     };
     let (pool, alone) =
         (Pool::new(names, 1024), Rc::new(Alone { ex, ends: RefCell::default(), epoch: Cell::new(0) }));
     let home: Rc<dyn Home> = alone.clone();
     pool.join(&home);
-    let entry = Entry { addr: config::stand_in("c-0"), ..Entry::default() };
+    let entry = Entry { addr: config::address_for_id("c-0"), ..Entry::default() };
     let started = UnixTime::default();
     let listed = config::ListedServer {
         id: "c-0".into(),
@@ -340,7 +340,7 @@
     Dispatch {
         request,
         attempt,
-        member: config::stand_in("c-0"),
+        member: config::address_for_id("c-0"),
         source: None,
         keep_rank: 0,
         max_age: 0,
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -63,11 +63,11 @@
     /// Brings it about before any task has a turn; gives what has to be held meanwhile.
     fn come(self, w: &World) -> Vec<TcpStream> {
         match self {
-            Why::GivesWay => w.node.give_way(),
+            Why::GivesWay => w.node.hand_over(),
             Why::Ends => {
                 w.node.stopping.set(Some(now() - 950_000));
                 let n = w.node.clone();
-                w.ex.spawn(async move { n.drained().await }).detach();
+                w.ex.spawn(async move { n.wait_until_drained().await }).detach();
             }
             Why::Evicted => return (0..4).map(|_| TcpStream::connect(w.front).unwrap()).collect(),
         }
@@ -137,7 +137,7 @@
             sleep_until(now() + 20_000).await;
         }
         drop(held);
-        until("the close", || w.node.connections() == 0).await;
+        until("the close", || w.node.connection_count() == 0).await;
         let took = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!((w.sent().len(), took(Counter::Taken)), (1, 1));
     });
@@ -224,8 +224,8 @@
         sleep_until(now() + 100_000).await;
         assert_eq!(w.node.plan(|p, _| p.open_requests()), 0);
         drop(kept);
-        until("its memory", || w.node.unwritten_bytes.get() == 0 && w.node.connections() == 0).await;
-        assert_eq!((w.sent().len(), w.node.unwritten.get()), (sent, 0));
+        until("its memory", || w.node.unwritten_bytes.get() == 0 && w.node.connection_count() == 0).await;
+        assert_eq!((w.sent().len(), w.node.unwritten_answers.get()), (sent, 0));
     });
 }
 
@@ -272,7 +272,7 @@
             assert_eq!(answers, if matches!(how, Goes::Cancels) { vec![(2, None)] } else { vec![] });
         }
         let sent = w.sent().iter().filter(|p| p[1] == call(1)).count();
-        assert_eq!((sent, w.node.unwritten.get()), (1, 0));
+        assert_eq!((sent, w.node.unwritten_answers.get()), (1, 0));
     });
 }
 
@@ -397,7 +397,7 @@
         let (m, o) = (most.clone(), over.clone());
         ex.spawn(async move {
             while !o.get() {
-                m.set(m.get().max(n.connections()));
+                m.set(m.get().max(n.connection_count()));
                 future::yield_now().await;
             }
         })
@@ -422,12 +422,13 @@
             let taken = || count(Counter::Accepted) + count(Counter::TurnedAway) == come;
             until("all of the backlog", taken).await;
         }
-        until("all gone", || w.node.connections() == 0 && w.node.plan(|p, _| p.open_requests()) == 0).await;
+        until("all gone", || w.node.connection_count() == 0 && w.node.plan(|p, _| p.open_requests()) == 0)
+            .await;
         over.set(true);
         println!("longest answer {longest} us, most connections {}", most.get());
         assert!(most.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", most.get());
         assert!(longest < 1_000_000, "an answer took {longest} us");
-        until("its memory", || (w.node.unwritten.get(), w.node.held()) == (0, 0)).await;
+        until("its memory", || (w.node.unwritten_answers.get(), w.node.held_bytes()) == (0, 0)).await;
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
     });
 }
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -11,9 +11,9 @@
 use std::process::Command;
 use std::rc::Rc;
 use tempfile::{tempdir, TempDir};
-use threadward::ledger::{write_learned, Ledger};
+use threadward::ledger::{format_learned, SharedFiles};
 use threadward::net::{self, now, sleep_until};
-use threadward::{handover, shift::Shift};
+use threadward::{handover, shift::ProcessGroup};
 use threadward_core::bans::{BanState, BanStates};
 use threadward_core::shift::Phase;
 use threadward_core::{Learned, UnixTime};
@@ -55,7 +55,7 @@
     let json = configuration(front, bulletin(ex), &list);
     let folder = tempdir().unwrap();
     let out = BanStates::from([("s-0".into(), BanState::Banned(UnixTime::from_micros(5)))]);
-    Ledger::open(folder.path(), "n0", (1, 1)).unwrap().keep(1, &out).unwrap();
+    SharedFiles::open(folder.path(), "n0", (1, 1)).unwrap().store_bans(1, &out).unwrap();
     Site { caches, front, doors, json, folder }
 }
 
@@ -82,8 +82,8 @@
     }
 
     /// A process of this test: as another one of this proxy sees it.
-    fn other(&self, started: u64) -> Ledger {
-        Ledger::open(self.folder.path(), "n0", (started, 1)).unwrap()
+    fn other(&self, started: u64) -> SharedFiles {
+        SharedFiles::open(self.folder.path(), "n0", (started, 1)).unwrap()
     }
 
     /// Requests as clients send them, each on its own connection: a refused connection and `Full` are tried again, but
@@ -187,13 +187,13 @@
     run(|ex| async move {
         let s = site(ex);
         let old = s.other(5);
-        old.show(Phase::Ready, 1).unwrap();
+        old.publish(Phase::Ready, 1).unwrap();
         let own = Rc::new(net::reserve(s.front, true).unwrap().listen().unwrap());
         let (elsewhere, _) = listen();
         let new = s.start(0);
         says(&new, "shift: 1 other processes of this proxy live").await;
-        let pupil = old.others()[0].rank;
-        let text = write_learned(&["media", "booking", "quick"].map(str::to_owned), &Learned::default());
+        let pupil = old.other_processes()[0].rank;
+        let text = format_learned(&["media", "booking", "quick"].map(str::to_owned), &Learned::default());
         let file = |kind: &str, of: (u64, u32)| {
             s.folder.path().join(format!("threadward-n0.{kind}-{:016x}-{}", of.0, of.1))
         };
@@ -205,8 +205,8 @@
                 says(&new, "what another process has learned is not used: ").await;
             }
             _ => {
-                let at = handover::open(&old.socket_path(old.rank())).unwrap();
-                old.teach(pupil, &text).unwrap();
+                let at = handover::bind_socket(&old.socket_path(old.rank())).unwrap();
+                old.send_learned(pupil, &text).unwrap();
                 says(&new, "shift: took over what another process has learned").await;
                 match step {
                     Old::Asked => drop(at.accept().await.unwrap()),
@@ -215,14 +215,14 @@
                         s.ready(0, &new).await;
                     }
                     Old::GivesAnother => {
-                        ex.spawn(handover::offer(at, Rc::downgrade(&elsewhere))).detach();
+                        ex.spawn(handover::serve_requests(at, Rc::downgrade(&elsewhere))).detach();
                         s.ready(0, &new).await;
                     }
                     Old::Given => {
                         // Waits in the queue that both have; whoever is left takes it.
                         let mut waits = Client::to(s.front).await;
                         waits.send(&request(1, "media", &[])).await;
-                        ex.spawn(handover::offer(at, Rc::downgrade(&own))).detach();
+                        ex.spawn(handover::serve_requests(at, Rc::downgrade(&own))).detach();
                         s.ready(0, &new).await;
                         assert_eq!(s.queues().len(), 1);
                         assert_eq!(waits.answer().await, Some((1, None, b"whole".to_vec())));
@@ -270,18 +270,18 @@
         }
         let new = s.other(now());
         says(&old, "shift: what was learned is handed to a process that starts").await;
-        let path = new.socket_path(new.others()[0].rank);
+        let path = new.socket_path(new.other_processes()[0].rank);
         let mut held = None;
         match step {
             New::Asks => drop(Async::<std::os::unix::net::UnixStream>::connect(&path).await.unwrap()),
             New::Took | New::Ready | New::TookOver => {
-                held = handover::ask(&path, s.front, now() + 5_000_000).await;
+                held = handover::request_listener(&path, s.front, now() + 5_000_000).await;
                 assert!(held.is_some());
             }
             _ => {}
         }
         if matches!(step, New::Ready | New::TookOver) {
-            new.show(Phase::Ready, 1).unwrap();
+            new.publish(Phase::Ready, 1).unwrap();
             says(&old, "shift: another process is ready to take over").await;
         }
         if step == New::TookOver {
@@ -324,7 +324,7 @@
         old.cont().unwrap();
         let classes = ["media", "booking", "quick"].map(str::to_owned);
         for new in &both {
-            until("what was learned", || new.taught(&classes).unwrap().is_some()).await;
+            until("what was learned", || new.take_learned(&classes).unwrap().is_some()).await;
         }
     });
 }
@@ -338,7 +338,7 @@
         let (_silent, at) = listen();
         s.json = configuration(s.front, at, &[]).replace(r#""known""#, r#""none""#);
         let old = s.other(5);
-        old.show(Phase::Ready, 1).unwrap();
+        old.publish(Phase::Ready, 1).unwrap();
         let new = [s.start(0), s.start(1)];
         for p in &new {
             says(p, "shift: 2 other processes of this proxy live").await;
@@ -363,9 +363,9 @@
     run(|ex| async move {
         let s = site(ex);
         let old = s.other(5);
-        old.show(Phase::Ready, 1).unwrap();
+        old.publish(Phase::Ready, 1).unwrap();
         let own = Rc::new(net::reserve(s.front, true).unwrap().listen().unwrap());
-        let at = handover::open(&old.socket_path(old.rank())).unwrap();
+        let at = handover::bind_socket(&old.socket_path(old.rank())).unwrap();
         let new = s.start(0);
         let (asking, _) = at.accept().await.unwrap();
         let mut waits = Client::to(s.front).await;
@@ -373,7 +373,7 @@
         new.stop().unwrap();
         new.term().unwrap();
         if given {
-            handover::give(asking.get_ref(), own.get_ref()).unwrap();
+            handover::send_listener(asking.get_ref(), own.get_ref()).unwrap();
         }
         new.cont().unwrap();
         ends(&new).await;
@@ -510,15 +510,15 @@
     run(|ex| async move {
         let w = world(ex, 1).await;
         let folder = tempdir().unwrap();
-        let shift = Shift::new(w.node.clone(), Some(folder.path()));
-        shift.listens(&listen().0);
+        let shift = ProcessGroup::new(w.node.clone(), Some(folder.path()));
+        shift.start_listening(&listen().0);
         let file = |kind: &str| {
             let mut all = std::fs::read_dir(folder.path()).unwrap().map(|e| e.unwrap().path());
             all.find(|p| p.to_string_lossy().contains(kind))
         };
         assert!(file(".sock-").is_some_and(|p| std::os::unix::net::UnixStream::connect(p).is_ok()));
         // The same of its readiness: who is told yes starts the next one, which looks at the file.
-        until("the bulletin", || w.node.heard.get()).await;
+        until("the bulletin", || w.node.discovery_heard.get()).await;
         assert_eq!(shift.ready(), Ok(()));
         assert!(std::fs::read_to_string(file(".run-").unwrap()).unwrap().starts_with("ready "));
     });
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -9,19 +9,19 @@
 use std::process::{Child, Command, Output};
 use std::rc::Rc;
 use tempfile::{tempdir, TempDir};
-use threadward::admin::{call, Call, PLACES};
+use threadward::admin::{parse_command, AdminCommand, MAX_CALLERS};
 use threadward::bulletin;
 use threadward::clock::unix_now;
-use threadward::ledger::{read_calls, read_learned, write_calls, write_learned, Ledger};
+use threadward::ledger::{format_bans, format_learned, parse_bans, parse_learned, SharedFiles};
 use threadward::net::{now, sleep_until};
 use threadward_core::bans::{self, BanStates};
 use threadward_core::shift::{Phase, ProcessStatus};
 use threadward_core::{ClientRequest, Counter, FinalAnswer, Learned, UnixTime};
 
 #[rstest]
-#[case::ready(b"READY", Ok(Call::Ready))]
-#[case::spaces(b"  DISABLE \t s-00c41f7a ", Ok(Call::Disable("s-00c41f7a")))]
-#[case::crlf(b"ENABLE s-1\r", Ok(Call::Enable("s-1")))]
+#[case::ready(b"READY", Ok(AdminCommand::Ready))]
+#[case::spaces(b"  DISABLE \t s-00c41f7a ", Ok(AdminCommand::Disable("s-00c41f7a")))]
+#[case::crlf(b"ENABLE s-1\r", Ok(AdminCommand::Enable("s-1")))]
 #[case::empty(b"", Err("empty call"))]
 #[case::blank(b" \r", Err("empty call"))]
 #[case::no_id(b"DISABLE", Err("the id is missing"))]
@@ -31,8 +31,8 @@
 #[case::other(b"RESTART s-1", Err("unknown call: READY, DISABLE ID or ENABLE ID"))]
 #[case::no_text(b"DISABLE \xff\xfe", Err("not text"))]
 #[case::nul(b"DISABLE s-\0", Err("unknown cache server"))]
-fn lines(#[case] line: &[u8], #[case] want: Result<Call<'_>, &'static str>) {
-    assert_eq!(call(line), want);
+fn lines(#[case] line: &[u8], #[case] want: Result<AdminCommand<'_>, &'static str>) {
+    assert_eq!(parse_command(line), want);
 }
 
 fn calls() -> BanStates {
@@ -47,22 +47,22 @@
 /// A file is taken whole or not at all: any cut, any changed byte, another kind or version is refused.
 #[test]
 fn files_that_cannot_be_trusted() {
-    let text = write_calls(7, &calls());
-    assert_eq!(read_calls(&text), Ok((7, calls())));
+    let text = format_bans(7, &calls());
+    assert_eq!(parse_bans(&text), Ok((7, calls())));
     for n in 0..text.len() {
-        assert!(read_calls(&text[..n]).is_err(), "cut at {n}");
+        assert!(parse_bans(&text[..n]).is_err(), "cut at {n}");
         let mut bytes = text.clone().into_bytes();
         bytes[n] = if bytes[n] == b'0' { b'1' } else { b'0' };
-        assert!(read_calls(&String::from_utf8(bytes).unwrap()).is_err(), "changed at {n}");
+        assert!(parse_bans(&String::from_utf8(bytes).unwrap()).is_err(), "changed at {n}");
     }
     let newer = text.replace("threadward-bans 1", "threadward-bans 2");
-    assert_eq!(read_calls(&newer), Err("of another version of the program".into()));
-    assert_eq!(read_calls("PRETTY_NAME=\"x\"\n"), Err("not a file of bans".into()));
+    assert_eq!(parse_bans(&newer), Err("of another version of the program".into()));
+    assert_eq!(parse_bans("PRETTY_NAME=\"x\"\n"), Err("not a file of bans".into()));
     let (classes, learned) = (["media".to_owned()], Learned { link_load: 0.5, ..Learned::default() });
-    let text = write_learned(&classes, &learned);
-    assert_eq!(read_learned(&classes, &text), Ok(learned));
-    assert_eq!(read_learned(&["pages".to_owned()], &text), Err("of other classes".into()));
-    assert!(read_calls(&text).is_err() && read_learned(&classes, &text[..text.len() - 1]).is_err());
+    let text = format_learned(&classes, &learned);
+    assert_eq!(parse_learned(&classes, &text), Ok(learned));
+    assert_eq!(parse_learned(&["pages".to_owned()], &text), Err("of other classes".into()));
+    assert!(parse_bans(&text).is_err() && parse_learned(&classes, &text[..text.len() - 1]).is_err());
 }
 
 /// A process is seen for as long as it lives, whatever else is in the folder; what a killed one left is removed.
@@ -72,24 +72,27 @@
     let dir = folder.path();
     std::fs::write(dir.join("threadward-n0.run-0000000000000001-77"), "ready 3\n").unwrap();
     std::fs::write(dir.join("threadward-n1.run-0000000000000001-78"), "ready 3\n").unwrap();
-    let a = Ledger::open(dir, "n0", (5, 1)).unwrap();
-    let b = Ledger::open(dir, "n0", (6, 2)).unwrap();
-    assert_eq!(a.others(), [ProcessStatus { rank: (6, 2), phase: Phase::Starting, bans_version: 0 }]);
+    let a = SharedFiles::open(dir, "n0", (5, 1)).unwrap();
+    let b = SharedFiles::open(dir, "n0", (6, 2)).unwrap();
+    assert_eq!(
+        a.other_processes(),
+        [ProcessStatus { rank: (6, 2), phase: Phase::Starting, bans_version: 0 }]
+    );
     assert!(!dir.join("threadward-n0.run-0000000000000001-77").exists());
     assert!(dir.join("threadward-n1.run-0000000000000001-78").exists(), "another proxy's file is left alone");
-    b.show(Phase::Ready, 12).unwrap();
-    b.show(Phase::Ending, 4).unwrap();
-    assert_eq!(a.others(), [ProcessStatus { rank: (6, 2), phase: Phase::Ending, bans_version: 4 }]);
-    let held = a.lock().unwrap();
-    assert!(b.lock().unwrap().is_none());
+    b.publish(Phase::Ready, 12).unwrap();
+    b.publish(Phase::Ending, 4).unwrap();
+    assert_eq!(a.other_processes(), [ProcessStatus { rank: (6, 2), phase: Phase::Ending, bans_version: 4 }]);
+    let held = a.lock_bans().unwrap();
+    assert!(b.lock_bans().unwrap().is_none());
     drop(held);
-    assert!(soon(|| b.lock().unwrap().is_some()));
-    a.keep(3, &calls()).unwrap();
-    assert_eq!(b.calls(), Ok((3, calls())));
+    assert!(soon(|| b.lock_bans().unwrap().is_some()));
+    a.store_bans(3, &calls()).unwrap();
+    assert_eq!(b.load_bans(), Ok((3, calls())));
     std::fs::write(dir.join("threadward-n0.bans"), "threadward-bans 1\n").unwrap();
-    assert!(b.calls().is_err());
+    assert!(b.load_bans().is_err());
     drop(b);
-    assert!(soon(|| a.others().is_empty()));
+    assert!(soon(|| a.other_processes().is_empty()));
 }
 
 /// Whether it comes to hold. A process that another test starts holds this one's locks until it is the program it becomes.
@@ -110,7 +113,7 @@
         let folder = tempdir().unwrap();
         let dir = folder.path();
         let (_shift, at) = door(&w, Some(dir));
-        until("the bulletin", || w.node.heard.get()).await;
+        until("the bulletin", || w.node.discovery_heard.get()).await;
         assert_eq!(ask(at, &["READY\n"]).await, "done ready\n");
         assert_eq!(ask(at, &["DISABLE s-9\n"]).await, "error unknown cache server\n");
         assert_eq!(ask(at, &["DIS", "ABLE s", "-0\r\nENABLE s-0\n"]).await, "done out\n");
@@ -195,7 +198,7 @@
         let w = world(ex, 1).await;
         let (_shift, at) = door(&w, None);
         let mut silent = Vec::new();
-        for _ in 0..PLACES * 3 {
+        for _ in 0..MAX_CALLERS * 3 {
             let s = async_io::Async::<std::net::TcpStream>::connect(at).await.unwrap();
             futures_lite::AsyncWriteExt::write_all(&mut &s, b"REA").await.unwrap();
             silent.push(s);
@@ -422,7 +425,7 @@
         };
         let callers = async |door: SocketAddr| {
             let mut all = Vec::new();
-            for _ in 0..PLACES {
+            for _ in 0..MAX_CALLERS {
                 all.push(Client::to(door).await);
             }
             all
--- a/node/tests/gossip.rs
+++ b/node/tests/gossip.rs
@@ -138,7 +138,7 @@
         let g = Group::new(4);
         let proxies: Vec<Process> =
             (0..3).map(|i| g.start(i, &configuration(addresses(1)[0], bulletin, &hubs(&caches)))).collect();
-        let accused: Vec<Addr> = (0..3).map(|i| config::stand_in(&format!("h-{i}"))).collect();
+        let accused: Vec<Addr> = (0..3).map(|i| config::address_for_id(&format!("h-{i}"))).collect();
         let liar = keep_lying(ex, Liar::new(&g, 3, &accused));
         for p in &proxies {
             says(p, "live, 4 of 4 live").await;
@@ -174,7 +174,7 @@
         let json = configuration(addresses(1)[0], bulletin, &hubs(&caches))
             .replace("\"cancel\"", "\"probes\":true,\"cancel\"");
         let p = g.start(0, &json);
-        let accused = [config::stand_in("h-1")];
+        let accused = [config::address_for_id("h-1")];
         let _two = [1, 2].map(|i| keep_lying(ex, Liar::new(&g, i, &accused)));
         says(&p, "gossip: h-1 is held suspect, 2 witnesses").await;
         let probed = || caches[1].seen.borrow().iter().any(|c| c[0] == "health");
@@ -215,7 +215,7 @@
     std::fs::write(folder.join(&name), URL_SAFE_NO_PAD.encode(secret(0))).unwrap();
     let say = |head: &str, peer: &str| {
         let text = format!("[gossip]\nsecret_file = \"{name}\"\n{head}\n[[gossip.peer]]\n{peer}\n");
-        threadward::operators::fronts(&text, "n0", Path::new(&folder)).err().unwrap_or_default()
+        threadward::operators::parse_text(&text, "n0", Path::new(&folder)).err().unwrap_or_default()
     };
     let own = format!("name = \"n0\"\naddress = \"127.0.0.1:1\"\nkeys = [\"{key}\"]");
     assert_eq!(say("", &own), "");
@@ -230,7 +230,7 @@
     assert_eq!(say("", &own.replace("n0", "n7")), "[gossip]: no peer is named 'n0'");
     // The sample is right but for its keys, which are of secrets that were thrown away.
     let sample = include_str!("../../deploy/gossip.toml").replace("secrets/gossip.key", &name);
-    let line = threadward::operators::fronts(&sample, "n0", Path::new(&folder)).err().unwrap();
+    let line = threadward::operators::parse_text(&sample, "n0", Path::new(&folder)).err().unwrap();
     assert_eq!(line, "[gossip]: the own secret belongs to no key of peer 'n0'");
     std::fs::remove_file(folder.join(&name)).unwrap();
 }
--- a/node/tests/operators.rs
+++ b/node/tests/operators.rs
@@ -213,8 +213,9 @@
 fn regions_and_sites_are_named_for_all_or_for_none() {
     let folder = Folder::new("regions");
     let south = "region = \"south\"\nsite = \"gru\"";
-    let read =
-        |text: &str| operators::fronts(text, "n0", &folder.0).map(|fronts| fronts.budgets.unwrap().division);
+    let read = |text: &str| {
+        operators::parse_text(text, "n0", &folder.0).map(|fronts| fronts.budgets.unwrap().division)
+    };
     let plain = read(&divided("", &[("n0", VOTER), ("n1", "")])).unwrap();
     assert!(matches!(&plain, Division::Plain(settings) if settings.proxies == 2 && settings.voters == [0]));
     let tree = read(&divided("probes_scope = \"region\"\n", &[("n1", south), ("n0", NORTH)])).unwrap();
@@ -334,7 +335,7 @@
         let name = file.file_name().unwrap().to_str().unwrap();
         match OTHER_FILES.iter().find(|(other, _)| *other == name) {
             Some((_, refusal)) => assert!(read.err().unwrap().starts_with(refusal)),
-            None => on.extend(read.map(|f| f.on()).unwrap()),
+            None => on.extend(read.map(|f| f.enabled_parts()).unwrap()),
         }
     }
     on.sort_unstable();
--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -1,6 +1,6 @@
 //! Tables of cases for the parsers: each case whole, and cut at every byte.
 use rstest::rstest;
-use threadward::config::{self, stand_in};
+use threadward::config::{self, address_for_id};
 use threadward::wire::{self, Malformed, Rpc, Val};
 use threadward_core::{Note, Outcome};
 
@@ -174,9 +174,9 @@
 /// Proxies have to rank alike: what stands for an id is fixed.
 #[test]
 fn stand_ins_are_fixed_and_differ() {
-    let a = stand_in("s-00c41f7a");
-    assert_eq!(a, stand_in("s-00c41f7a"));
-    assert!((0..10_000).all(|i| stand_in(&format!("s-{i:08x}")) != a));
+    let a = address_for_id("s-00c41f7a");
+    assert_eq!(a, address_for_id("s-00c41f7a"));
+    assert!((0..10_000).all(|i| address_for_id(&format!("s-{i:08x}")) != a));
 }
 
 #[rstest]
@@ -195,7 +195,7 @@
 #[case("[signed]\n", "[signed]: no key")]
 #[case("[snmp]\nlisten = \"127.0.0.1:1\"\n", "[snmp]: 'community_file' is missing")]
 fn bad_fronts(#[case] text: &str, #[case] says: &str) {
-    let line = threadward::operators::fronts(text, "n0", std::path::Path::new(".")).err().unwrap();
+    let line = threadward::operators::parse_text(text, "n0", std::path::Path::new(".")).err().unwrap();
     assert!(line.contains(says) && !line.contains('\n'), "{line}");
 }
 
@@ -208,16 +208,16 @@
         .unwrap();
     std::fs::write(folder.join("secrets/community"), "depot\n").unwrap();
     let text = include_str!("../../deploy/signed.toml");
-    let f = threadward::operators::fronts(text, "n0", &folder).unwrap();
+    let f = threadward::operators::parse_text(text, "n0", &folder).unwrap();
     let (signed, snmp) = (f.signed.unwrap(), f.snmp.unwrap());
     assert_eq!(
         (signed.keys["depot-1"].len(), signed.skew, snmp.community.as_str()),
         (32, 2_000_000, "depot")
     );
-    let other = threadward::operators::fronts(text, "n9", &folder).err().unwrap();
+    let other = threadward::operators::parse_text(text, "n9", &folder).err().unwrap();
     assert!(other.contains("n9"), "{other}");
     std::fs::write(folder.join("secrets/depot-1.key"), "c2hvcnQ").unwrap();
-    assert!(threadward::operators::fronts(text, "n0", &folder).err().unwrap().contains("shorter"));
+    assert!(threadward::operators::parse_text(text, "n0", &folder).err().unwrap().contains("shorter"));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -233,8 +233,9 @@
     let json = format!(
         r#"{{"no":1,"roster":{{"full":true,"servers":[{{"id":"s","addr":"127.0.0.1:9","state":"active","weight":{told}}}]}}}}"#
     );
-    let (_, b) = config::event(&serde_json::from_str(&json).unwrap(), &config::Names::default()).unwrap();
-    let Some(config::Bulletin::Roster { servers, .. }) = b else { panic!("no list") };
+    let (_, b) =
+        config::parse_event(&serde_json::from_str(&json).unwrap(), &config::Names::default()).unwrap();
+    let Some(config::DiscoveryEvent::Members { servers, .. }) = b else { panic!("no list") };
     assert_eq!(servers[0].entry.weight, taken);
 }
 
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -334,7 +334,7 @@
             idle.push(c);
         }
         let mut new = Client::to(w.front).await;
-        until("its place", || w.node.clients() == 26).await;
+        until("its place", || w.node.client_count() == 26).await;
         for _ in 0..16 {
             silent.push(Client::to(w.front).await);
         }
@@ -342,7 +342,7 @@
         new.send(&request(31, "media", &[])).await;
         assert_eq!(new.answer().await.unwrap().1, None);
         let evicted = w.node.plan(|p, _| p.counters.get(Counter::Evicted));
-        assert_eq!((w.node.clients(), evicted), (32, 10));
+        assert_eq!((w.node.client_count(), evicted), (32, 10));
     });
 }
 
--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -117,7 +117,7 @@
     let (mut got, at) = (Vec::new(), w.caches[0].at);
     for id in [1, 2] {
         let fields = [
-            ("ttl", if w.node.longest() < 2_000_000 { "1" } else { "1500" }),
+            ("ttl", if w.node.longest_deadline() < 2_000_000 { "1" } else { "1500" }),
             ("dedupe", "k"),
             ("heap", "412.5"),
         ];
@@ -205,7 +205,7 @@
 fn a_connection_is_held_for_its_first_use_however_short_the_settings_have_it() {
     run(|ex| async move {
         let w = world_with(ex, 1, |json| with(&json, "/settings/limits/keepalive", &json!(0))).await;
-        let probed = w.node.pool.probe(config::stand_in("s-0"), "gauges").await;
+        let probed = w.node.pool.probe(config::address_for_id("s-0"), "gauges").await;
         assert_eq!(probed.map(|(how, _)| how), Some(Outcome::Error), "the cache says that it is not well");
     });
 }
