--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,5 +1,8 @@
-//! The node: joins the planner to the fronts and the caches, and guards the places of clients. It owns the one borrow of
-//! the planner and the task of its timers. It must never hold that borrow across an await.
+//! The node, which connects the planner with the front ends and the pool of cache connections, and limits the
+//! connections of clients.
+//!
+//! All calls into the planner go through [`Node::plan`], whose borrow ends before the next await; a task runs
+//! the planner's timers.
 use crate::caches::{Home, Pool, Way};
 use crate::calls;
 use crate::config::Config;
@@ -19,157 +22,183 @@
     bans::Bans, stages::admit::Limits, Addr, AttemptEnd, Counter, Micros, Outcome, Planner, Report,
 };
 
-/// New connections and requests keep coming for so long after SIGTERM.
-const LATE_ARRIVALS: Micros = 900_000;
-/// The platform's SIGKILL comes after SIGTERM by the longest deadline, counted as this where it is longer, and so much
-/// more. By these before it, connections that rest are let go, the last answer is made, and the program has ended.
-const KILLED: Micros = 3_000_000;
-const GRACE: Micros = 700_000;
-const LET_GO: Micros = 350_000;
-const LAST_ANSWER: Micros = 200_000;
-const LAST_CLOSE: Micros = 60_000;
-
-/// Descriptors are divided here. Half of the limit is for the clients' connections, and one in so many beside it for those
-/// whose writing we ended and that still linger; the pool is given what is left of the other half after a fixed number
-/// for the program itself (`OTHERS` there): listeners, signals, the bulletin, one connection that is just accepted. No
-/// client ever gets one of these, so that the bulletin and the caches are reached however many there are.
-const LINGERING: usize = 32;
-/// So long after we ended writing a connection is closed, though its client has not closed it.
-const LINGER: Micros = 750_000;
-
-/// A client's connection, as what guards the descriptors sees it. Its own task keeps it up to date.
+/// How long after SIGTERM new connections and requests still arrive and are taken.
+const LATE_ARRIVAL_PERIOD: Micros = 900_000;
+/// The platform sends SIGKILL after SIGTERM by the longest deadline of a class, counted as at most this, plus
+/// [`GRACE`].
+const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
+/// Time that the platform adds to the longest deadline before it sends SIGKILL.
+const SIGKILL_GRACE: Micros = 700_000;
+/// Idle connections are released at least so long before SIGKILL.
+const RELEASE_MARGIN: Micros = 350_000;
+/// The last answer is made at least so long before SIGKILL.
+const ANSWER_MARGIN: Micros = 200_000;
+/// The program has ended at least so long before SIGKILL.
+const EXIT_MARGIN: Micros = 60_000;
+
+/// One descriptor in this many is for lingering connections, on which writing has ended.
+///
+/// Descriptors are divided here: half of the limit is for the clients' connections, and this share is set
+/// aside for lingering ones. The pool gets what remains of the other half after a fixed number for the
+/// program itself (a constant of the pool): listeners, signals, discovery, one connection that has just been
+/// accepted. No client ever gets one of these, so that discovery and the caches can be reached however many
+/// clients there are.
+const LINGERING_DIVISOR: usize = 32;
+/// How long a connection lingers after writing has ended, before it is closed although its client hasn't
+/// closed it.
+const LINGER_TIMEOUT: Micros = 750_000;
+
+/// The state of a client's connection that decides when it is closed. The connection's own task keeps it up
+/// to date.
 pub struct ClientConnection {
     number: u64,
-    opened: Micros,
-    /// Whether it was ever answered, and since when it is owed nothing.
-    answered: Cell<bool>,
-    since: Cell<Micros>,
+    opened_at: Micros,
+    /// Whether a request on this connection was ever answered.
+    was_answered: Cell<bool>,
+    /// Since when no answer has been due.
+    idle_since: Cell<Micros>,
+    /// Whether an answer is due.
     busy: Cell<bool>,
-    /// When the message that is coming in began (the end of time: none is), and when bytes of it last came.
-    begun: Cell<Micros>,
-    heard: Cell<Micros>,
-    /// Bytes were read of which not all messages are made out.
-    reading: Cell<bool>,
-    /// When it was asked to make room for another, and since when the process ends or gives way (the end of time: not at
-    /// all). Once nothing is owed, this connection goes for either.
-    asked_to_go: Cell<Micros>,
-    leaving: Cell<Micros>,
-    /// A message that is coming in is heard out until then.
-    heard_out: Cell<Micros>,
-    /// It lingers, and makes room for another that does.
-    cut: Cell<bool>,
+    /// When the message that is being received began; `Micros::MAX` if none is.
+    message_started_at: Cell<Micros>,
+    /// When bytes were last received.
+    last_received_at: Cell<Micros>,
+    /// Whether bytes have been read whose messages haven't all been parsed.
+    parsing: Cell<bool>,
+    /// When it was asked to close in favour of another connection; `Micros::MAX` if it wasn't. It closes once
+    /// no answer is due.
+    evicted_at: Cell<Micros>,
+    /// Since when the process has been ending or handing over; `Micros::MAX` if it isn't. The connection then
+    /// closes once no answer is due.
+    release_from: Cell<Micros>,
+    /// Until when the rest of a message that is being received is waited for.
+    message_deadline: Cell<Micros>,
+    /// Whether it is lingering and must close at once, to make room for another lingering connection.
+    cut_short: Cell<bool>,
     signal: Signal,
 }
 
-/// A message of which nothing more comes for so long, or a client that asks nothing for as long at first, is closed: a
-/// silent connection must not hold a descriptor.
-const PATIENCE: Micros = 2_000_000;
-/// A message has to be whole so long after its first byte, however slowly it comes: longer than any client waits.
-const WHOLE: Micros = 10_000_000;
-/// A client that came, or was heard, so lately is not taken for silent.
-const FRESH: Micros = 500_000;
-/// A look again at a connection that is to go but has unread bytes, and after how many looks it goes all the same: what
-/// keeps coming and asks nothing must not hold a place.
-const UNREAD: Micros = 2_000;
-const LOOKS: u32 = 25;
-/// A client that was answered may be idle for so long. The usual ones close sooner, so nothing crosses this close.
-const IDLE: Micros = 6_000_000;
+/// A connection is closed if nothing more of a message arrives for so long, or if its client sends no request
+/// for so long at first: a silent connection must not hold a descriptor.
+const SILENCE_TIMEOUT: Micros = 2_000_000;
+/// A message must be complete so long after its first byte, however slowly it arrives. This is longer than
+/// any client waits.
+const MESSAGE_TIMEOUT: Micros = 10_000_000;
+/// A client that connected or sent bytes less than this long ago doesn't count as silent.
+const RECENT_ACTIVITY_PERIOD: Micros = 500_000;
+/// How often a connection that is due to close but has unread bytes is checked again.
+const UNREAD_CHECK_INTERVAL: Micros = 2_000;
+/// After so many checks such a connection is closed all the same: a client that keeps sending bytes without a
+/// request must not hold a slot.
+const MAX_UNREAD_CHECKS: u32 = 25;
+/// How long a client that was answered may be idle. The usual clients close sooner, so that no request of
+/// theirs crosses this close.
+const IDLE_TIMEOUT: Micros = 6_000_000;
 
 impl ClientConnection {
-    /// Tells whether anything is owed.
+    /// Sets whether an answer is due.
     pub fn set_busy(&self, busy: bool) {
         if self.busy.replace(busy) && !busy {
-            self.since.set(now());
-            if self.leaving.get().min(self.asked_to_go.get()) < Micros::MAX {
+            self.idle_since.set(now());
+            if self.release_from.get().min(self.evicted_at.get()) < Micros::MAX {
                 self.signal.notify();
             }
         }
     }
+    /// Records that a request on this connection was answered.
     pub fn set_answered(&self) {
-        self.answered.set(true);
+        self.was_answered.set(true);
     }
-    /// Tells whether a message is coming in.
-    pub fn set_receiving(&self, some: bool) {
-        if !some {
-            return self.begun.set(Micros::MAX);
+    /// Sets whether a message is being received. A call with `true` also records that bytes arrived now.
+    pub fn set_receiving(&self, in_progress: bool) {
+        if !in_progress {
+            return self.message_started_at.set(Micros::MAX);
         }
-        self.heard.set(now());
-        if self.begun.get() == Micros::MAX {
-            self.begun.set(now());
+        self.last_received_at.set(now());
+        if self.message_started_at.get() == Micros::MAX {
+            self.message_started_at.set(now());
         }
     }
-    /// Tells whether messages are being made out of what was read. A look whether it goes is due when they are.
-    pub fn set_parsing(&self, some: bool) {
-        self.reading.set(some);
-        if !some && now() >= self.goes() {
+    /// Sets whether messages are being parsed from the bytes read. When they all have been, wakes the check
+    /// whether the connection is to close.
+    pub fn set_parsing(&self, in_progress: bool) {
+        self.parsing.set(in_progress);
+        if !in_progress && now() >= self.close_due_at() {
             self.signal.notify();
         }
     }
-    fn closes(&self) -> Micros {
-        match (self.begun.get(), self.answered.get()) {
-            // What is owed is owed, whatever else the client begins and does not end.
+    /// Returns when the connection times out, as things are; never while an answer is due.
+    fn timeout_at(&self) -> Micros {
+        match (self.message_started_at.get(), self.was_answered.get()) {
+            // A due answer is still sent, even if the client begins another message and doesn't finish it.
             _ if self.busy.get() => Micros::MAX,
-            (Micros::MAX, true) => self.since.get() + IDLE,
-            (Micros::MAX, false) => self.opened.max(self.since.get()) + PATIENCE,
-            (begun, _) => (self.heard.get() + PATIENCE).min(begun + WHOLE).min(self.heard_out.get()),
+            (Micros::MAX, true) => self.idle_since.get() + IDLE_TIMEOUT,
+            (Micros::MAX, false) => self.opened_at.max(self.idle_since.get()) + SILENCE_TIMEOUT,
+            (started_at, _) => (self.last_received_at.get() + SILENCE_TIMEOUT)
+                .min(started_at + MESSAGE_TIMEOUT)
+                .min(self.message_deadline.get()),
         }
     }
-    /// Who makes room first, of those that are owed nothing: the silent, then those answered, the longest idle before the
-    /// others. One that has just come is about to ask, and one whose message is coming in has nearly asked: they go last.
-    fn rank(&self, at: Micros) -> (u8, Micros) {
-        let since = self.since.get().max(self.heard.get());
-        let fresh = since >= at.saturating_sub(FRESH);
-        match (self.answered.get(), self.begun.get() < Micros::MAX) {
-            (false, _) | (true, true) if fresh => (2, since),
+    /// Returns the order in which connections with no answer due are evicted: the silent ones first, then
+    /// those that were answered, the longest idle first within each. A client that has just connected is
+    /// about to send a request, and one whose message is arriving has nearly sent it, so these come last.
+    fn eviction_rank(&self, at: Micros) -> (u8, Micros) {
+        let since = self.idle_since.get().max(self.last_received_at.get());
+        let recent = since >= at.saturating_sub(RECENT_ACTIVITY_PERIOD);
+        match (self.was_answered.get(), self.message_started_at.get() < Micros::MAX) {
+            (false, _) | (true, true) if recent => (2, since),
             (false, _) => (0, since),
             (true, _) => (1, since),
         }
     }
-    fn make_room(&self) {
-        self.asked_to_go.set(now());
+    /// Asks the connection to close once no answer is due, in favour of another.
+    fn evict(&self) {
+        self.evicted_at.set(now());
         self.signal.notify();
     }
-    /// The process ends, or gives way to another.
-    fn let_go(&self, heard_out: Micros) {
-        self.leaving.set(now());
-        self.heard_out.set(heard_out);
+    /// Asks the connection to close once no answer is due, because the process ends or hands over to another.
+    /// A message that is being received is waited for until `message_deadline`.
+    fn release_when_idle(&self, message_deadline: Micros) {
+        self.release_from.set(now());
+        self.message_deadline.set(message_deadline);
         self.signal.notify();
     }
-    /// Asked to make room, and about to: it is owed nothing.
-    fn making_room(&self) -> bool {
-        self.asked_to_go.get() < Micros::MAX && !self.busy.get()
-    }
-    /// When it is to go, as things are.
-    fn goes(&self) -> Micros {
-        let asked = if self.busy.get() { Micros::MAX } else { self.asked_to_go.get() };
-        asked.min(self.closes()).min(self.lets_go())
-    }
-    /// When a process that ends or gives way lets it go, if it is owed nothing: one that has just come is about to ask, and
-    /// its request must not cross the close.
-    fn lets_go(&self) -> Micros {
-        let idle = !self.busy.get() && self.begun.get() == Micros::MAX;
-        match (idle, self.answered.get()) {
+    /// Returns whether it was asked to close in favour of another and has no answer due, so that it is about
+    /// to.
+    fn is_leaving(&self) -> bool {
+        self.evicted_at.get() < Micros::MAX && !self.busy.get()
+    }
+    /// Returns when it is due to close, as things are.
+    fn close_due_at(&self) -> Micros {
+        let evicted_at = if self.busy.get() { Micros::MAX } else { self.evicted_at.get() };
+        evicted_at.min(self.timeout_at()).min(self.release_at())
+    }
+    /// Returns when a process that ends or hands over closes it, if no answer is due. A client that has just
+    /// connected is about to send a request, which must not cross the close.
+    fn release_at(&self) -> Micros {
+        let idle = !self.busy.get() && self.message_started_at.get() == Micros::MAX;
+        match (idle, self.was_answered.get()) {
             (false, _) => Micros::MAX,
-            (true, true) => self.leaving.get(),
-            (true, false) => self.leaving.get().max(self.opened + FRESH),
+            (true, true) => self.release_from.get(),
+            (true, false) => self.release_from.get().max(self.opened_at + RECENT_ACTIVITY_PERIOD),
         }
     }
-    /// Returns once the connection is to be closed: overdue, or the longest idle when descriptors are short. `unread`:
-    /// whether bytes wait to be read; they come first, and so do those not made out yet, as a request that has come whole
-    /// is taken.
+    /// Waits until the connection is due to close: it timed out, was evicted while descriptors were short, or
+    /// the process ends or hands over. `unread` returns whether bytes wait to be read. These and bytes not
+    /// yet parsed come first, as a request that has arrived completely is taken.
     pub async fn wait_until_due(&self, unread: impl Fn() -> bool) {
-        let mut looks = 0;
+        let mut checks = 0;
         loop {
-            let at = self.goes();
-            // States change without a word; a look now and then costs less than a sign for each change.
+            let at = self.close_due_at();
+            // State changes don't wake this task: a check now and then costs less than a wake-up for each.
             let next = if now() < at {
-                looks = 0;
-                at.min(now() + PATIENCE / 4)
-            } else if self.reading.get() {
-                now() + UNREAD
-            } else if unread() && looks < LOOKS {
-                looks += 1;
-                now() + UNREAD
+                checks = 0;
+                at.min(now() + SILENCE_TIMEOUT / 4)
+            } else if self.parsing.get() {
+                now() + UNREAD_CHECK_INTERVAL
+            } else if unread() && checks < MAX_UNREAD_CHECKS {
+                checks += 1;
+                now() + UNREAD_CHECK_INTERVAL
             } else {
                 return;
             };
@@ -178,83 +207,94 @@
     }
 }
 
-/// A place among the clients' connections; given back when dropped, which has to be with the connection.
+/// A slot among the clients' connections, with the state of its connection. It is freed when dropped, which
+/// must happen together with the connection.
 pub struct ConnectionSlot(Rc<Node>, pub Rc<ClientConnection>);
 
 impl ConnectionSlot {
-    /// Closes a connection in order, from which nothing is handed on any more: ends writing, then reads on and discards up
-    /// to a bounded end. It lingers meanwhile, and may be cut where too many do.
+    /// Closes the connection in order: ends writing, then reads and discards what arrives, for a limited
+    /// time. No request from it is passed on any more. Meanwhile the connection counts as lingering, and it
+    /// may be cut short if too many linger.
     pub async fn close(&self, stream: &Async<TcpStream>) {
-        let ConnectionSlot(node, guest) = self;
-        if node.guests.borrow_mut().remove(&guest.number).is_some() {
-            node.lingering.borrow_mut().push_back(guest.clone());
+        let ConnectionSlot(node, connection) = self;
+        if node.open_clients.borrow_mut().remove(&connection.number).is_some() {
+            node.lingering.borrow_mut().push_back(connection.clone());
         }
-        node.fits(0);
-        node.room.notify();
-        let cut = async {
-            while !guest.cut.get() {
-                guest.signal.wait().await;
+        node.make_capacity(0);
+        node.slot_freed.notify();
+        let cut_short = async {
+            while !connection.cut_short.get() {
+                connection.signal.wait().await;
             }
         };
-        net::end_writing(stream, now() + LINGER).or(cut).await;
+        net::end_writing(stream, now() + LINGER_TIMEOUT).or(cut_short).await;
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        let ConnectionSlot(node, guest) = self;
-        node.guests.borrow_mut().remove(&guest.number);
-        node.lingering.borrow_mut().retain(|g| !Rc::ptr_eq(g, guest));
-        node.room.notify();
+        let ConnectionSlot(node, connection) = self;
+        node.open_clients.borrow_mut().remove(&connection.number);
+        node.lingering.borrow_mut().retain(|g| !Rc::ptr_eq(g, connection));
+        node.slot_freed.notify();
     }
 }
 
+/// The state shared by the tasks of one proxy process.
 pub struct Node {
     pub config: Config,
     pub pool: Rc<Pool>,
     planner: RefCell<Planner>,
-    armed: Cell<Micros>,
-    timers: Signal,
+    armed_for: Cell<Micros>,
+    timers_changed: Signal,
     executor: &'static LocalExecutor<'static>,
-    /// Where the bulletin is, as the configuration has it now, and a sign that it moved.
+    /// Address of the discovery service, as the configuration has it now.
     pub discovery_addr: Cell<SocketAddr>,
+    /// Notified when a reload has set that address.
     pub discovery_moved: Signal,
-    /// Number of the last event that was applied, and of the last that came out of turn.
+    /// Number of the last discovery event that was applied.
     pub last_event: Cell<u64>,
+    /// Number of the event that was awaited when the last one out of order arrived.
     pub out_of_order_event: Cell<u64>,
-    /// The number at which one that could not be read was asked for again.
+    /// Number from which events were requested again, after one that could not be read.
     pub reread_event: Cell<u64>,
-    /// All that the bulletin had told by then was heard; nothing before the first time.
+    /// By this time everything that the discovery service had sent was received; `None` before the first
+    /// time.
     pub caught_up_at: Cell<Option<Micros>>,
-    /// When the listed servers started.
+    /// When the listed cache servers started.
     pub start_times: RefCell<StartTimes>,
-    /// The bulletin was heard since the start.
+    /// Whether the discovery service was heard from since the start.
     pub discovery_heard: Cell<bool>,
-    /// What the staff took out.
+    /// The cache servers that operators took out of use.
     pub bans: RefCell<Bans>,
-    /// When the order to end came.
+    /// When SIGTERM arrived.
     pub stopping: Cell<Option<Micros>>,
-    /// Another process has taken over: no new connections, and those there go once nothing is owed on them.
+    /// Whether another process has taken over: no new connections are accepted, and open ones close once no
+    /// answer is due on them.
     pub handing_over: Cell<bool>,
     pub handover_started: Signal,
-    /// Processes that share the limits, this one among them.
-    sharers: Cell<usize>,
-    /// Connections of clients that are open, of all fronts, and answers not yet written to them.
-    guests: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    guest: Cell<u64>,
-    /// Those whose writing we ended, the oldest first, and a sign that a place or a descriptor came free.
+    /// Number of processes that share the limits, including this one.
+    process_count: Cell<usize>,
+    /// Open connections of clients, of all front ends.
+    open_clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    next_number: Cell<u64>,
+    /// Connections on which writing has ended, the oldest first.
     lingering: RefCell<VecDeque<Rc<ClientConnection>>>,
-    room: Signal,
+    /// Notified when a slot or a descriptor became free.
+    slot_freed: Signal,
+    /// Number of answers not yet written to clients, and their bytes.
     pub unwritten_answers: Cell<usize>,
     pub unwritten_bytes: Cell<usize>,
-    /// Proxies live by own proof, and members suspect by hearsay; 0 without gossip.
+    /// Number of other proxies that this one has itself found live; 0 without gossip.
     pub live_peers: Cell<usize>,
+    /// Number of members suspected because of other proxies' reports; 0 without gossip.
     pub suspected_count: Cell<usize>,
 }
 
 impl Node {
+    /// Creates the node with its planner and pool, and starts the task of the planner's timers.
     pub fn new(config: Config, executor: &'static LocalExecutor<'static>) -> Rc<Node> {
-        let pool = Pool::new(config.names.clone(), beside_lingering(config.max_sockets));
+        let pool = Pool::new(config.names.clone(), without_lingering(config.max_sockets));
         let limits = Limits {
             max_open: config.names.max_open,
             max_bytes: config.memory_bytes / 4,
@@ -273,18 +313,18 @@
             bans: RefCell::new(Bans::new(config.settings.origin_kind)),
             handing_over: Cell::new(false),
             handover_started: Signal::default(),
-            sharers: Cell::new(1),
+            process_count: Cell::new(1),
             config,
             pool,
             planner: RefCell::new(planner),
-            armed: Cell::new(0),
-            timers: Signal::default(),
+            armed_for: Cell::new(0),
+            timers_changed: Signal::default(),
             executor,
             stopping: Cell::new(None),
-            guests: RefCell::default(),
-            guest: Cell::new(0),
+            open_clients: RefCell::default(),
+            next_number: Cell::new(0),
             lingering: RefCell::default(),
-            room: Signal::default(),
+            slot_freed: Signal::default(),
             unwritten_answers: Cell::new(0),
             unwritten_bytes: Cell::new(0),
             live_peers: Cell::new(0),
@@ -300,54 +340,60 @@
         node
     }
 
-    /// Memory that answers hold: what waits for clients, and what is still coming in from caches.
+    /// Returns the bytes of memory that answers hold: those waiting to be written to clients and those still
+    /// arriving from caches.
     pub fn held_bytes(&self) -> usize {
         self.unwritten_bytes.get() + self.pool.buffered.get()
     }
 
-    /// Connections of clients that are open.
+    /// Returns the number of open client connections.
     pub fn client_count(&self) -> usize {
-        self.guests.borrow().len()
+        self.open_clients.borrow().len()
     }
 
-    /// Those and the ones that linger: each holds a descriptor.
+    /// Returns the number of open and of lingering client connections: each holds a descriptor.
     pub fn connection_count(&self) -> usize {
         self.client_count() + self.lingering.borrow().len()
     }
 
-    fn places(&self) -> usize {
-        (self.config.max_sockets / 2 / self.sharers.get()).max(1)
+    /// Returns this process's limit of open client connections.
+    fn max_clients(&self) -> usize {
+        (self.config.max_sockets / 2 / self.process_count.get()).max(1)
     }
 
-    /// So many processes share the limits, this one among them. Clients that are owed nothing go for it.
-    pub fn set_process_count(&self, of: usize) {
-        self.sharers.set(of);
-        self.pool.share(beside_lingering(self.config.max_sockets), of);
-        self.plan(|p, _| p.share_limits(of, self.config.memory_bytes / 4 / of));
-        let (guests, at) = (self.guests.borrow(), now());
-        let idle = guests.values().filter(|g| !g.busy.get() && g.asked_to_go.get() == Micros::MAX);
+    /// Sets the number of processes that share the limits, including this one. Clients beyond the new limit
+    /// are evicted if no answer is due to them.
+    pub fn set_process_count(&self, processes: usize) {
+        self.process_count.set(processes);
+        self.pool.share(without_lingering(self.config.max_sockets), processes);
+        self.plan(|p, _| p.share_limits(processes, self.config.memory_bytes / 4 / processes));
+        let (open_clients, at) = (self.open_clients.borrow(), now());
+        let idle = open_clients.values().filter(|g| !g.busy.get() && g.evicted_at.get() == Micros::MAX);
         let mut idle: Vec<&Rc<ClientConnection>> = idle.collect();
-        idle.sort_by_key(|g| g.rank(at));
-        for g in idle.into_iter().take(guests.len().saturating_sub(self.places())) {
-            g.make_room();
+        idle.sort_by_key(|g| g.eviction_rank(at));
+        for g in idle.into_iter().take(open_clients.len().saturating_sub(self.max_clients())) {
+            g.evict();
         }
-        drop(guests);
-        self.fits(0);
+        drop(open_clients);
+        self.make_capacity(0);
     }
 
-    /// Whether so many more connections fit beside those that are open or linger; else the oldest that linger are cut.
-    fn fits(&self, more: usize) -> bool {
+    /// Returns whether `more` connections fit beside those that are open or linger. If they don't, cuts short
+    /// the oldest lingering ones.
+    fn make_capacity(&self, more: usize) -> bool {
         let lingering = self.lingering.borrow();
-        let most = self.places() + (self.config.max_sockets / LINGERING / self.sharers.get()).max(1);
-        let over = (self.client_count() + lingering.len() + more).saturating_sub(most);
+        let capacity = self.max_clients()
+            + (self.config.max_sockets / LINGERING_DIVISOR / self.process_count.get()).max(1);
+        let over = (self.client_count() + lingering.len() + more).saturating_sub(capacity);
         for g in lingering.iter().take(over) {
-            g.cut.set(true);
+            g.cut_short.set(true);
             g.signal.notify();
         }
         over == 0
     }
 
-    /// Another process serves at the same address: leaves new connections to it, and lets those here go.
+    /// Hands over to another process that serves at the same address: leaves new connections to it, and
+    /// closes the open ones once no answer is due on them.
     pub fn hand_over(&self) {
         if self.handing_over.replace(true) {
             return;
@@ -355,156 +401,167 @@
         log(&format!("stop: gives way to another process, {} connections of clients", self.client_count()));
         self.count(Counter::HandedOver);
         self.handover_started.notify();
-        self.let_go();
+        self.release_connections();
     }
 
-    /// Lets all connections go once nothing is owed on them.
-    fn let_go(&self) {
-        self.guests.borrow().values().for_each(|g| g.let_go(self.latest_answer_time()));
+    /// Asks all connections to close once no answer is due on them.
+    fn release_connections(&self) {
+        self.open_clients.borrow().values().for_each(|g| g.release_when_idle(self.latest_answer_time()));
     }
 
-    /// The longest deadline of any class.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Micros {
         self.config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
-    /// When the platform kills this process: the end of time before the order to end.
-    fn killed(&self) -> Micros {
-        self.stopping.get().map_or(Micros::MAX, |from| from + self.longest_deadline().min(KILLED) + GRACE)
+    /// Returns when the platform sends SIGKILL to this process; `Micros::MAX` before SIGTERM.
+    fn sigkill_at(&self) -> Micros {
+        self.stopping.get().map_or(Micros::MAX, |from| {
+            from + self.longest_deadline().min(MAX_COUNTED_DEADLINE) + SIGKILL_GRACE
+        })
     }
 
-    /// The latest time that a request may be answered at: a process that ends is killed after a while.
+    /// Returns the latest time at which a request may be answered, as a process that ends is killed after a
+    /// while. `Micros::MAX` before SIGTERM.
     pub fn latest_answer_time(&self) -> Micros {
-        match self.killed() {
+        match self.sigkill_at() {
             Micros::MAX => Micros::MAX,
-            killed => killed - LAST_ANSWER,
+            sigkill_at => sigkill_at - ANSWER_MARGIN,
         }
     }
 
-    /// A place for a new client, once there is one: all that hold a descriptor are counted, so that there are never more
-    /// than meant. When half of the descriptors are in use, one that is owed nothing goes for it, those never answered
-    /// first, then the longest idle: silent connections must not keep the usual clients out. Nothing where all are owed.
+    /// Waits for a slot for a new client. Every connection that holds a descriptor counts, so that the limit
+    /// is never exceeded. When all slots are taken, a connection with no answer due is evicted, those never
+    /// answered first and then the longest idle: silent connections must not keep the usual clients out.
+    /// Returns `None` if answers are due on all of them.
     pub async fn admit_client(self: &Rc<Self>) -> Option<ConnectionSlot> {
         let mut asked = None;
-        while self.makes_room(&mut asked) {
-            if self.client_count() < self.places() && self.fits(1) {
-                return Some(self.seat());
+        while self.evict_if_full(&mut asked) {
+            if self.client_count() < self.max_clients() && self.make_capacity(1) {
+                return Some(self.open_slot());
             }
-            // Those that go have their turns meanwhile.
-            sleep_until(now() + UNREAD).or(self.room.wait()).await;
+            // Lets the tasks of the closing connections run.
+            sleep_until(now() + UNREAD_CHECK_INTERVAL).or(self.slot_freed.wait()).await;
         }
         self.count(Counter::TurnedAway);
         None
     }
 
-    /// Asks one to go where all places are taken, unless the one `asked` before is about to; false where none can.
-    fn makes_room(&self, asked: &mut Option<Rc<ClientConnection>>) -> bool {
-        let (guests, at) = (self.guests.borrow(), now());
-        // One that was asked may have been about to ask, and stays for its answer.
-        let waits = asked.as_ref().is_some_and(|g| guests.contains_key(&g.number) && g.making_room());
-        if guests.len() < self.places() || waits {
+    /// If all slots are taken, evicts a connection, unless the one `asked` before is still about to close.
+    /// Returns false if no connection can be evicted.
+    fn evict_if_full(&self, asked: &mut Option<Rc<ClientConnection>>) -> bool {
+        let (open_clients, at) = (self.open_clients.borrow(), now());
+        // A request may have arrived on the connection asked before, which then stays open for its answer.
+        let asked_leaves =
+            asked.as_ref().is_some_and(|g| open_clients.contains_key(&g.number) && g.is_leaving());
+        if open_clients.len() < self.max_clients() || asked_leaves {
             return true;
         }
-        let idle = guests.values().filter(|g| !g.busy.get() && g.asked_to_go.get() == Micros::MAX);
-        let Some(first) = idle.min_by_key(|g| g.rank(at)) else {
-            return guests.values().any(|g| g.making_room());
+        let idle = open_clients.values().filter(|g| !g.busy.get() && g.evicted_at.get() == Micros::MAX);
+        let Some(first) = idle.min_by_key(|g| g.eviction_rank(at)) else {
+            return open_clients.values().any(|g| g.is_leaving());
         };
-        first.make_room();
+        first.evict();
         *asked = Some(first.clone());
         self.count(Counter::Evicted);
         true
     }
 
-    fn seat(self: &Rc<Self>) -> ConnectionSlot {
-        let (number, at) = (self.guest.replace(self.guest.get() + 1), now());
-        let guest = Rc::new(ClientConnection {
+    /// Registers a new client connection and returns its slot.
+    fn open_slot(self: &Rc<Self>) -> ConnectionSlot {
+        let (number, at) = (self.next_number.replace(self.next_number.get() + 1), now());
+        let connection = Rc::new(ClientConnection {
             number,
-            opened: at,
-            answered: Cell::new(false),
-            since: Cell::new(at),
+            opened_at: at,
+            was_answered: Cell::new(false),
+            idle_since: Cell::new(at),
             busy: Cell::new(false),
-            begun: Cell::new(Micros::MAX),
-            heard: Cell::new(at),
-            reading: Cell::new(false),
-            asked_to_go: Cell::new(Micros::MAX),
-            leaving: Cell::new(Micros::MAX),
-            heard_out: Cell::new(Micros::MAX),
-            cut: Cell::new(false),
+            message_started_at: Cell::new(Micros::MAX),
+            last_received_at: Cell::new(at),
+            parsing: Cell::new(false),
+            evicted_at: Cell::new(Micros::MAX),
+            release_from: Cell::new(Micros::MAX),
+            message_deadline: Cell::new(Micros::MAX),
+            cut_short: Cell::new(false),
             signal: Signal::default(),
         });
         if self.handing_over.get() || self.refuses_new_requests() {
-            guest.let_go(self.latest_answer_time());
+            connection.release_when_idle(self.latest_answer_time());
         }
-        self.guests.borrow_mut().insert(number, guest.clone());
+        self.open_clients.borrow_mut().insert(number, connection.clone());
         self.count(Counter::Accepted);
-        ConnectionSlot(self.clone(), guest)
+        ConnectionSlot(self.clone(), connection)
     }
 
-    /// Whether the program is so far into its end that nothing new is taken: clients have gone elsewhere by then.
+    /// Returns whether SIGTERM came so long ago that new requests are refused: clients use another proxy by
+    /// then. Never true while another process takes over.
     pub fn refuses_new_requests(&self) -> bool {
-        let late = |from: Micros| now() > (from + LATE_ARRIVALS).min(self.killed() - LET_GO);
+        let late =
+            |from: Micros| now() > (from + LATE_ARRIVAL_PERIOD).min(self.sigkill_at() - RELEASE_MARGIN);
         !self.handing_over.get() && self.stopping.get().is_some_and(late)
     }
 
-    /// Waits, after the order to end, until all that was taken is answered and written, late arrivals have stopped, and
-    /// all clients have left or were let go: those that rest wait for us to end it. What was taken before the order is
-    /// waited for longer than the connections are.
+    /// Waits, after SIGTERM, until all requests taken are answered and written, late arrivals have stopped,
+    /// and all clients have left or were asked to: idle clients wait for the proxy to close. Answers to
+    /// requests taken before SIGTERM are waited for longer than connections are.
     pub async fn wait_until_drained(&self) {
-        let latest = now() + self.longest_deadline().max(KILLED) + 600_000;
-        let mut let_go = false;
+        let latest = now() + self.longest_deadline().max(MAX_COUNTED_DEADLINE) + 600_000;
+        let mut released = false;
         while now() < latest {
-            if self.refuses_new_requests() && !std::mem::replace(&mut let_go, true) {
-                self.let_go();
+            if self.refuses_new_requests() && !std::mem::replace(&mut released, true) {
+                self.release_connections();
             }
-            let owed = self.plan(|p, _| p.open_requests()) + self.unwritten_answers.get() > 0;
-            let lasts = self.handing_over.get() || now() < self.killed() - LAST_CLOSE;
-            let late = self.connection_count() > 0 && lasts
+            let answers_due = self.plan(|p, _| p.open_requests()) + self.unwritten_answers.get() > 0;
+            let before_exit = self.handing_over.get() || now() < self.sigkill_at() - EXIT_MARGIN;
+            let late = self.connection_count() > 0 && before_exit
                 || !(self.handing_over.get() || self.refuses_new_requests());
-            if !late && !owed {
+            if !late && !answers_due {
                 return;
             }
             sleep_until(now() + 20_000).await;
         }
     }
 
-    /// Takes over what a running program can of a configuration that was read anew, and says so in a line.
+    /// Applies what a running program can apply of a configuration that was read again. Returns a line for
+    /// the log that says what was applied and what needs a restart.
     pub fn reload(&self, new: &Config) -> String {
         let moved = self.discovery_addr.replace(new.discovery_addr) != new.discovery_addr;
         self.discovery_moved.notify();
-        let what = if moved { "moved to" } else { "stays at" };
-        let line = format!("bulletin {what} {}, last event {}", new.discovery_addr, self.last_event.get());
+        let place = if moved { "moved to" } else { "stays at" };
+        let line = format!("bulletin {place} {}, last event {}", new.discovery_addr, self.last_event.get());
         match self.config.restart_only_changes(new) {
             fixed if fixed.is_empty() => line,
             fixed => format!("{line}; only a restart changes {}", fixed.join(", ")),
         }
     }
 
-    /// One call into the planner. Wakes the timers where an earlier one was armed.
+    /// Calls the planner. Wakes the task of the timers if an earlier timer was set.
     pub fn plan<R>(&self, f: impl FnOnce(&mut Planner, Micros) -> R) -> R {
         let mut planner = self.planner.borrow_mut();
         let result = f(&mut planner, now());
-        if planner.next_due().is_some_and(|at| at < self.armed.get()) {
-            self.timers.notify();
+        if planner.next_due().is_some_and(|at| at < self.armed_for.get()) {
+            self.timers_changed.notify();
         }
         result
     }
 
+    /// Adds one to a counter.
     pub fn count(&self, c: Counter) {
         self.planner.borrow_mut().counters.add(c);
     }
 
-    /// All counters as one line.
+    /// Returns all counters as one line, with those kept outside of the planner brought up to date.
     pub fn counters_line(&self) -> String {
         self.update_call_counters();
         self.plan(|p, _| p.counters.line())
     }
 
-    /// Takes over what is counted outside of the planner.
+    /// Copies the counter of retried system calls, which is kept outside of the planner, into its counters.
     pub fn update_call_counters(&self) {
         self.plan(|p, _| p.counters.set(Counter::CallsRetried, calls::retried()));
     }
 
-    /// Starts a task; a panic ends that task alone and is counted.
+    /// Starts a task. A panic ends that task alone, and is counted.
     pub fn spawn(self: &Rc<Self>, what: &'static str, task: impl Future<Output = ()> + 'static) {
         let node = self.clone();
         let guarded = async move {
@@ -516,43 +573,46 @@
         self.executor.spawn(guarded).detach();
     }
 
-    /// Starts a task that the program cannot do without: after a panic it is made anew.
+    /// Starts a task that the program cannot do without: after a panic, which is counted, it is created
+    /// again.
     pub fn spawn_restarting<F: Future<Output = ()> + 'static>(
         self: &Rc<Self>,
         what: &'static str,
         make: impl Fn() -> F + 'static,
     ) {
         let node = self.clone();
-        let kept = async move {
+        let restarting = async move {
             while AssertUnwindSafe(make()).catch_unwind().await.is_err() {
                 log(&format!("panic: the task '{what}' ended by a panic and starts again"));
                 node.count(Counter::Panics);
                 sleep_until(now() + 10_000).await;
             }
         };
-        self.executor.spawn(kept).detach();
+        self.executor.spawn(restarting).detach();
     }
 
+    /// Runs the planner's timers as they become due.
     async fn run_timers(&self) {
         loop {
             self.plan(|p, now| p.run_timers(now));
             let next = self.planner.borrow().next_due().unwrap_or(Micros::MAX);
-            self.armed.set(next);
+            self.armed_for.set(next);
             if next == Micros::MAX {
-                self.timers.wait().await;
+                self.timers_changed.wait().await;
             } else {
-                sleep_until(next).or(self.timers.wait()).await;
+                sleep_until(next).or(self.timers_changed.wait()).await;
             }
         }
     }
 }
 
-/// The limit on descriptors as the pool halves it, so that its half leaves those of lingering connections out.
-fn beside_lingering(sockets: usize) -> usize {
-    sockets - 2 * (sockets / LINGERING).max(1).min(sockets / 2)
+/// Returns the limit of descriptors to give to the pool, which halves it: the pool's half then doesn't
+/// include the descriptors of lingering connections.
+fn without_lingering(sockets: usize) -> usize {
+    sockets - 2 * (sockets / LINGERING_DIVISOR).max(1).min(sockets / 2)
 }
 
-/// What the pool reports.
+/// Passes the pool's reports on to the planner.
 impl Home for Node {
     fn start(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.spawn(what, task);
