--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,6 +1,6 @@
 //! The door for operators: one line a connection, one answer. It owns its few places and the form of a call. It must
 //! never judge a call, hold up a client's work, or let callers that say nothing keep others out.
-use crate::net::{log, now, read_some, sleep_until, Out, Signal};
+use crate::net::{log, now, read_some, sleep_until, OutgoingAnswer, Signal};
 use crate::node::Node;
 use crate::shift::ProcessGroup;
 use async_io::Async;
@@ -39,9 +39,10 @@
         [] => Err("empty call"),
         ["READY"] => Ok(AdminCommand::Ready),
         ["DISABLE" | "ENABLE"] => Err("the id is missing"),
-        ["DISABLE" | "ENABLE", id] if !crate::wire::plain(id, 128) => Err("unknown cache server"),
+        ["DISABLE" | "ENABLE", id] if !crate::wire::is_plain_text(id, 128) => Err("unknown cache server"),
         ["DISABLE", id] => Ok(AdminCommand::Disable(id)),
         ["ENABLE", id] => Ok(AdminCommand::Enable(id)),
+
         ["READY" | "DISABLE" | "ENABLE", ..] => Err("too many words"),
         _ => Err("unknown call: READY, DISABLE ID or ENABLE ID"),
     }
@@ -144,7 +145,7 @@
     // Its place is free from here on.
     own.gone.set(true);
     let until = now() + LINGER;
-    if Out::from(text.into_bytes()).write(stream).await {
+    if OutgoingAnswer::from(text.into_bytes()).write(stream).await {
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let rest = async {
             let mut rest = Vec::new();
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,9 +1,14 @@
 //! The node, which connects the planner with the front ends and the pool of cache connections, and limits the
+
 //! connections of clients.
+
 //!
+
 //! All calls into the planner go through [`Node::plan`], whose borrow ends before the next await; a task runs
+
 //! the planner's timers.
-use crate::caches::{Home, Pool, Way};
+use crate::caches::{CachePool, PoolOwner, PoolTransport};
+
 use crate::calls;
 use crate::config::Config;
 use crate::net::{self, log, now, sleep_until, Signal};
@@ -227,7 +232,7 @@
                 connection.signal.wait().await;
             }
         };
-        net::end_writing(stream, now() + LINGER_TIMEOUT).or(cut_short).await;
+        net::shutdown_and_drain(stream, now() + LINGER_TIMEOUT).or(cut_short).await;
     }
 }
 
@@ -243,7 +248,7 @@
 /// The state shared by the tasks of one proxy process.
 pub struct Node {
     pub config: Config,
-    pub pool: Rc<Pool>,
+    pub pool: Rc<CachePool>,
     planner: RefCell<Planner>,
     armed_for: Cell<Micros>,
     timers_changed: Signal,
@@ -294,13 +299,15 @@
 impl Node {
     /// Creates the node with its planner and pool, and starts the task of the planner's timers.
     pub fn new(config: Config, executor: &'static LocalExecutor<'static>) -> Rc<Node> {
-        let pool = Pool::new(config.names.clone(), without_lingering(config.max_sockets));
+        let pool = CachePool::new(config.names.clone(), without_lingering(config.max_sockets));
         let limits = Limits {
             max_open: config.names.max_open,
             max_bytes: config.memory_bytes / 4,
             retry_after: 250_000,
         };
-        let planner = Planner::new(config.settings.clone(), config.seed, limits, Box::new(Way(pool.clone())));
+        let planner =
+            Planner::new(config.settings.clone(), config.seed, limits, Box::new(PoolTransport(pool.clone())));
+
         let node = Rc::new(Node {
             discovery_addr: Cell::new(config.discovery_addr),
             discovery_moved: Signal::default(),
@@ -330,8 +337,8 @@
             live_peers: Cell::new(0),
             suspected_count: Cell::new(0),
         });
-        let home: Rc<dyn Home> = node.clone();
-        node.pool.join(&home);
+        let home: Rc<dyn PoolOwner> = node.clone();
+        node.pool.set_owner(&home);
         let n = node.clone();
         node.spawn_restarting("timers", move || {
             let n = n.clone();
@@ -341,9 +348,10 @@
     }
 
     /// Returns the bytes of memory that answers hold: those waiting to be written to clients and those still
+
     /// arriving from caches.
     pub fn held_bytes(&self) -> usize {
-        self.unwritten_bytes.get() + self.pool.buffered.get()
+        self.unwritten_bytes.get() + self.pool.buffered_bytes.get()
     }
 
     /// Returns the number of open client connections.
@@ -362,10 +370,11 @@
     }
 
     /// Sets the number of processes that share the limits, including this one. Clients beyond the new limit
+
     /// are evicted if no answer is due to them.
     pub fn set_process_count(&self, processes: usize) {
         self.process_count.set(processes);
-        self.pool.share(without_lingering(self.config.max_sockets), processes);
+        self.pool.share_descriptors(without_lingering(self.config.max_sockets), processes);
         self.plan(|p, _| p.share_limits(processes, self.config.memory_bytes / 4 / processes));
         let (open_clients, at) = (self.open_clients.borrow(), now());
         let idle = open_clients.values().filter(|g| !g.busy.get() && g.evicted_at.get() == Micros::MAX);
@@ -558,7 +567,7 @@
 
     /// Copies the counter of retried system calls, which is kept outside of the planner, into its counters.
     pub fn update_call_counters(&self) {
-        self.plan(|p, _| p.counters.set(Counter::CallsRetried, calls::retried()));
+        self.plan(|p, _| p.counters.set(Counter::CallsRetried, calls::retried_calls()));
     }
 
     /// Starts a task. A panic ends that task alone, and is counted.
@@ -613,11 +622,11 @@
 }
 
 /// Passes the pool's reports on to the planner.
-impl Home for Node {
-    fn start(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
+impl PoolOwner for Node {
+    fn spawn_task(self: Rc<Self>, what: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.spawn(what, task);
     }
-    fn ended(&self, request: u64, attempt: u16, end: AttemptEnd) {
+    fn report_attempt_end(&self, request: u64, attempt: u16, end: AttemptEnd) {
         self.plan(|p, now| p.attempt_ended(now, request, attempt, end));
     }
     fn epoch(&self) -> u64 {
@@ -629,7 +638,7 @@
     fn count(&self, c: Counter) {
         Node::count(self, c);
     }
-    fn probed(&self, member: Addr, outcome: Outcome, report: Report) {
+    fn report_probe_end(&self, member: Addr, outcome: Outcome, report: Report) {
         self.plan(|p, now| p.probe_ended(now, member, outcome, report));
     }
 }
