--- a/node/src/shift.rs
+++ b/node/src/shift.rs
@@ -1,6 +1,9 @@
-//! The shift of this process: which bans are in force, who else serves beside it, whether it is ready, and giving way to
-//! a successor. It owns the joint between the judgements of the core (`bans`, `shift`), the files of the ledger and the
-//! node. It must never judge by itself, and it opens nothing where no door is configured.
+//! Coordination with the other processes of the same proxy: which bans are in force, which other processes
+//! live, whether this one is ready, and handing over to a successor.
+//!
+//! Connects the decisions of the core (`bans`, `shift`) with the shared files ([`crate::ledger`]) and the
+//! node; the decisions themselves are made in the core. Without a configured admin socket nothing is opened
+//! here.
 use crate::bulletin;
 use crate::clock::unix_now;
 use crate::handover;
@@ -16,50 +19,61 @@
 use threadward_core::shift::{self, OtherProcesses, Phase, ProcessStatus, Rank, ReadinessFacts};
 use threadward_core::{Counter, Micros};
 
-/// How often the files are looked at: a ban set at one process holds in the other well within a second.
-const LOOK: Micros = 50_000;
-/// A call waits so long for the other processes: its caller waits a second, and they look at the file by themselves.
-const AGREE: Micros = 500_000;
-/// A start waits so long for what another process has learned: that one may be too busy, or have none.
-const LESSON: Micros = 1_000_000;
-/// A start waits so long for the bulletin. It may be down, and what the configuration knows is no worse for that.
-const FOLLOW: Micros = 2_000_000;
+/// How often the shared files are checked: a ban set at one process holds in the other well within a second.
+const CHECK_INTERVAL: Micros = 50_000;
+/// How long a command waits for the other processes to apply it: its caller waits a second, and the others
+/// check the file by themselves.
+const AGREEMENT_TIMEOUT: Micros = 500_000;
+/// How long a start waits for an older process, to hand on its learned state or its listening socket: that
+/// process may be too busy, or have nothing to hand on.
+const PREDECESSOR_TIMEOUT: Micros = 1_000_000;
+/// How long a start waits for discovery before it counts as known. Discovery may be down, and the
+/// configuration's own list is no worse for that.
+const DISCOVERY_TIMEOUT: Micros = 2_000_000;
 
+/// The state of the file of bans, see [`SharedFiles::bans_file_stamp`].
 type Stamp = Option<(u64, i64, i64, u64)>;
 
+/// This process among those of the same proxy.
 pub struct ProcessGroup {
     node: Rc<Node>,
-    ledger: Option<SharedFiles>,
-    started: Micros,
-    /// The version of the calls that is in force, and the state of the file it was read from; and the state that could not
-    /// be read, as it was said.
+    shared_files: Option<SharedFiles>,
+    started_at: Micros,
+    /// Version of the bans in force.
     version: Cell<u64>,
+    /// State of the file that these bans were read from.
     stamp: Cell<Stamp>,
-    unread: Cell<Stamp>,
-    /// When what the file held last was in force here.
+    /// State of the file that could not be read, once that was logged.
+    unreadable_stamp: Cell<Stamp>,
+    /// The latest time at which the bans in force here were known to be those of the file.
     read_at: Cell<Option<Micros>>,
-    /// What an older process has learned is in force here, or there was none to wait for.
-    taught: Cell<bool>,
-    /// The processes that live and were taught by this one.
-    pupils: RefCell<Vec<Rank>>,
-    shown: Cell<Option<(Phase, u64)>>,
-    /// What could not be shown, as it was said.
-    hidden: Cell<Option<(Phase, u64)>>,
-    view: RefCell<OtherProcesses>,
+    /// Whether the learned state of an older process was adopted, or is no longer waited for.
+    learned_settled: Cell<bool>,
+    /// The live processes that this one has handed its learned state to.
+    informed: RefCell<Vec<Rank>>,
+    /// The phase and version of the bans last published to the other processes.
+    published: Cell<Option<(Phase, u64)>>,
+    /// The phase and version that could not be published, once that was logged.
+    unpublished: Cell<Option<(Phase, u64)>>,
+    /// Summary of the other processes, as of the last check.
+    others_summary: RefCell<OtherProcesses>,
+    /// Whether this process listens for clients.
     pub listening: Cell<bool>,
-    warm: Micros,
+    /// How long a lifted ban is remembered: the longer of the slow starts of a cache and of a parent.
+    ban_memory: Micros,
 }
 
-/// What a call at the door came to, in words for staff.
+/// The result of an admin command, in words for operators.
 pub type CommandResult = Result<String, String>;
 
 impl ProcessGroup {
-    /// `folder`: where the files are. Without one, or where it cannot be written, bans end with the process.
+    /// Creates the group and checks the shared files in `folder` for the first time. Without a folder, or if
+    /// it can't be opened, bans end with the process.
     pub fn new(node: Rc<Node>, folder: Option<&Path>) -> Rc<ProcessGroup> {
         let rank: Rank = (now(), std::process::id());
         let opened = folder.ok_or_else(|| "TMPDIR is not set".to_owned());
-        let ledger = opened.and_then(|f| SharedFiles::open(f, &node.config.name, rank));
-        let ledger = match ledger {
+        let shared_files = opened.and_then(|f| SharedFiles::open(f, &node.config.name, rank));
+        let shared_files = match shared_files {
             Ok(l) => Some(l),
             Err(e) => {
                 log(&format!("shift: bans will not outlive this process, nor reach another: {e}"));
@@ -67,138 +81,147 @@
             }
         };
         let s = &node.config.settings;
-        let warm = s.cold_period.max(s.parent_cold_period);
+        let ban_memory = s.cold_period.max(s.parent_cold_period);
         let shift = Rc::new(ProcessGroup {
             node,
-            ledger,
-            started: rank.0,
+            shared_files,
+            started_at: rank.0,
             version: Cell::new(0),
             stamp: Cell::new(None),
-            unread: Cell::new(None),
+            unreadable_stamp: Cell::new(None),
             read_at: Cell::new(None),
-            taught: Cell::new(false),
-            pupils: RefCell::default(),
-            shown: Cell::new(None),
-            hidden: Cell::new(None),
-            view: RefCell::default(),
+            learned_settled: Cell::new(false),
+            informed: RefCell::default(),
+            published: Cell::new(None),
+            unpublished: Cell::new(None),
+            others_summary: RefCell::default(),
             listening: Cell::new(false),
-            warm,
+            ban_memory,
         });
         shift.refresh();
         shift
     }
 
-    /// Looks at the files for as long as the program runs.
+    /// Checks the shared files for as long as the program runs.
     pub async fn watch_files(self: Rc<Self>) {
         loop {
             self.refresh();
-            sleep_until(now() + LOOK).await;
+            sleep_until(now() + CHECK_INTERVAL).await;
         }
     }
 
+    /// Checks the shared files: applies changed bans, publishes this process's status, exchanges learned
+    /// state, shares the limits with the other processes, and hands over once this process ends and another
+    /// is ready.
     pub fn refresh(&self) {
-        let Some(ledger) = &self.ledger else { return self.taught.set(true) };
-        self.read(ledger);
-        self.show();
-        let others = ledger.other_processes();
-        self.teach(ledger, &others);
-        self.learn(ledger, &others);
-        let view = shift::summarize(&others);
-        let before = self.view.replace(view);
-        if before.count != view.count {
-            log(&format!("shift: {} other processes of this proxy live", view.count));
-            self.node.set_process_count(1 + view.count);
+        let Some(shared_files) = &self.shared_files else { return self.learned_settled.set(true) };
+        self.apply_changed_bans(shared_files);
+        self.publish_status();
+        let others = shared_files.other_processes();
+        self.hand_on_learned(shared_files, &others);
+        self.adopt_learned(shared_files, &others);
+        let others_summary = shift::summarize(&others);
+        let before = self.others_summary.replace(others_summary);
+        if before.count != others_summary.count {
+            log(&format!("shift: {} other processes of this proxy live", others_summary.count));
+            self.node.set_process_count(1 + others_summary.count);
         }
-        if view.other_ready && !before.other_ready {
+        if others_summary.other_ready && !before.other_ready {
             log("shift: another process is ready to take over");
         }
-        if view.other_ready && self.node.stopping.get().is_some() {
+        if others_summary.other_ready && self.node.stopping.get().is_some() {
             self.node.hand_over();
         }
     }
 
-    /// Hands what was learned to each process that starts, once. Two may be seen in one look, in any order.
-    fn teach(&self, ledger: &SharedFiles, others: &[ProcessStatus]) {
-        let mut pupils = self.pupils.borrow_mut();
-        pupils.retain(|p| others.iter().any(|o| o.rank == *p));
-        for pupil in others.iter().filter(|o| o.phase == Phase::Starting && self.listening.get()) {
-            if pupils.contains(&pupil.rank) {
+    /// Hands the learned state to each process that starts, once. Two may be found in one check, in any
+    /// order.
+    fn hand_on_learned(&self, shared_files: &SharedFiles, others: &[ProcessStatus]) {
+        let mut informed = self.informed.borrow_mut();
+        informed.retain(|p| others.iter().any(|o| o.rank == *p));
+        for starting in others.iter().filter(|o| o.phase == Phase::Starting && self.listening.get()) {
+            if informed.contains(&starting.rank) {
                 continue;
             }
-            pupils.push(pupil.rank);
+            informed.push(starting.rank);
             let learned = self.node.plan(|p, _| p.learned());
-            match ledger
-                .send_learned(pupil.rank, &ledger::format_learned(&self.node.config.names.classes, &learned))
-            {
+            match shared_files.send_learned(
+                starting.rank,
+                &ledger::format_learned(&self.node.config.names.classes, &learned),
+            ) {
                 Ok(()) => log("shift: what was learned is handed to a process that starts"),
                 Err(e) => log(&format!("shift: what was learned is not handed on: {e}")),
             }
         }
     }
 
-    /// Takes over what an older process has learned; without one, or after a while, goes on without.
-    fn learn(&self, ledger: &SharedFiles, others: &[ProcessStatus]) {
-        if self.taught.get() {
+    /// Adopts the learned state of an older process. Without such a process, or after a timeout, goes on
+    /// without.
+    fn adopt_learned(&self, shared_files: &SharedFiles, others: &[ProcessStatus]) {
+        if self.learned_settled.get() {
             return;
         }
-        let elder = others.iter().any(|o| o.phase == Phase::Ready);
-        match ledger.take_learned(&self.node.config.names.classes) {
+        let older = others.iter().any(|o| o.phase == Phase::Ready);
+        match shared_files.take_learned(&self.node.config.names.classes) {
             Ok(Some(learned)) => {
                 self.node.plan(|p, now| p.restore_learned(now, &learned));
                 log("shift: took over what another process has learned");
-                self.taught.set(true);
+                self.learned_settled.set(true);
             }
-            Ok(None) if elder && now() < self.started + LESSON => {}
-            Ok(None) => self.taught.set(true),
+            Ok(None) if older && now() < self.started_at + PREDECESSOR_TIMEOUT => {}
+            Ok(None) => self.learned_settled.set(true),
             Err(e) => {
                 log(&format!("shift: what another process has learned is not used: {e}"));
-                self.taught.set(true);
+                self.learned_settled.set(true);
             }
         }
     }
 
-    /// Shows the others what this process has come to.
-    fn show(&self) {
-        let phase = match self.judged() {
+    /// Publishes this process's phase and version of the bans to the other processes.
+    fn publish_status(&self) {
+        let phase = match self.readiness() {
             _ if self.node.stopping.get().is_some() => Phase::Ending,
             Ok(()) => Phase::Ready,
             Err(_) => Phase::Starting,
         };
         let now = Some((phase, self.version.get()));
-        let Some(ledger) = self.ledger.as_ref().filter(|_| self.shown.get() != now) else { return };
-        match ledger.publish(phase, self.version.get()) {
+        let Some(shared_files) = self.shared_files.as_ref().filter(|_| self.published.get() != now) else {
+            return;
+        };
+        match shared_files.publish(phase, self.version.get()) {
             Ok(()) => {
-                self.shown.set(now);
-                self.hidden.set(None);
+                self.published.set(now);
+                self.unpublished.set(None);
             }
-            // Shown at the next look, or one after it.
-            Err(why) if self.hidden.replace(now) != now => {
+            // Tried again at the next check.
+            Err(why) if self.unpublished.replace(now) != now => {
                 log(&format!("shift: other processes do not see what this one has come to: {why}"));
             }
             Err(_) => {}
         }
     }
 
-    /// Takes over the calls where the file has changed.
-    fn read(&self, ledger: &SharedFiles) {
-        let stamp = ledger.bans_file_stamp();
+    /// Applies the bans of the file if it has changed.
+    fn apply_changed_bans(&self, shared_files: &SharedFiles) {
+        let stamp = shared_files.bans_file_stamp();
         if self.stamp.get() == stamp {
             return self.read_at.set(Some(now()));
         }
-        let calls = ledger.load_bans();
-        if let Err(BansFileError::Unreadable(why)) = &calls {
-            // Still to be read: a ban that another process has agreed to may stand there.
-            if self.unread.replace(stamp) != stamp {
+        let loaded = shared_files.load_bans();
+        if let Err(BansFileError::Unreadable(why)) = &loaded {
+            // The stamp stays as it is, so that the file is read again: it may hold a ban that another
+            // process has confirmed.
+            if self.unreadable_stamp.replace(stamp) != stamp {
                 log(&format!("bans: the file of bans cannot be read yet: {why}"));
             }
             return;
         }
         self.stamp.set(stamp);
-        match calls {
-            Ok((version, calls)) if version != self.version.get() => {
+        match loaded {
+            Ok((version, ban_states)) if version != self.version.get() => {
                 self.version.set(version);
                 let within = self.read_at.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
-                self.apply(calls, within);
+                self.apply(ban_states, within);
                 log(&format!(
                     "bans: {} servers are out (version {version})",
                     self.node.bans.borrow().banned_count()
@@ -211,100 +234,112 @@
         }
     }
 
-    /// Puts calls in force that were made no longer ago than `within`.
-    fn apply(&self, calls: BanStates, within: Micros) {
-        let changed = self.node.bans.borrow_mut().adopt(calls);
+    /// Puts bans in force that changed no longer ago than `within`.
+    fn apply(&self, ban_states: BanStates, within: Micros) {
+        let changed = self.node.bans.borrow_mut().adopt(ban_states);
         bulletin::apply_bans(&self.node, changed, within);
     }
 
-    /// Whether this process is ready to serve. The others are shown it first: who is told yes may start a successor, or
-    /// end the one before, at once.
+    /// Returns whether this process is ready to serve. Publishes its status to the other processes first: a
+    /// caller that gets a yes may start a successor, or end the previous process, at once.
     ///
     /// # Errors
-    /// What is missing, in words for staff.
+    /// What is missing, in words for operators.
     pub fn ready(&self) -> Result<(), &'static str> {
-        self.show();
-        self.judged()
+        self.publish_status();
+        self.readiness()
     }
 
-    fn judged(&self) -> Result<(), &'static str> {
-        shift::ready(self.facts(self.listening.get()))
+    /// Returns whether this process is ready to serve, and what is missing if it isn't.
+    fn readiness(&self) -> Result<(), &'static str> {
+        shift::ready(self.readiness_facts(self.listening.get()))
     }
 
-    /// The listening socket of the process that this one is to replace, if that hands it over: of the newest that is
-    /// ready, else of one that listens though it ends or is not ready.
+    /// Requests the listening socket of a process that this one is to replace: of the newest that is ready
+    /// first, then of those that listen although they end or aren't ready. Returns `None` if none hands its
+    /// socket over in time.
     pub async fn request_listener(&self) -> Option<Async<TcpListener>> {
-        let (ledger, until) = (self.ledger.as_ref()?, now() + LESSON);
-        let mut elders = ledger.other_processes();
-        elders.sort_by_key(|o| (o.phase != Phase::Ready, std::cmp::Reverse(o.rank)));
-        for elder in elders {
-            let path = ledger.socket_path(elder.rank);
-            let given = handover::request_listener(&path, self.node.config.listen, until).await;
-            if given.is_some() {
-                return given;
+        let (shared_files, until) = (self.shared_files.as_ref()?, now() + PREDECESSOR_TIMEOUT);
+        let mut older_processes = shared_files.other_processes();
+        older_processes.sort_by_key(|o| (o.phase != Phase::Ready, std::cmp::Reverse(o.rank)));
+        for older in older_processes {
+            let path = shared_files.socket_path(older.rank);
+            let received = handover::request_listener(&path, self.node.config.listen, until).await;
+            if received.is_some() {
+                return received;
             }
         }
         None
     }
 
-    /// Listens: offers the socket to a process that comes later.
+    /// Records that this process listens with `listener`, offers that socket to processes that start later,
+    /// and publishes the new status.
     pub fn start_listening(&self, listener: &Rc<Async<TcpListener>>) {
-        let path = self.ledger.as_ref().map(|l| l.socket_path(l.rank()));
+        let path = self.shared_files.as_ref().map(|l| l.socket_path(l.rank()));
         if let Some(at) = path.and_then(|p| handover::bind_socket(&p)) {
             self.node.spawn("handover", handover::serve_requests(at, Rc::downgrade(listener)));
         }
         self.listening.set(true);
-        self.show();
+        self.publish_status();
     }
 
-    /// Whether it could be ready if it listened: before that it takes no clients from the process beside it. One that was
-    /// told to end begins no listening.
+    /// Returns whether this process would be ready if it listened: before that it takes no clients from
+    /// another process. If no other process is in the way it may listen early, unless it was told to end.
     pub fn may_listen(&self) -> bool {
-        let alone = self.ledger.as_ref().is_none_or(|l| self.view.borrow().may_listen_early(l.rank()));
-        let facts = self.facts(true);
-        !facts.ending && alone || shift::ready(facts).is_ok()
+        let alone = self
+            .shared_files
+            .as_ref()
+            .is_none_or(|l| self.others_summary.borrow().may_listen_early(l.rank()));
+        let readiness_facts = self.readiness_facts(true);
+        !readiness_facts.ending && alone || shift::ready(readiness_facts).is_ok()
     }
 
-    fn facts(&self, listening: bool) -> ReadinessFacts {
+    /// Collects the facts that readiness is decided from, as if `listening` were so.
+    fn readiness_facts(&self, listening: bool) -> ReadinessFacts {
         ReadinessFacts {
             ending: self.node.stopping.get().is_some(),
             list_received: self.node.plan(|p, _| p.ready()),
-            // The first look, before anything else, puts the bans in force.
-            state_adopted: self.taught.get(),
-            discovery_known: self.node.discovery_heard.get() || now() >= self.started + FOLLOW,
+            // The bans are in force already: the first check applies them before anything else.
+            state_adopted: self.learned_settled.get(),
+            discovery_known: self.node.discovery_heard.get() || now() >= self.started_at + DISCOVERY_TIMEOUT,
             listening,
         }
     }
 
-    /// Takes a server out, or calls it back, for every process of this proxy, and waits for them.
+    /// Bans a cache server (`out`) or lifts its ban, for every process of this proxy. Waits until the other
+    /// processes have applied it, for a limited time.
+    ///
+    /// # Errors
+    /// Why the ban wasn't changed, in words for operators.
     pub async fn set_ban(&self, out: bool, id: &str) -> CommandResult {
-        let until = now() + AGREE;
-        let version = self.change(out, id, until).await?;
-        // The other processes look at the file by themselves; the yes is theirs as well.
-        while self.ledger.is_some() && now() < until {
+        let until = now() + AGREEMENT_TIMEOUT;
+        let version = self.change_ban(out, id, until).await?;
+        // The other processes check the file by themselves; the answer speaks for them as well.
+        while self.shared_files.is_some() && now() < until {
             self.refresh();
-            if self.view.borrow().min_bans_version.is_none_or(|b| b >= version) {
+            if self.others_summary.borrow().min_bans_version.is_none_or(|b| b >= version) {
                 break;
             }
-            sleep_until(now() + LOOK / 5).await;
+            sleep_until(now() + CHECK_INTERVAL / 5).await;
         }
         Ok(if out { "out" } else { "in use" }.to_owned())
     }
 
-    async fn change(&self, out: bool, id: &str, until: Micros) -> Result<u64, String> {
+    /// Changes a ban, stores it and puts it in force here. Returns the version of the bans.
+    async fn change_ban(&self, out: bool, id: &str, until: Micros) -> Result<u64, String> {
         let mut lock = None;
-        if let Some(ledger) = &self.ledger {
-            let cannot = |why| format!("cannot be kept: {why}");
-            lock = ledger.lock_bans().map_err(cannot)?;
+        if let Some(shared_files) = &self.shared_files {
+            let store_error = |why| format!("cannot be kept: {why}");
+            lock = shared_files.lock_bans().map_err(store_error)?;
             while lock.is_none() {
                 if now() >= until {
                     return Err("another call is under way".into());
                 }
                 sleep_until(now() + 10_000).await;
-                lock = ledger.lock_bans().map_err(cannot)?;
+                lock = shared_files.lock_bans().map_err(store_error)?;
             }
-            // What another process changed stays.
-            self.read(ledger);
+            // Changes by another process must not be lost.
+            self.apply_changed_bans(shared_files);
         }
         let (at, mut next) = (unix_now(), self.node.bans.borrow().clone());
         let changed = if out { next.disable(id, at) } else { next.enable(id, at) };
@@ -313,20 +348,21 @@
             BanError::Full => "too many servers are out".to_owned(),
         })?;
         if !changed {
-            // The call before may have failed after the file had its name.
-            let synced = self.ledger.as_ref().map_or(Ok(()), SharedFiles::sync_folder);
+            // The command before may have failed after the file was renamed into place, but before the folder
+            // was synced.
+            let synced = self.shared_files.as_ref().map_or(Ok(()), SharedFiles::sync_folder);
             return synced.map(|()| self.version.get()).map_err(|e| format!("cannot be kept: {e}"));
         }
-        next.forget_old_lifted(at, self.warm);
+        next.forget_old_lifted(at, self.ban_memory);
         let version = self.version.get() + 1;
-        if let Some(ledger) = &self.ledger {
-            // Not kept is not agreed: it would be undone by the next version, without a word.
-            ledger.store_bans(version, next.states()).map_err(|e| format!("cannot be kept: {e}"))?;
-            self.stamp.set(ledger.bans_file_stamp());
+        if let Some(shared_files) = &self.shared_files {
+            // A ban that can't be stored is refused: the next version would undo it without notice.
+            shared_files.store_bans(version, next.states()).map_err(|e| format!("cannot be kept: {e}"))?;
+            self.stamp.set(shared_files.bans_file_stamp());
         }
         self.version.set(version);
         self.apply(next.states().clone(), 0);
-        self.show();
+        self.publish_status();
         drop(lock);
         self.node.count(if out { Counter::BansSet } else { Counter::BansLifted });
         log(&format!("bans: {id} is {}, by call (version {version})", if out { "out" } else { "back" }));
