--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -1,6 +1,9 @@
-//! Hands the clients' listening socket from one process of a proxy to the next, over a Unix socket in `$TMPDIR`: with one
-//! queue for both, no connection falls between the two when the old one stops. It owns that socket's path and form. It
-//! must never take a socket at another address than its own, nor hold up a start when nobody answers.
+//! Hands the listening socket of the clients from one process of a proxy to the next, over a Unix socket in
+//! `$TMPDIR`. Both processes then accept from one queue, so that no connection is lost when the old one
+//! stops.
+//!
+//! A socket that listens at another address than this process's own is not taken, and a start waits only for
+//! a limited time if no process answers.
 use crate::net::{log, now, sleep_until};
 use async_io::Async;
 use futures_lite::FutureExt;
@@ -18,55 +21,60 @@
 use std::rc::Weak;
 use threadward_core::Micros;
 
-/// The one byte that goes with the socket: the version of this form.
-const FORM: u8 = 1;
+/// The one byte that is sent along with the socket: the version of this format.
+const FORMAT_VERSION: u8 = 1;
 
-/// The path by way of its folder's descriptor: a Unix socket's path may be 107 bytes, and a folder's is often longer.
-fn short(path: &Path) -> Result<(File, PathBuf)> {
+/// Opens the folder of a path and returns it with a short path through its descriptor: a Unix socket's path
+/// may be at most 107 bytes, and a folder's path is often longer.
+fn short_path(path: &Path) -> Result<(File, PathBuf)> {
     let folder = File::open(path.parent().unwrap_or(Path::new(".")))?;
     let name = path.file_name().unwrap_or_default();
-    let short = Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(name);
-    Ok((folder, short))
+    let short_path = Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(name);
+    Ok((folder, short_path))
 }
 
-/// Gives the socket to one that asked.
+/// Sends the listening socket to a process that requested it.
 ///
 /// # Errors
-/// Why it cannot be given.
+/// Why it can't be sent.
 pub fn send_listener(stream: &UnixStream, listener: &TcpListener) -> rustix::io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut with = SendAncillaryBuffer::new(&mut space);
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
     let fds = [listener.as_fd()];
-    with.push(SendAncillaryMessage::ScmRights(&fds));
-    rustix::io::retry_on_intr(|| sendmsg(stream, &[IoSlice::new(&[FORM])], &mut with, SendFlags::NOSIGNAL))
+    ancillary.push(SendAncillaryMessage::ScmRights(&fds));
+    rustix::io::retry_on_intr(|| {
+        sendmsg(stream, &[IoSlice::new(&[FORMAT_VERSION])], &mut ancillary, SendFlags::NOSIGNAL)
+    })
 }
 
-fn take(stream: &UnixStream) -> Result<Option<OwnedFd>> {
+/// Receives a socket. Returns `None` if none was sent, or in another version of the format.
+fn receive_listener(stream: &UnixStream) -> Result<Option<OwnedFd>> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let (mut with, mut byte) = (RecvAncillaryBuffer::new(&mut space), [0]);
+    let (mut ancillary, mut byte) = (RecvAncillaryBuffer::new(&mut space), [0]);
     let got = rustix::io::retry_on_intr(|| {
-        recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut with, RecvFlags::CMSG_CLOEXEC)
+        recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)
     })?;
-    let mut fds = with.drain().filter_map(|m| match m {
+    let mut fds = ancillary.drain().filter_map(|m| match m {
         RecvAncillaryMessage::ScmRights(fds) => Some(fds),
         _ => None,
     });
-    Ok(fds.next().and_then(|mut f| f.next()).filter(|_| got.bytes == 1 && byte == [FORM]))
+    Ok(fds.next().and_then(|mut f| f.next()).filter(|_| got.bytes == 1 && byte == [FORMAT_VERSION]))
 }
 
-/// Opens the path at which this process is asked. It is there before the process shows that it listens: one that sees
-/// that and asks at once would else find nobody, and listen at a queue of its own.
+/// Binds the Unix socket at which this process is asked for its listening socket. This must happen before the
+/// process publishes that it listens: a process that sees that and asks at once would otherwise find no one,
+/// and listen with a queue of its own.
 pub fn bind_socket(path: &Path) -> Option<Async<UnixListener>> {
     let _ = std::fs::remove_file(path);
-    let bound = short(path).and_then(|(_folder, at)| Async::new(UnixListener::bind(at)?));
+    let bound = short_path(path).and_then(|(_folder, at)| Async::new(UnixListener::bind(at)?));
     bound.map_err(|e| log(&format!("handover: not offered: {e}"))).ok()
 }
 
-/// Hands the socket to every process that asks, for as long as this one listens.
+/// Sends the listening socket to every process that asks, for as long as this one listens.
 pub async fn serve_requests(at: Async<UnixListener>, listener: Weak<Async<TcpListener>>) {
     loop {
         match at.accept().await {
-            // A caller that is gone again is no harm; the byte always fits a new socket's buffer.
+            // It does no harm if the caller has gone; the byte always fits into a new socket's buffer.
             Ok((stream, _)) => match listener.upgrade() {
                 Some(l) => drop(send_listener(stream.get_ref(), l.get_ref())),
                 None => return,
@@ -76,20 +84,25 @@
     }
 }
 
-/// Asks an older process for its socket; nothing where there is none by then, or it is another's.
-pub async fn request_listener(path: &Path, own: SocketAddr, until: Micros) -> Option<Async<TcpListener>> {
-    let asked = async {
-        let (_folder, at) = short(path).ok()?;
+/// Requests the listening socket of another process. Returns `None` if none has arrived by `until`, or if it
+/// listens at another address than `own_addr`.
+pub async fn request_listener(
+    path: &Path,
+    own_addr: SocketAddr,
+    until: Micros,
+) -> Option<Async<TcpListener>> {
+    let requested = async {
+        let (_folder, at) = short_path(path).ok()?;
         let stream = Async::<UnixStream>::connect(at).await.ok()?;
-        let fd = stream.read_with(take).await.ok()??;
+        let fd = stream.read_with(receive_listener).await.ok()??;
         let listener = TcpListener::from(fd);
         listener.set_nonblocking(true).ok()?;
-        let same = listener.local_addr().ok()? == own;
+        let same = listener.local_addr().ok()? == own_addr;
         Async::new(listener).ok().filter(|_| same)
     };
-    let late = async {
+    let timeout = async {
         sleep_until(until).await;
         None
     };
-    asked.or(late).await
+    requested.or(timeout).await
 }
--- a/node/src/ledger.rs
+++ b/node/src/ledger.rs
@@ -1,6 +1,8 @@
-//! The files that the processes of one proxy share in `$TMPDIR`: the staff's calls, and a file for each process that
-//! lives. It owns their form, their locks and their names. It must never judge what it reads, nor take a damaged,
-//! foreign or newer file for a good one: what cannot be trusted is left out and said so.
+//! The files that the processes of one proxy share in `$TMPDIR`: the bans set by operators, and a status file
+//! for each live process. This module defines their format, locks and names.
+//!
+//! A file that is damaged, foreign or of a newer version is rejected with an error and never used. What a
+//! file says is not interpreted here.
 use crate::clock::file_age;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
@@ -12,26 +14,28 @@
 use threadward_core::shift::{Phase, ProcessStatus, Rank};
 use threadward_core::{Learned, UnixTime};
 
-/// Longest line of the file of calls, and longest file: what is larger is not ours.
-const LINE: usize = 200;
-const FILE: u64 = (MAX_SERVERS * LINE) as u64;
-/// Entries of the folder that are looked at: it is ours, but nobody empties it.
-const ENTRIES: usize = 1_000;
+/// Maximum length of a line in the file of bans, in bytes.
+const MAX_LINE_BYTES: usize = 200;
+/// Maximum length of a shared file, in bytes: a larger one wasn't written by this program.
+const MAX_FILE_BYTES: u64 = (MAX_SERVERS * MAX_LINE_BYTES) as u64;
+/// Maximum number of folder entries that are read: the folder belongs to the proxy, but nobody empties it.
+const MAX_FOLDER_ENTRIES: usize = 1_000;
 
-fn sum(text: &str) -> String {
+/// Returns the SHA-256 of a text in hexadecimal.
+fn checksum(text: &str) -> String {
     Sha256::digest(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// A text as it stands in a file: its kind and version first, a check sum last.
+/// Returns a text in the form in which it is stored: with its kind and version first and a checksum last.
 fn seal(kind: &str, body: &str) -> String {
     let text = format!("threadward-{kind} 1\n{body}");
-    format!("{text}sum {}\n", sum(&text))
+    format!("{text}sum {}\n", checksum(&text))
 }
 
-/// What a sealed text holds.
+/// Returns the body of a stored text, after checking its kind, version and checksum.
 ///
 /// # Errors
-/// Why it cannot be trusted.
+/// Why it can't be used.
 fn unseal<'a>(kind: &str, text: &'a str) -> Result<&'a str, String> {
     let (first, _) = text.split_once('\n').unwrap_or((text, ""));
     let version = first.strip_prefix("threadward-").and_then(|f| f.strip_prefix(kind)?.strip_prefix(' '));
@@ -41,16 +45,16 @@
         Some(_) => return Err("of another version of the program".into()),
     }
     let at = text.strip_suffix('\n').and_then(|t| t.rfind('\n')).ok_or("cut short")? + 1;
-    if text[at..].trim_end().strip_prefix("sum ") != Some(&sum(&text[..at])) {
+    if text[at..].trim_end().strip_prefix("sum ") != Some(&checksum(&text[..at])) {
         return Err("cut short or damaged".into());
     }
     text.get(first.len() + 1..at).ok_or_else(|| "cut short".into())
 }
 
-/// The calls as they stand in the file, with their version: it counts up with each change.
-pub fn format_bans(version: u64, calls: &BanStates) -> String {
+/// Returns the content of the file of bans. `version` is increased by each change.
+pub fn format_bans(version: u64, ban_states: &BanStates) -> String {
     let mut text = format!("version {version}\n");
-    for (id, c) in calls {
+    for (id, c) in ban_states {
         text += &match c {
             BanState::Banned(at) => format!("out {id} {}\n", at.micros()),
             BanState::Lifted { banned_at: out, lifted_at: at } => {
@@ -61,37 +65,37 @@
     seal("bans", &text)
 }
 
-/// Reads the file of calls.
+/// Parses the content of the file of bans.
 ///
 /// # Errors
-/// Why it cannot be trusted.
+/// Why it can't be used.
 pub fn parse_bans(text: &str) -> Result<(u64, BanStates), String> {
     let mut lines = unseal("bans", text)?.lines();
     let version = lines.next().and_then(|l| l.strip_prefix("version ")?.parse().ok()).ok_or("no version")?;
-    let mut calls = BanStates::new();
+    let mut ban_states = BanStates::new();
     for line in lines {
         let words: Vec<&str> = line.split(' ').collect();
-        let time =
-            |t: &str| t.parse().map(UnixTime::from_micros).map_err(|_| format!("a time that is none: {t}"));
-        let (id, call) = match words[..] {
+        let time = |t: &str| t.parse().map(UnixTime::from_micros).map_err(|_| format!("not a time: {t}"));
+        let (id, state) = match words[..] {
             ["out", id, at] => (id, BanState::Banned(time(at)?)),
             ["back", id, out, at] => (id, BanState::Lifted { banned_at: time(out)?, lifted_at: time(at)? }),
-            _ => return Err("a line that is no call".into()),
+            _ => return Err("not a line about a ban".into()),
         };
-        calls.insert(id.to_owned(), call);
+        ban_states.insert(id.to_owned(), state);
     }
-    (calls.len() <= MAX_SERVERS).then_some((version, calls)).ok_or_else(|| "too many calls".into())
+    (ban_states.len() <= MAX_SERVERS).then_some((version, ban_states)).ok_or_else(|| "too many bans".into())
 }
 
-/// What one process hands to the next: the figures, and the classes that they are about, by name.
+/// Returns the text by which one process hands its learned state to the next, with the names of the classes
+/// that it is about.
 pub fn format_learned(classes: &[String], learned: &Learned) -> String {
     seal("learned", &format!("{}\n", serde_json::json!({ "classes": classes, "learned": learned })))
 }
 
-/// Reads what another process has learned.
+/// Parses the learned state of another process, which must have the same classes.
 ///
 /// # Errors
-/// Why it cannot be trusted.
+/// Why it can't be used.
 pub fn parse_learned(classes: &[String], text: &str) -> Result<Learned, String> {
     #[derive(serde::Deserialize)]
     struct File {
@@ -102,11 +106,11 @@
     (file.classes == classes).then_some(file.learned).ok_or_else(|| "of other classes".into())
 }
 
-/// A process as its file shows it.
-fn sign(name: &str, text: &str) -> Option<ProcessStatus> {
+/// Parses the status file of another process, from the end of its name and its text.
+fn parse_status(name: &str, text: &str) -> Option<ProcessStatus> {
     let (started, number) = name.split_once('-')?;
     let rank: Rank = (u64::from_str_radix(started, 16).ok()?, number.parse().ok()?);
-    // One that is only just there, or writing, is a process that starts.
+    // An empty or half-written file belongs to a process that is starting.
     let (phase, bans) = text.trim_end().split_once(' ').unwrap_or_default();
     let phase = match phase {
         "ready" => Phase::Ready,
@@ -116,102 +120,106 @@
     Some(ProcessStatus { rank, phase, bans_version: bans.trim().parse().unwrap_or(0) })
 }
 
-/// Why the calls are not there.
+/// Why the file of bans can't be used.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BansFileError {
-    /// The file could not be read this time, for want of descriptors, say.
+    /// The file couldn't be read this time, for example because descriptors ran out.
     Unreadable(String),
-    /// What it holds cannot be trusted, however often it is read.
+    /// Its content is invalid, however often it is read.
     Invalid(String),
 }
 
-/// The files of one proxy, by its name.
+/// The shared files of one proxy, as one of its processes uses them. Their names begin with the proxy's name.
 pub struct SharedFiles {
     folder: PathBuf,
     name: String,
-    /// The file by which the others see this process; nothing while it cannot be made.
+    /// This process's status file, which it keeps locked; `None` while it can't be created.
     own: RefCell<Option<File>>,
     rank: Rank,
-    /// Who lived when the folder could last be read.
-    lived: RefCell<Vec<ProcessStatus>>,
+    /// The other processes that were live when the folder could last be read.
+    last_live: RefCell<Vec<ProcessStatus>>,
 }
 
 impl SharedFiles {
-    /// Opens the folder and shows this process in it. Where nothing can be written for now, what is kept there is read all
-    /// the same, and each [`SharedFiles::show`] tries to show this process again.
+    /// Opens the folder and creates this process's status file in it. If nothing can be written for now, the
+    /// files there can still be read, and each [`SharedFiles::publish`] tries to create the status file again.
     ///
     /// # Errors
-    /// Where there is no such folder.
+    /// If there is no such folder.
     pub fn open(folder: &Path, name: &str, rank: Rank) -> Result<SharedFiles, String> {
-        let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let name = format!("threadward-{}", name.chars().map(plain).collect::<String>());
+        let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+        let name = format!("threadward-{}", name.chars().map(sanitize).collect::<String>());
         if !folder.is_dir() {
             return Err(format!("{}: no such folder", folder.display()));
         }
         remove_unnamed(folder, &format!("{name}.new-"));
-        let (own, lived) = (RefCell::default(), RefCell::default());
-        let ledger = SharedFiles { folder: folder.to_owned(), name, own, rank, lived };
-        // Tried again by `show`.
-        if let Err(why) = ledger.appear() {
+        let (own, last_live) = (RefCell::default(), RefCell::default());
+        let ledger = SharedFiles { folder: folder.to_owned(), name, own, rank, last_live };
+        // Tried again by `publish`.
+        if let Err(why) = ledger.create_status_file() {
             crate::net::log(&format!("shift: other processes cannot see this one yet: {why}"));
         }
         Ok(ledger)
     }
 
-    /// Makes the file by which the others see this process.
-    fn appear(&self) -> Result<(), String> {
-        let aside = self.path("new", self.rank);
-        let why = |e: std::io::Error| format!("{}: {e}", aside.display());
-        let open = OpenOptions::new().write(true).create(true).truncate(true).open(&aside);
-        let own = open.map_err(why)?;
-        // Locked before it has its name: one that is seen without a lock is of a process that ended.
-        own.try_lock().map_err(|e| format!("{}: {e}", aside.display()))?;
-        std::fs::rename(&aside, self.path("run", self.rank)).map_err(why)?;
+    /// Creates this process's status file and locks it.
+    fn create_status_file(&self) -> Result<(), String> {
+        let temporary = self.path("new", self.rank);
+        let with_path = |e: std::io::Error| format!("{}: {e}", temporary.display());
+        let open = OpenOptions::new().write(true).create(true).truncate(true).open(&temporary);
+        let own = open.map_err(with_path)?;
+        // Locked before it gets its name: a status file found unlocked belongs to a process that has ended.
+        own.try_lock().map_err(|e| format!("{}: {e}", temporary.display()))?;
+        std::fs::rename(&temporary, self.path("run", self.rank)).map_err(with_path)?;
         self.own.replace(Some(own));
         Ok(())
     }
 
-    /// The file of this kind that belongs to one process.
+    /// Returns the path of the file of this kind that belongs to one process.
     fn path(&self, kind: &str, of: Rank) -> PathBuf {
         self.folder.join(format!("{}.{kind}-{:016x}-{}", self.name, of.0, of.1))
     }
 
+    /// Returns the rank of this process.
     pub fn rank(&self) -> Rank {
         self.rank
     }
 
-    /// Shows the own phase, and the version of the bans that is in force here.
+    /// Writes this process's phase, and the version of the bans in force here, to its status file.
     ///
     /// # Errors
-    /// What cannot be written: the others see what was shown before, or nothing.
+    /// What couldn't be written. The other processes then see the previous status, or none.
     pub fn publish(&self, phase: Phase, bans: u64) -> Result<(), String> {
         let word = match phase {
             Phase::Starting => "starting",
             Phase::Ready => "ready",
             Phase::Ending => "leaving",
         };
-        // Of one length, so that nothing of an earlier text is left.
+        // Always of the same length, so that nothing of an earlier text remains.
         let text = format!("{word:<8} {bans:>20}\n");
         if self.own.borrow().is_none() {
-            self.appear()?;
+            self.create_status_file()?;
         }
         let own = self.own.borrow();
         let written = own.as_ref().map_or(Ok(()), |file| file.write_all_at(text.as_bytes(), 0));
         written.map_err(|e| format!("{}: {e}", self.path("run", self.rank).display()))
     }
 
-    /// The other processes of this proxy that live. What the ended ones left is removed. While the folder cannot be read
-    /// they are those that lived before: one that cannot be looked at has not ended.
+    /// Returns the other live processes of this proxy, and removes the files of those that have ended. While
+    /// the folder can't be read, returns those that were live before: a process that can't be checked hasn't
+    /// ended.
     pub fn other_processes(&self) -> Vec<ProcessStatus> {
-        if let Ok(found) = self.alive() {
-            self.lived.replace(found);
+        if let Ok(found) = self.read_status_files() {
+            self.last_live.replace(found);
         }
-        self.lived.borrow().clone()
+        self.last_live.borrow().clone()
     }
 
-    fn alive(&self) -> std::io::Result<Vec<ProcessStatus>> {
+    /// Reads the status files of the other processes. A file that isn't locked belongs to a process that has
+    /// ended: its files are removed.
+    fn read_status_files(&self) -> std::io::Result<Vec<ProcessStatus>> {
         let (prefix, own) = (format!("{}.run-", self.name), self.path("run", self.rank));
-        let names = std::fs::read_dir(&self.folder)?.take(ENTRIES);
+        let names = std::fs::read_dir(&self.folder)?.take(MAX_FOLDER_ENTRIES);
         let names = names.filter_map(|e| e.ok()?.file_name().into_string().ok());
         let mut found = Vec::new();
         for file in names.filter(|n| n.starts_with(&prefix)) {
@@ -221,21 +229,22 @@
             }
             let mut f = match File::open(&path) {
                 Ok(f) => f,
-                // Removed meanwhile by another one that looked.
+                // Removed meanwhile by another process.
                 Err(e) if e.kind() == std::io::ErrorKind::NotFound => continue,
                 Err(e) => return Err(e),
             };
             match f.try_lock_shared() {
                 Err(TryLockError::WouldBlock) => {
                     let mut text = String::new();
-                    // One that cannot be read counts as a process that starts.
+                    // A process whose file can't be read counts as starting.
                     let _ = (&mut f).take(64).read_to_string(&mut text);
-                    found.extend(sign(&file[prefix.len()..], &text));
+                    found.extend(parse_status(&file[prefix.len()..], &text));
                 }
                 Ok(()) => {
-                    // The file that the others are found by goes last: whoever removes them may be ended in between.
+                    // The status file, by which the others are found, is removed last: the process that
+                    // removes them may be killed in between.
                     for of in [".learned-", ".sock-", ".aside-", ".run-"] {
-                        // What stays is removed by the next one that looks.
+                        // A file that stays is removed at a later check.
                         let _ = std::fs::remove_file(self.folder.join(file.replacen(".run-", of, 1)));
                     }
                 }
@@ -245,90 +254,93 @@
         Ok(found)
     }
 
-    fn calls_path(&self) -> PathBuf {
+    fn bans_path(&self) -> PathBuf {
         self.folder.join(format!("{}.bans", self.name))
     }
 
-    /// What tells one state of the file of calls from another; nothing: there is none.
+    /// Returns what tells one state of the file of bans from another: inode, time of change (seconds and
+    /// nanoseconds) and size. `None` if there is no file.
     pub fn bans_file_stamp(&self) -> Option<(u64, i64, i64, u64)> {
-        let m = std::fs::metadata(self.calls_path()).ok()?;
+        let m = std::fs::metadata(self.bans_path()).ok()?;
         Some((m.ino(), m.mtime(), m.mtime_nsec(), m.size()))
     }
 
-    /// The calls that are kept, with their version; none where nothing was ever kept.
+    /// Returns the version of the stored bans and the bans; version 0 and none if nothing was ever stored.
     ///
     /// # Errors
-    /// Why they cannot be had, or not be trusted.
+    /// Why they can't be read or are invalid.
     pub fn load_bans(&self) -> Result<(u64, BanStates), BansFileError> {
-        let text = bounded(&self.calls_path())?;
+        let text = read_bounded(&self.bans_path())?;
         Ok(text.map(|t| parse_bans(&t)).transpose().map_err(BansFileError::Invalid)?.unwrap_or_default())
     }
 
-    /// Where a process hands its listening socket over.
+    /// Returns the path of the Unix socket at which a process hands over its listening socket.
     pub fn socket_path(&self, rank: Rank) -> PathBuf {
         self.path("sock", rank)
     }
 
-    /// Hands what was learned to a process that starts.
+    /// Writes the learned state for a process that starts.
     ///
     /// # Errors
     /// What cannot be written.
-    pub fn send_learned(&self, pupil: Rank, text: &str) -> Result<(), String> {
-        // Not synced: what was learned is lost without harm.
-        self.replace(&self.path("learned", pupil), text, |_| Ok(()))
+    pub fn send_learned(&self, recipient: Rank, text: &str) -> Result<(), String> {
+        // Not synced: losing the learned state does no harm.
+        self.replace(&self.path("learned", recipient), text, |_| Ok(()))
     }
 
-    /// What another process has handed to this one, once.
+    /// Reads and removes the learned state that another process has written for this one.
     ///
     /// # Errors
-    /// Why it cannot be trusted.
+    /// Why it can't be used.
     pub fn take_learned(&self, classes: &[String]) -> Result<Option<Learned>, String> {
         let path = self.path("learned", self.rank);
-        let text =
-            bounded(&path).map_err(|(BansFileError::Unreadable(why) | BansFileError::Invalid(why))| why)?;
+        let text = read_bounded(&path)
+            .map_err(|(BansFileError::Unreadable(why) | BansFileError::Invalid(why))| why)?;
         if text.is_some() {
-            // One that stays is removed with this process's other files.
+            // If it stays, it is removed with this process's other files.
             let _ = std::fs::remove_file(&path);
         }
         text.map(|t| parse_learned(classes, &t)).transpose()
     }
 
-    /// Written aside and renamed, so that no reader sees half of it; `sync`: what has to be done before it has its name.
+    /// Replaces a file by writing a temporary one and renaming it, so that no reader sees half of it. `sync`
+    /// is called before the rename.
     fn replace(
         &self,
         path: &Path,
         text: &str,
         sync: impl FnOnce(&File) -> std::io::Result<()>,
     ) -> Result<(), String> {
-        let aside = self.path("aside", self.rank);
-        let done = File::create(&aside)
+        let temporary = self.path("aside", self.rank);
+        let done = File::create(&temporary)
             .and_then(|mut f| f.write_all(text.as_bytes()).and_then(|()| sync(&f)))
-            .and_then(|()| std::fs::rename(&aside, path));
-        done.map_err(|e| format!("{}: {e}", aside.display()))
+            .and_then(|()| std::fs::rename(&temporary, path));
+        done.map_err(|e| format!("{}: {e}", temporary.display()))
     }
 
-    /// Keeps the calls, so that neither a kill nor a loss of power undoes them.
+    /// Stores the bans durably: neither a kill nor a power loss undoes them.
     ///
     /// # Errors
-    /// What cannot be written or synced. The calls may have taken effect all the same.
-    pub fn store_bans(&self, version: u64, calls: &BanStates) -> Result<(), String> {
-        self.replace(&self.calls_path(), &format_bans(version, calls), File::sync_all)?;
+    /// What couldn't be written or synced. The bans may have been stored all the same.
+    pub fn store_bans(&self, version: u64, ban_states: &BanStates) -> Result<(), String> {
+        self.replace(&self.bans_path(), &format_bans(version, ban_states), File::sync_all)?;
         self.sync_folder()
     }
 
-    /// Makes the names of files durable.
+    /// Syncs the folder, which makes the names of its files durable.
     ///
     /// # Errors
-    /// Why they cannot be.
+    /// Why it can't be synced.
     pub fn sync_folder(&self) -> Result<(), String> {
         let synced = File::open(&self.folder).and_then(|folder| folder.sync_all());
         synced.map_err(|e| format!("{}: {e}", self.folder.display()))
     }
 
-    /// The right to change the calls, until dropped; nothing while another process has it.
+    /// Locks the bans for a change, until the returned file is dropped. Returns `None` while another process
+    /// holds the lock.
     ///
     /// # Errors
-    /// Why it cannot be had at all.
+    /// Why the lock can't be taken at all.
     pub fn lock_bans(&self) -> Result<Option<File>, String> {
         let path = self.folder.join(format!("{}.lock", self.name));
         let open = OpenOptions::new().write(true).create(true).truncate(false).open(&path);
@@ -341,22 +353,24 @@
     }
 }
 
-/// Removes what processes left that ended before they had a name. One that starts just now has it within moments.
+/// Removes status files that were left without their final name, by processes that ended too early. A process
+/// that is starting renames its file within moments.
 fn remove_unnamed(folder: &Path, prefix: &str) {
-    const OLD: std::time::Duration = std::time::Duration::from_secs(60);
-    for e in std::fs::read_dir(folder).into_iter().flatten().take(ENTRIES).flatten() {
+    const MIN_AGE: std::time::Duration = std::time::Duration::from_secs(60);
+    for e in std::fs::read_dir(folder).into_iter().flatten().take(MAX_FOLDER_ENTRIES).flatten() {
         let age = e.metadata().and_then(|m| m.modified()).ok().and_then(file_age);
-        // A step of the wall clock makes any file look old, but one of a process that lives is locked.
+        // A step of the wall clock makes any file look old, but the file of a live process is locked.
         let ended = || File::open(e.path()).is_ok_and(|f| f.try_lock_shared().is_ok());
-        if e.file_name().to_string_lossy().starts_with(prefix) && age.is_some_and(|a| a > OLD) && ended() {
-            // The next start removes what stays.
+        if e.file_name().to_string_lossy().starts_with(prefix) && age.is_some_and(|a| a > MIN_AGE) && ended()
+        {
+            // A file that stays is removed by the next start.
             let _ = std::fs::remove_file(e.path());
         }
     }
 }
 
-/// A file's text; nothing where there is no such file.
-fn bounded(path: &Path) -> Result<Option<String>, BansFileError> {
+/// Returns the text of a file of limited size; `None` if there is no such file.
+fn read_bounded(path: &Path) -> Result<Option<String>, BansFileError> {
     let unread = |e: std::io::Error| BansFileError::Unreadable(e.to_string());
     let file = match File::open(path) {
         Ok(f) => f,
@@ -364,8 +378,8 @@
         Err(e) => return Err(unread(e)),
     };
     let mut bytes = Vec::new();
-    file.take(FILE + 1).read_to_end(&mut bytes).map_err(unread)?;
-    if bytes.len() as u64 > FILE {
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(unread)?;
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(BansFileError::Invalid("too long".into()));
     }
     String::from_utf8(bytes).map(Some).map_err(|_| BansFileError::Invalid("not a text".into()))
