--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,5 +1,7 @@
-//! The door for operators: one line a connection, one answer. It owns its few places and the form of a call. It must
-//! never judge a call, hold up a client's work, or let callers that say nothing keep others out.
+//! The admin socket for operators: each connection sends one command in a line and gets one answer.
+//!
+//! The number of callers is limited, and a caller that sends nothing can't keep others out. The commands are
+//! carried out by [`crate::shift`].
 use crate::net::{log, now, read_some, sleep_until, OutgoingAnswer, Signal};
 use crate::node::Node;
 use crate::shift::ProcessGroup;
@@ -11,16 +13,18 @@
 use std::rc::Rc;
 use threadward_core::{Counter, Micros};
 
-/// Callers at a time. Beyond that the one that has waited longest with its call unfinished goes.
+/// Maximum number of callers at a time. Beyond that, the one that has been connected longest without a
+/// complete line is disconnected.
 pub const MAX_CALLERS: usize = 12;
-/// A line is no longer than this: the longest id and a word.
-const LINE: usize = 256;
-/// A caller that has not finished its line by then, or not taken its answer, is closed.
-const PATIENCE: Micros = 10_000_000;
-/// How long the rest of what a caller sent is thrown away: a close before that could take the answer with it.
-const LINGER: Micros = 500_000;
+/// Maximum length of a line in bytes: the longest id and a word fit.
+const MAX_LINE_BYTES: usize = 256;
+/// A caller that hasn't completed its line, or hasn't read its answer, after so long is disconnected.
+const CALLER_TIMEOUT: Micros = 10_000_000;
+/// How long further bytes from a caller are read and discarded after its answer: closing with unread bytes
+/// could destroy the answer on its way.
+const LINGER_TIMEOUT: Micros = 500_000;
 
-/// A call, as its line words it.
+/// A command, as its line states it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AdminCommand<'a> {
     Ready,
@@ -28,10 +32,10 @@
     Enable(&'a str),
 }
 
-/// Reads a line without its end.
+/// Parses a line, which is given without its end.
 ///
 /// # Errors
-/// What is wrong with it, in words for staff.
+/// What is wrong with it, in words for operators.
 pub fn parse_command(line: &[u8]) -> Result<AdminCommand<'_>, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "not text")?;
     let words: Vec<&str> = text.split_ascii_whitespace().collect();
@@ -48,26 +52,26 @@
     }
 }
 
-/// A caller whose line is not finished.
+/// A connected caller.
 #[derive(Default)]
-struct Waiting {
-    finished: Cell<bool>,
+struct Caller {
+    line_complete: Cell<bool>,
     gone: Cell<bool>,
-    go: Signal,
+    evict: Signal,
 }
 
-/// Gives the place back, also after a panic.
-struct Left(Rc<Waiting>);
+/// Frees the caller's slot when dropped, also after a panic.
+struct SlotGuard(Rc<Caller>);
 
-impl Drop for Left {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.0.gone.set(true);
     }
 }
 
-/// Answers calls for as long as the program runs.
+/// Answers commands for as long as the program runs.
 pub async fn serve(node: Rc<Node>, shift: Rc<ProcessGroup>, listener: Rc<Async<TcpListener>>) {
-    let callers: Rc<RefCell<VecDeque<Rc<Waiting>>>> = Rc::default();
+    let callers: Rc<RefCell<VecDeque<Rc<Caller>>>> = Rc::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => {
@@ -83,73 +87,74 @@
         let mut all = callers.borrow_mut();
         all.retain(|w| !w.gone.get());
         if all.len() >= MAX_CALLERS {
-            // One whose call is whole is answered within moments, so one that says nothing makes way.
-            match all.iter().position(|w| !w.finished.get()).and_then(|at| all.remove(at)) {
-                Some(w) => w.go.notify(),
+            // A caller with a complete line is answered within moments, so one without is disconnected.
+            match all.iter().position(|w| !w.line_complete.get()).and_then(|at| all.remove(at)) {
+                Some(w) => w.evict.notify(),
                 None if all.len() < MAX_CALLERS * 2 => {}
                 None => continue,
             }
         }
-        let own = Rc::new(Waiting::default());
+        let own = Rc::new(Caller::default());
         all.push_back(own.clone());
         drop(all);
         let (n, s) = (node.clone(), shift.clone());
         node.spawn("door", async move {
-            let until = now() + PATIENCE;
-            let late = async {
+            let until = now() + CALLER_TIMEOUT;
+            let timeout = async {
                 sleep_until(until).await;
             };
-            let told = own.clone();
-            let _left = Left(own.clone());
-            serve_one(&n, &s, &own, &stream).or(async move { told.go.wait().await }).or(late).await;
+            let evicted = own.clone();
+            let _guard = SlotGuard(own.clone());
+            serve_one(&n, &s, &own, &stream).or(async move { evicted.evict.wait().await }).or(timeout).await;
         });
     }
 }
 
-async fn serve_one(node: &Rc<Node>, shift: &Rc<ProcessGroup>, own: &Waiting, stream: &Async<TcpStream>) {
+/// Reads a caller's line, carries out its command and writes the answer.
+async fn serve_one(node: &Rc<Node>, shift: &Rc<ProcessGroup>, own: &Caller, stream: &Async<TcpStream>) {
     let mut buf = Vec::new();
     let line = loop {
         let end = buf.iter().position(|b| *b == b'\n');
         match end {
             Some(n) => break Some(&buf[..n]),
-            None if buf.len() > LINE => break None,
+            None if buf.len() > MAX_LINE_BYTES => break None,
             None => {}
         }
-        if read_some(stream, &mut buf, LINE).await == 0 {
-            // The end of the stream ends a line as well; without one there was no call.
+        if read_some(stream, &mut buf, MAX_LINE_BYTES).await == 0 {
+            // The end of the stream also ends a line; without any bytes there was no command.
             if buf.is_empty() {
                 return;
             }
             break Some(&buf[..]);
         }
     };
-    own.finished.set(true);
+    own.line_complete.set(true);
     node.count(Counter::AdminCommands);
-    let asked = match line {
-        Some(line) if line.len() <= LINE => parse_command(line),
+    let command = match line {
+        Some(line) if line.len() <= MAX_LINE_BYTES => parse_command(line),
         _ => Err("a line too long"),
     };
-    let answer = match asked {
+    let answer = match command {
         Ok(AdminCommand::Ready) => shift.ready().map(|()| "ready".to_owned()).map_err(str::to_owned),
         Ok(AdminCommand::Disable(id)) => shift.set_ban(true, id).await,
         Ok(AdminCommand::Enable(id)) => shift.set_ban(false, id).await,
         Err(why) => Err(why.to_owned()),
     };
     let text = match &answer {
-        Ok(said) => format!("done {said}\n"),
+        Ok(done) => format!("done {done}\n"),
         Err(why) => {
             node.count(Counter::AdminRefused);
             format!("error {why}\n")
         }
     };
-    // Its place is free from here on.
+    // The caller's slot is free from here on.
     own.gone.set(true);
-    let until = now() + LINGER;
+    let until = now() + LINGER_TIMEOUT;
     if OutgoingAnswer::from(text.into_bytes()).write(stream).await {
         stream.get_ref().shutdown(Shutdown::Write).ok();
         let rest = async {
             let mut rest = Vec::new();
-            while read_some(stream, &mut rest, LINE).await > 0 {
+            while read_some(stream, &mut rest, MAX_LINE_BYTES).await > 0 {
                 rest.clear();
             }
         };
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The steering proxy on sockets. See the README for how the parts fit.
+//! The sockets and tasks of the steering proxy. See the README for how the parts fit together.
 #![forbid(unsafe_code)]
 
 pub mod admin;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: reads its configuration, opens its sockets, starts the tasks, reads the configuration anew on
-//! SIGHUP and ends on SIGTERM once all that was taken is answered. It must never hold anything that a task owns.
+//! The program: reads its configuration, opens its sockets and starts the tasks. It reads the configuration
+//! again on SIGHUP, and ends on SIGTERM once all requests that it has taken are answered.
 use async_executor::LocalExecutor;
 use async_io::Async;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
@@ -19,16 +19,18 @@
 use threadward_core::Counter;
 
 fn main() -> ExitCode {
-    let named = |e: String| format!("threadward: {e}");
-    let done = match cli::parse(std::env::args_os()) {
-        Ok(Invocation::Run(file)) => start(file).map_err(|e| named(format!("cannot start: {e}"))),
-        Ok(Invocation::CreateKey(path)) => gossip::make_key(&path).and_then(|key| say(&key)).map_err(named),
-        Ok(Invocation::Print(text)) => say(text.trim_end()).map_err(named),
-        // The line begins with the file and its line, as editors look for it.
+    let with_program_name = |e: String| format!("threadward: {e}");
+    let result = match cli::parse(std::env::args_os()) {
+        Ok(Invocation::Run(file)) => start(file).map_err(|e| with_program_name(format!("cannot start: {e}"))),
+        Ok(Invocation::CreateKey(path)) => {
+            gossip::make_key(&path).and_then(|key| print_line(&key)).map_err(with_program_name)
+        }
+        Ok(Invocation::Print(text)) => print_line(text.trim_end()).map_err(with_program_name),
+        // The message begins with the file and the line in it, where editors look for them.
         Ok(Invocation::Check { file, name, json }) => check(&file, &name, json),
-        Err(e) => Err(named(e)),
+        Err(e) => Err(with_program_name(e)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(line) => {
             net::log(&line);
@@ -37,24 +39,27 @@
     }
 }
 
+/// Runs the proxy until SIGTERM, with the operators' file if one is given.
 fn start(file: Option<PathBuf>) -> Result<(), String> {
-    // Before anything slow: a signal without a handler would end the program. What comes early waits in the pipe.
-    let (term, usr, hup) = (signals(SIGTERM)?, signals(SIGUSR1)?, signals(SIGHUP)?);
+    // First, before anything slow: a signal without a handler would end the program. An early signal waits in
+    // the pipe.
+    let (stop_signals, counter_signals, reload_signals) =
+        (register_signal(SIGTERM)?, register_signal(SIGUSR1)?, register_signal(SIGHUP)?);
     let path = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set".to_owned())?;
     let config = read(&path)?;
     let fronts = match &file {
         Some(file) => operators::read(file, &config.name)?,
         None => operators::OperatorConfig::default(),
     };
-    let door = config.admin_addr.map_or_else(door_of_environment, |at| Ok(Some(at)))?;
-    // With a door a second process may start beside this one, at the same addresses.
+    let door = config.admin_addr.map_or_else(admin_addr_from_env, |at| Ok(Some(at)))?;
+    // With an admin socket a second process may start beside this one, at the same addresses.
     let reserved =
         net::bind_address(config.listen, door.is_some()).map_err(|e| format!("{}: {e}", config.listen))?;
     let door = match door {
         Some(at) => Some(Async::<TcpListener>::bind(at).map_err(|e| format!("door: {at}: {e}"))?),
         None => None,
     };
-    // Gossip takes the socket over where it is on.
+    // Where gossip is on it uses this address instead.
     let udp = match config.peer_listen.filter(|_| fronts.gossip.is_none()) {
         Some(at) => Some(net::bind_datagram_socket(at, door.is_some()).map_err(|e| format!("{at}: {e}"))?),
         None => None,
@@ -62,7 +67,7 @@
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let node = Node::new(config, executor);
     if fronts.zones.is_some() {
-        // Before the first list, so that every member is known by its zone.
+        // Before the first member list, so that every member is assigned to its zone.
         node.plan(|p, _| p.enable_zones(node.config.names.zones.len()));
     }
     for b in node.config.known_events.clone() {
@@ -87,20 +92,21 @@
             let at = reserved.listen().map_err(|e| format!("{}: {e}", node.config.listen))?;
             listen(&node, at, shift.as_ref());
         }
-        // Another process serves here: it goes on alone until this one could.
+        // Another process serves here: it goes on alone until this one could take over.
         Some(s) => {
             let n = node.clone();
             node.spawn("front", async move {
                 while !s.may_listen() {
                     sleep_until(now() + 5_000).await;
                 }
-                // One queue for both processes, so that nothing is lost when the old one stops; else one of its own.
-                let given = s.request_listener().await;
-                // Told to end while it asked: the queue stays with the process that has it.
+                // One accept queue for both processes, so that nothing is lost when the old one stops. If the
+                // old process doesn't hand it over, this one listens with its own.
+                let received = s.request_listener().await;
+                // Told to end meanwhile: the queue stays with the process that has it.
                 if n.stopping.get().is_some() {
                     return;
                 }
-                match given.map_or_else(|| reserved.listen(), Ok) {
+                match received.map_or_else(|| reserved.listen(), Ok) {
                     Ok(at) => listen(&n, at, Some(&s)),
                     Err(e) => net::log(&format!("front: {e}")),
                 }
@@ -125,15 +131,15 @@
         let (n, socket) = (node.clone(), Rc::new(socket));
         node.spawn_restarting("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
     }
-    let talk = match fronts.gossip {
+    let gossip_tasks = match fronts.gossip {
         Some(s) => Some(gossip::Talk::new(node.clone(), s)?),
         None => None,
     };
-    if let Some(talk) = &talk {
+    if let Some(gossip_tasks) = &gossip_tasks {
         net::log("start: gossip between proxies is on");
-        let t = talk.clone();
+        let t = gossip_tasks.clone();
         node.spawn_restarting("gossip in", move || gossip::receive(t.clone()));
-        let t = talk.clone();
+        let t = gossip_tasks.clone();
         node.spawn_restarting("gossip", move || gossip::attend(t.clone()));
     }
     let client = fronts.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
@@ -144,24 +150,24 @@
         let c = client.clone();
         node.spawn_restarting("budgets", move || budgets::attend(c.clone()));
     }
-    let mut fleet = None;
+    let mut zone_tasks = None;
     if let Some((z, client)) = fronts.zones.zip(client.as_ref()) {
         let f = zones::Fleet::new(node.clone(), client.clone(), z)?;
         net::log("start: zones are left and taken back by all proxies together");
-        fleet = Some(f.clone());
+        zone_tasks = Some(f.clone());
         node.spawn_restarting("zones", move || zones::attend(f.clone()));
     }
     let n = node.clone();
     node.spawn("counters", async move {
         loop {
-            next_signal(&usr).await;
+            next_signal(&counter_signals).await;
             net::log(&format!("counters: {}", n.counters_line()));
         }
     });
-    let (n, t) = (node.clone(), talk.clone());
+    let (n, t) = (node.clone(), gossip_tasks.clone());
     node.spawn("reload", async move {
         loop {
-            next_signal(&hup).await;
+            next_signal(&reload_signals).await;
             n.count(Counter::Reloads);
             net::log(&match read(&path) {
                 Ok(new) => format!("reload: {}", n.reload(&new)),
@@ -170,7 +176,7 @@
             let Some((t, file)) = t.as_ref().zip(file.as_ref()) else { continue };
             net::log(&match operators::read(file, &n.config.name) {
                 Ok(operators::OperatorConfig { gossip: Some(s), zones, .. }) => {
-                    fleet.iter().zip(zones).for_each(|(f, z)| f.reload(z));
+                    zone_tasks.iter().zip(zones).for_each(|(f, z)| f.reload(z));
                     format!("reload: {}", t.reload(s))
                 }
                 Ok(_) => "reload: kept gossip: only a restart turns it off".to_owned(),
@@ -179,10 +185,10 @@
         }
     });
     async_io::block_on(executor.run(async {
-        next_signal(&term).await;
+        next_signal(&stop_signals).await;
         node.stopping.set(Some(now()));
         shift.iter().for_each(|s| s.refresh());
-        talk.iter().for_each(gossip::Talk::leave);
+        gossip_tasks.iter().for_each(gossip::Talk::leave);
         client.iter().for_each(|c| c.leave());
         net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open_requests())));
         node.wait_until_drained().await;
@@ -192,7 +198,7 @@
     Ok(())
 }
 
-/// Listens for clients from here on.
+/// Starts serving clients from this listening socket.
 fn listen(node: &Rc<Node>, at: Async<TcpListener>, shift: Option<&Rc<ProcessGroup>>) {
     let listener = Rc::new(at);
     shift.iter().for_each(|s| s.start_listening(&listener));
@@ -200,19 +206,21 @@
     node.spawn_restarting("front", move || front::serve(n.clone(), listener.clone()));
 }
 
-/// Where the door is by the environment; the configuration's word goes first.
-fn door_of_environment() -> Result<Option<SocketAddr>, String> {
+/// Returns the address of the admin socket from the environment. The configuration takes precedence.
+fn admin_addr_from_env() -> Result<Option<SocketAddr>, String> {
     match std::env::var("LB_ADMIN_ADDR") {
         Ok(at) => at.parse().map(Some).map_err(|_| "LB_ADMIN_ADDR is no address".to_owned()),
         Err(_) => Ok(None),
     }
 }
 
-fn say(text: &str) -> Result<(), String> {
+/// Prints a line to standard output.
+fn print_line(text: &str) -> Result<(), String> {
     writeln!(std::io::stdout(), "{text}").map_err(|e| e.to_string())
 }
 
-/// Reads the operators' file and says what it turns on; a bad one is the error of a start.
+/// Reads the operators' file and prints what it turns on. An invalid file gives the same error as a start
+/// with it.
 fn check(file: &Path, name: &str, json: bool) -> Result<(), String> {
     let read = operators::read(file, name);
     if json {
@@ -220,36 +228,38 @@
             Ok(f) => serde_json::json!({ "ok": true, "parts": f.enabled_parts() }),
             Err(e) => serde_json::json!({ "ok": false, "error": e }),
         };
-        say(&text.to_string())?;
+        print_line(&text.to_string())?;
     }
     let fronts = read?;
     if !json {
         let on = fronts.enabled_parts().join(", ");
         let on = if on.is_empty() { "nothing" } else { &on };
-        say(&format!("{}: right for {name}, turns on: {on}", file.display()))?;
+        print_line(&format!("{}: right for {name}, turns on: {on}", file.display()))?;
     }
     Ok(())
 }
 
+/// Reads the platform's configuration file.
 fn read(path: &str) -> Result<config::Config, String> {
     let json = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
     config::parse(&json).map_err(|e| format!("{path}: {e}"))
 }
 
-/// Registers a signal; each one sends a byte, which also wakes the executor.
-fn signals(signal: i32) -> Result<Async<UnixStream>, String> {
+/// Registers a handler that writes a byte to the returned stream for each signal, which also wakes the
+/// executor.
+fn register_signal(signal: i32) -> Result<Async<UnixStream>, String> {
     let (a, b) = UnixStream::pair().map_err(|e| e.to_string())?;
     signal_hook::low_level::pipe::register(signal, b).map_err(|e| e.to_string())?;
     Async::new(a).map_err(|e| e.to_string())
 }
 
-/// Waits for a signal; some that came together count as one. A read that fails is no signal.
+/// Waits for a signal; several that arrived together count as one. A failed read doesn't count as a signal.
 async fn next_signal(pipe: &Async<UnixStream>) {
     loop {
         match calls::uninterrupted(|| pipe.get_ref().read(&mut [0u8; 64])) {
             Ok(1..) => return,
             Err(e) if e.kind() == ErrorKind::WouldBlock => calls::readable(pipe).await,
-            // The handler holds the other end for as long as the program runs.
+            // The handler holds the other end for as long as the program runs, so the stream doesn't end.
             Ok(0) | Err(_) => {
                 calls::count_retry();
                 sleep_until(now() + calls::BACKOFF).await;
--- a/node/src/start_times.rs
+++ b/node/src/start_times.rs
@@ -1,62 +1,68 @@
-//! When cache servers started, on the monotonic clock. A list names starts in Unix time, and this machine's wall clock may
-//! be wrong, so the moment at which a start was heard bounds how long ago it was. A start keeps its point for as long as
-//! the server is listed: slow start is neither skipped nor begun anew when the same start is told again.
+//! Tracks when cache servers started, on the monotonic clock. A member list gives starts in Unix time, and
+//! this machine's wall clock may be wrong, so the time at which a start was reported bounds how long ago it
+//! was. A start keeps its time for as long as the server is listed: slow start is neither skipped nor begun
+//! again when the same start is reported again.
 use std::collections::HashMap;
 use threadward_core::bans::ListedServer;
 use threadward_core::{Lifecycle, ListForm, Micros, UnixTime};
 
-/// A wall clock is taken to be wrong by no more than this: what lies further back is long ago.
+/// The wall clock is assumed to be wrong by at most this: a start further back was long ago.
 const MAX_WALL_ERROR: Micros = 2 * 3_600 * 1_000_000;
 
-/// Where the newest start that is known lies further back than this, the wall clock may be ahead: it is not believed, and
-/// the ages of starts are counted from the newest one.
-const MAX_QUIET: Micros = 300 * 1_000_000;
+/// If the newest known start is at least this old by the wall clock, the clock may be ahead: the ages of
+/// starts are then counted from the newest start instead.
+const MAX_START_AGE: Micros = 300 * 1_000_000;
 
-/// A start of a server as it was told: by the list, and by a call back.
-type Told = (UnixTime, Option<UnixTime>);
+/// The start of a server as reported: by the member list, and by the lifting of its ban.
+type ReportedStart = (UnixTime, Option<UnixTime>);
 
-/// The starts of all listed servers, by their ids.
+/// The starts of all listed servers, by server id.
 #[derive(Default)]
 pub struct StartTimes {
-    known: HashMap<String, (Told, Micros)>,
+    known: HashMap<String, (ReportedStart, Micros)>,
 }
 
 impl StartTimes {
-    /// Gives the servers of a list their starts. `unix` and `now`: this moment on both clocks; `heard`: how long ago
-    /// everything that was told by then had been heard; what is new started no longer ago than that.
+    /// Sets the start time and incarnation of the servers of a list. `unix` and `now` are the present time on
+    /// both clocks. `max_age` is how long ago everything reported until then had been received: a start that
+    /// is new in this list is no older than that.
     pub fn assign(
         &mut self,
         form: ListForm,
         servers: &mut [ListedServer],
         (unix, now): (UnixTime, Micros),
-        heard: Micros,
+        max_age: Micros,
     ) {
         if form != ListForm::Delta {
             let listed: std::collections::HashSet<&str> = servers.iter().map(|l| l.id.as_str()).collect();
             self.known.retain(|id, _| listed.contains(id.as_str()));
         }
         let newest = servers.iter().map(|l| l.started_at).max().unwrap_or_default();
-        let unix = if heard == Micros::MAX { believed(unix, newest) } else { unix };
+        let unix = if max_age == Micros::MAX { credible_unix_time(unix, newest) } else { unix };
         for server in servers {
             if server.entry.state == Lifecycle::Gone {
                 self.known.remove(&server.id);
                 continue;
             }
-            let told = (server.started_at, server.lifted_at);
-            let known = self.known.get(&server.id).filter(|(start, _)| *start == told);
-            let since = known.map_or_else(|| point(told, unix, now, heard), |(_, since)| *since);
-            self.known.insert(server.id.clone(), (told, since));
-            server.entry.started_at = since;
-            server.entry.incarnation = incarnation(told);
+            let reported = (server.started_at, server.lifted_at);
+            let known = self.known.get(&server.id).filter(|(start, _)| *start == reported);
+            let started_at_monotonic = known.map_or_else(
+                || start_on_monotonic(reported, unix, now, max_age),
+                |(_, started_at_monotonic)| *started_at_monotonic,
+            );
+            self.known.insert(server.id.clone(), (reported, started_at_monotonic));
+            server.entry.started_at = started_at_monotonic;
+            server.entry.incarnation = incarnation(reported);
         }
     }
 }
 
-/// The Unix time by which starts are judged that may have been told long ago. It is never before the newest of them, and a
-/// wall clock that is far ahead of it is not believed: slow start then lasts longer than it has to.
-fn believed(unix: UnixTime, newest: UnixTime) -> UnixTime {
-    let quiet = unix.micros_since(newest);
-    let ahead = (MAX_QUIET..=MAX_WALL_ERROR).contains(&quiet);
+/// Returns the Unix time from which the ages of starts are counted that may have been reported long ago. It
+/// is never before the newest of them. A wall clock that is far ahead of the newest is not trusted, and the
+/// newest start is returned instead: slow start then lasts longer than it has to.
+fn credible_unix_time(unix: UnixTime, newest: UnixTime) -> UnixTime {
+    let start_age = unix.micros_since(newest);
+    let ahead = (MAX_START_AGE..=MAX_WALL_ERROR).contains(&start_age);
     if newest.is_known() && (ahead || unix < newest) {
         newest
     } else {
@@ -64,18 +70,23 @@
     }
 }
 
-/// The later of a start and a call back; 0: long ago.
-fn point((started, called_back): Told, unix: UnixTime, now: Micros, heard: Micros) -> Micros {
+/// Returns the later of a start and the lifting of a ban, on the monotonic clock; 0 if it was long ago.
+fn start_on_monotonic(
+    (started, lifted): ReportedStart,
+    unix: UnixTime,
+    now: Micros,
+    max_age: Micros,
+) -> Micros {
     let on_monotonic = |at: UnixTime| {
         let age = unix.micros_since(at);
-        let bound = if age > MAX_WALL_ERROR { age } else { heard };
+        let bound = if age > MAX_WALL_ERROR { age } else { max_age };
         now.saturating_sub(age.min(bound)).max(1)
     };
     let started = Some(started).filter(|at| at.is_known());
-    started.into_iter().chain(called_back).map(on_monotonic).max().unwrap_or(0)
+    started.into_iter().chain(lifted).map(on_monotonic).max().unwrap_or(0)
 }
 
-/// Alike at every process that was told the same.
-fn incarnation((started, called_back): Told) -> u64 {
-    called_back.map_or(started.micros(), |at| at.micros() ^ started.micros().rotate_left(1))
+/// Returns a server's incarnation, the same at every process that got the same report.
+fn incarnation((started, lifted): ReportedStart) -> u64 {
+    lifted.map_or(started.micros(), |at| at.micros() ^ started.micros().rotate_left(1))
 }
