--- a/tests/keyed_window.rs
+++ b/tests/keyed_window.rs
@@ -156,13 +156,13 @@
     // A hedged copy has the same bound; in a class whose repeats are harmless it has none.
     for (class, bound) in [(2, T0 + 798 * MS), (1, 0)] {
         let mut b = keyed(DedupGroup::All, Effect::Dedup, 800 * MS);
-        let terms = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
+        let policy = RequestPolicy { hedge_after: 150 * MS, ..RequestPolicy::default() };
         let req = Request {
             class,
             object: 5,
             expires_at: b.now + 2 * S,
             write: class == 2,
-            policy: terms,
+            policy,
             ..Request::default()
         };
         let out = b.ask_with(req).1;
@@ -221,7 +221,7 @@
             for order in [[0, 1], [1, 0]] {
                 for deadline in 0..3 {
                     let mut b = keyed(DedupGroup::All, Effect::Dedup, 800 * MS);
-                    let terms =
+                    let policy =
                         RequestPolicy { hedge_after: 150 * MS, attempt_limit: 2, ..RequestPolicy::default() };
                     let due = b.now + 2 * S;
                     let req = Request {
@@ -229,7 +229,7 @@
                         object: 5,
                         expires_at: due,
                         write: class == 2,
-                        policy: terms,
+                        policy,
                         ..Request::default()
                     };
                     let (_, mut out) = b.ask_with(req);
