--- a/drill/src/lib.rs
+++ b/drill/src/lib.rs
@@ -6,4 +6,4 @@
 mod wire;
 
 pub use settings::parse_settings;
-pub use wire::{read_frame, Hub, WireError};
+pub use wire::{read_frame, RouterHost, WireError};
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,16 +1,16 @@
 //! Hosts one [`nickelgate::Router`] per instance behind the simulator's wire. Translates only.
-use nickelgate_drill::{read_frame, Hub};
+use nickelgate_drill::{read_frame, RouterHost};
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut hub = Hub::default();
+    let mut host = RouterHost::default();
     loop {
         let reply = match read_frame(&mut input) {
             Ok(None) => return ExitCode::SUCCESS,
-            Ok(Some(frame)) => hub.answer(&frame),
+            Ok(Some(frame)) => host.handle_frame(&frame),
             Err(e) => Err(e),
         };
         match reply {
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -260,17 +260,17 @@
 
 /// The routers of this process, one per instance. They share nothing.
 #[derive(Default)]
-pub struct Hub {
+pub struct RouterHost {
     routers: BTreeMap<u16, ProbingRouter>,
     actions: Vec<Action>,
 }
 
-impl Hub {
+impl RouterHost {
     /// Brings one batch to its routers and gives the reply frame.
     ///
     /// # Errors
     /// When the frame is malformed.
-    pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
+    pub fn handle_frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let head = Bytes(frame);
         let (count, length) = (head.u32(0)? as usize, head.u32(4)? as usize);
         let (now, number) = (head.u64(8)?, head.u32(16)?);
--- a/drill/tests/codec.rs
+++ b/drill/tests/codec.rs
@@ -1,5 +1,5 @@
 //! The frames of the wire page, and input that is malformed.
-use nickelgate_drill::{parse_settings, read_frame, Hub};
+use nickelgate_drill::{parse_settings, read_frame, RouterHost};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -32,7 +32,7 @@
     "family_info": {"mid_kind": 2, "store_kind": 3, "collapses": true}}"#;
 
 /// An instance with one cache, as the wire page's list has it but for its kind.
-fn started() -> Hub {
+fn started() -> RouterHost {
     let mut tail = SETTINGS.as_bytes().to_vec();
     let at = tail.len() as u32;
     tail.extend(hex("0000 0a124a07 931f 0000000000000000 0000 0000803f 01 00"));
@@ -41,15 +41,15 @@
     let mut list = record("02 0300 03 29000000");
     list[8..12].copy_from_slice(&at.to_le_bytes());
     list[12..16].copy_from_slice(&1u32.to_le_bytes());
-    let mut hub = Hub::default();
-    hub.answer(&frame(8_412_250, 1, &[open, list], &tail)).expect("a good frame");
-    hub
+    let mut host = RouterHost::default();
+    host.handle_frame(&frame(8_412_250, 1, &[open, list], &tail)).expect("a good frame");
+    host
 }
 
 #[test]
 fn the_empty_batch_of_the_wire_page_gets_its_reply() {
     let batch = hex("00000000 14000000 5a5c800000000000 01000000");
-    assert_eq!(Hub::default().answer(&batch).expect("good"), hex("0c000000 00000000 01000000"));
+    assert_eq!(RouterHost::default().handle_frame(&batch).expect("good"), hex("0c000000 00000000 01000000"));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let ingress = record(
         "03 0300 c4913a5df85b0800 00 0000 640ad2557c3bf091 da05840000000000 00002044 00003041 00004040 01",
     );
-    let reply = started().answer(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
+    let reply = started().handle_frame(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
     let (len, n) = (reply.len() as u32, u32::from_le_bytes(reply[4..8].try_into().expect("four")));
     assert_eq!(u32::from_le_bytes(reply[0..4].try_into().expect("four")), len);
     assert_eq!(reply.len(), 12 + 40 * n as usize);
@@ -70,26 +70,26 @@
 
 #[test]
 fn the_outcome_of_the_wire_page_ends_the_request() {
-    let mut hub = started();
+    let mut host = started();
     let ingress = record(
         "03 0300 c4913a5df85b0800 00 0000 640ad2557c3bf091 da05840000000000 00002044 00003041 00004040 01",
     );
-    hub.answer(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
+    host.handle_frame(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
     let done = record("05 0300 c4913a5df85b0800 0000 0a124a07 931f 6400 44480000 01 02000000 b8240000 00");
     let alarm = record("07 0300 01000000");
     let expired = record("06 0500 192b6f0e75350000");
-    let reply = hub.answer(&frame(8_430_750, 3, &[done, alarm, expired], &[])).expect("good");
+    let reply = host.handle_frame(&frame(8_430_750, 3, &[done, alarm, expired], &[])).expect("good");
     assert_eq!(reply, hex("0c000000 00000000 03000000"), "nothing is left to do");
 }
 
 #[test]
 fn a_purge_as_on_the_wire_page_and_a_stop_are_taken() {
-    let mut hub = started();
+    let mut host = started();
     let purge = record("0b 0300 084c0100 010ad2557c000000 0b00");
-    let reply = hub.answer(&frame(8_420_000, 2, &[purge, record("0a 0300")], &[])).expect("good");
+    let reply = host.handle_frame(&frame(8_420_000, 2, &[purge, record("0a 0300")], &[])).expect("good");
     assert_eq!(reply.len(), 12);
     let late = record("07 0300 4d000000");
-    assert_eq!(hub.answer(&frame(8_430_000, 3, &[late], &[])).expect("good").len(), 12);
+    assert_eq!(host.handle_frame(&frame(8_430_000, 3, &[late], &[])).expect("good").len(), 12);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let good = frame(1, 1, &[record("06 0500 192b6f0e75350000")], &[]);
     for cut in 1..good.len() {
         assert!(read_frame(&mut &good[..cut]).is_err(), "cut at {cut}");
-        assert!(Hub::default().answer(&good[..cut]).is_err(), "cut at {cut}");
+        assert!(RouterHost::default().handle_frame(&good[..cut]).is_err(), "cut at {cut}");
     }
     assert_eq!(read_frame(&mut &good[..0]), Ok(None), "a clean end");
     let mut short = good.clone();
@@ -105,14 +105,14 @@
     assert!(read_frame(&mut &short[..]).is_err());
     let mut many = good.clone();
     many[0..4].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(Hub::default().answer(&many).is_err());
+    assert!(RouterHost::default().handle_frame(&many).is_err());
     for bad in
         ["63", "05 0300 0000000000000000 0000 00000000 0000 ffff", "02 0300 09", "02 0300 04 00000000 ff"]
     {
-        assert!(started().answer(&frame(1, 1, &[record(bad)], &[])).is_err(), "{bad}");
+        assert!(started().handle_frame(&frame(1, 1, &[record(bad)], &[])).is_err(), "{bad}");
     }
     let far = record("02 0300 04 00000000 ffffffff ffffffff");
-    assert!(Hub::default().answer(&frame(1, 1, &[far], &[])).is_err());
+    assert!(RouterHost::default().handle_frame(&frame(1, 1, &[far], &[])).is_err());
 }
 
 #[test]
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -9,8 +9,8 @@
 mod relay;
 mod shim;
 
-pub use process::{Process, Signal, Start};
-pub use relay::{Fault, Relay, Tally};
+pub use process::{Process, ProcessBuilder, Signal};
+pub use relay::{Fault, LinkCounters, Relay};
 pub use shim::{Failure, FileFault, Shim};
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/faults/src/ports.rs
+++ b/faults/src/ports.rs
@@ -31,11 +31,11 @@
 /// Where all were given.
 ///
 /// ```
-/// let all = threadward_faults::ports::free(2).unwrap();
+/// let all = threadward_faults::ports::free_addresses(2).unwrap();
 /// assert_ne!(all[0], all[1]);
 /// std::net::TcpListener::bind(all[0]).unwrap();
 /// ```
-pub fn free(n: usize) -> io::Result<Vec<SocketAddr>> {
+pub fn free_addresses(n: usize) -> io::Result<Vec<SocketAddr>> {
     static NEXT: AtomicU16 = AtomicU16::new(FIRST);
     let mut all = Vec::new();
     while all.len() < n {
--- a/faults/src/process.rs
+++ b/faults/src/process.rs
@@ -23,7 +23,7 @@
 const STOPS: u64 = 5_000;
 
 /// How a process is to be started.
-pub struct Start {
+pub struct ProcessBuilder {
     program: PathBuf,
     args: Vec<OsString>,
     env: Vec<(OsString, Option<OsString>)>,
@@ -32,29 +32,35 @@
     disk: Option<bool>,
 }
 
-impl Start {
+impl ProcessBuilder {
     /// A program by its whole path, or by a name that is looked up.
-    pub fn new(program: impl Into<PathBuf>) -> Start {
-        Start { program: program.into(), args: Vec::new(), env: Vec::new(), folder: None, disk: None }
+    pub fn new(program: impl Into<PathBuf>) -> ProcessBuilder {
+        ProcessBuilder {
+            program: program.into(),
+            args: Vec::new(),
+            env: Vec::new(),
+            folder: None,
+            disk: None,
+        }
     }
 
-    pub fn arg(mut self, arg: impl Into<OsString>) -> Start {
+    pub fn arg(mut self, arg: impl Into<OsString>) -> ProcessBuilder {
         self.args.push(arg.into());
         self
     }
 
-    pub fn env(mut self, name: impl Into<OsString>, value: impl Into<OsString>) -> Start {
+    pub fn env(mut self, name: impl Into<OsString>, value: impl Into<OsString>) -> ProcessBuilder {
         self.env.push((name.into(), Some(value.into())));
         self
     }
 
-    pub fn without_env(mut self, name: impl Into<OsString>) -> Start {
+    pub fn without_env(mut self, name: impl Into<OsString>) -> ProcessBuilder {
         self.env.push((name.into(), None));
         self
     }
 
     /// The working folder; without it the process has one that goes with it.
-    pub fn folder(mut self, folder: impl Into<PathBuf>) -> Start {
+    pub fn folder(mut self, folder: impl Into<PathBuf>) -> ProcessBuilder {
         self.folder = Some(folder.into());
         self
     }
@@ -65,7 +71,7 @@
     /// differs from a disk that is full: the error is EFBIG (27), not ENOSPC; every file system is hit at once; bytes
     /// cannot be changed in place either; and names are free: files are made (empty), renamed and removed as usual.
     /// Pipes and sockets are not touched, so the process still says what it has to say.
-    pub fn full_disk(mut self, now: bool) -> Start {
+    pub fn full_disk(mut self, now: bool) -> ProcessBuilder {
         self.disk = Some(now);
         self
     }
@@ -162,12 +168,12 @@
 /// A running process of this test's own; it is killed when this is dropped.
 ///
 /// ```
-/// use threadward_faults::{after, Start};
-/// let p = Start::new("sh").arg("-c").arg("echo begun; read never; sleep 60").spawn().unwrap();
+/// use threadward_faults::{after, ProcessBuilder};
+/// let p = ProcessBuilder::new("sh").arg("-c").arg("echo begun; read never; sleep 60").spawn().unwrap();
 /// assert_eq!(p.wait_for_line("beg", after(5_000)).unwrap(), "begun");
-/// let p = Start::new("cat").arg("/nowhere").spawn().unwrap();
+/// let p = ProcessBuilder::new("cat").arg("/nowhere").spawn().unwrap();
 /// assert_eq!(p.wait(after(5_000)).unwrap().code(), Some(1));
-/// assert!(p.text().contains("/nowhere"));
+/// assert!(p.output().contains("/nowhere"));
 /// ```
 pub struct Process {
     child: Mutex<Child>,
@@ -190,7 +196,7 @@
 
     /// What it said and is kept, of both streams as it came. It does not wait: for a test whose stand-ins run on the
     /// same thread.
-    pub fn text(&self) -> String {
+    pub fn output(&self) -> String {
         let said = lock(&self.log.said);
         said.lines.iter().flat_map(|l| [l.as_str(), "\n"]).collect()
     }
@@ -216,11 +222,11 @@
     pub fn wait_for_line_after(&self, n: usize, what: &str, deadline: Instant) -> Result<String, String> {
         let found =
             |s: &Said| s.lines.iter().skip(n.saturating_sub(s.gone)).find(|l| l.contains(what)).cloned();
-        self.log.wait(deadline, found).ok_or_else(|| format!("never said '{what}':\n{}", self.text()))
+        self.log.wait(deadline, found).ok_or_else(|| format!("never said '{what}':\n{}", self.output()))
     }
 
     /// How it ended, if it did.
-    pub fn ended(&self) -> Option<ExitStatus> {
+    pub fn exit_status(&self) -> Option<ExitStatus> {
         lock(&self.child).try_wait().ok().flatten()
     }
 
@@ -231,10 +237,10 @@
     pub fn wait(&self, deadline: Instant) -> Result<ExitStatus, String> {
         let mut status = None;
         eventually(deadline, || {
-            status = self.ended();
+            status = self.exit_status();
             status.is_some()
         });
-        let status = status.ok_or_else(|| format!("still runs:\n{}", self.text()))?;
+        let status = status.ok_or_else(|| format!("still runs:\n{}", self.output()))?;
         self.log.wait(deadline, |s| (s.open == 0).then_some(()));
         Ok(status)
     }
@@ -257,8 +263,8 @@
         self.signal(Signal::STOP)?;
         let how = WaitIdOptions::STOPPED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
         let stopped = || matches!(waitid(WaitId::Pid(self.pid), how), Ok(Some(_)));
-        let stands = eventually(after(STOPS), || stopped() || self.ended().is_some());
-        if !stands || self.ended().is_some() {
+        let stands = eventually(after(STOPS), || stopped() || self.exit_status().is_some());
+        if !stands || self.exit_status().is_some() {
             return Err(io::Error::other("the process did not stop"));
         }
         Ok(())
@@ -290,7 +296,7 @@
         child.wait()
     }
 
-    /// From now on no file takes a byte (see `Start::full_disk`).
+    /// From now on no file takes a byte (see `ProcessBuilder::full_disk`).
     ///
     /// # Errors
     /// Where it was not started for that, or has ended.
--- a/faults/src/relay.rs
+++ b/faults/src/relay.rs
@@ -45,11 +45,11 @@
 
 /// What became of one direction's datagrams and, where it says so, connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct LinkCounters {
     /// Datagrams that wait for their time or the end of a stall now.
     pub held: u64,
     /// Datagrams handed on.
-    pub carried: u64,
+    pub delivered: u64,
     /// Datagrams and connections lost by lot.
     pub dropped: u64,
     /// Datagrams lost in a cut.
@@ -58,13 +58,13 @@
     /// because as much was held as may be (none of its bytes is lost).
     pub overflowed: u64,
     /// Datagrams of somebody who is not the party of this link: never handed on.
-    pub strange: u64,
+    pub unknown_sender: u64,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Link {
     fault: Fault,
-    tally: Tally,
+    counters: LinkCounters,
 }
 
 /// The links of all parties, by `from * parties + to`.
@@ -88,18 +88,18 @@
 /// let own: Vec<_> = parties.iter().map(|s| s.local_addr().unwrap()).collect();
 /// let relay = Relay::new(1, 2).unwrap();
 /// let at = relay.udp(&own).unwrap();
-/// relay.set(0, 1, Fault { drop: 0.5, ..Fault::default() });
+/// relay.set_fault(0, 1, Fault { drop: 0.5, ..Fault::default() });
 /// for _ in 0..20 {
 ///     parties[0].send_to(b"there", at[0][1]).unwrap();
 ///     parties[1].send_to(b"back", at[1][0]).unwrap();
 /// }
-/// assert!(eventually(after(5_000), || relay.tally(1, 0).carried == 20));
+/// assert!(eventually(after(5_000), || relay.counters(1, 0).delivered == 20));
 /// let mut buf = [0; 8];
 /// let (n, from) = parties[0].recv_from(&mut buf).unwrap();
 /// // It comes from where party 0 sends to.
 /// assert_eq!((&buf[..n], from), (&b"back"[..], at[0][1]));
-/// assert!(eventually(after(5_000), || relay.tally(0, 1).carried + relay.tally(0, 1).dropped == 20));
-/// assert!(relay.tally(0, 1).dropped > 0);
+/// assert!(eventually(after(5_000), || relay.counters(0, 1).delivered + relay.counters(0, 1).dropped == 20));
+/// assert!(relay.counters(0, 1).dropped > 0);
 /// ```
 ///
 /// A connection to a server, stalled for a while in one direction:
@@ -112,10 +112,10 @@
 /// let relay = Relay::new(1, 2).unwrap();
 /// let at = relay.tcp(0, 1, server.local_addr().unwrap()).unwrap();
 /// let mut client = TcpStream::connect(at).unwrap();
-/// relay.change(0, 1, |f| f.stall = true);
+/// relay.change_fault(0, 1, |f| f.stall = true);
 /// client.write_all(b"late").unwrap();
 /// let mut taken = server.accept().unwrap().0;
-/// relay.change(0, 1, |f| f.stall = false);
+/// relay.change_fault(0, 1, |f| f.stall = false);
 /// let mut buf = [0; 4];
 /// taken.read_exact(&mut buf).unwrap();
 /// assert_eq!(&buf, b"late");
@@ -201,18 +201,18 @@
     }
 
     /// Sets what befalls what `from` sends to `to`. What has been taken before keeps its lateness.
-    pub fn set(&self, from: usize, to: usize, fault: Fault) {
-        self.change(from, to, |f| *f = fault);
+    pub fn set_fault(&self, from: usize, to: usize, fault: Fault) {
+        self.change_fault(from, to, |f| *f = fault);
     }
 
     /// The same for a part of it.
-    pub fn change(&self, from: usize, to: usize, change: impl FnOnce(&mut Fault)) {
+    pub fn change_fault(&self, from: usize, to: usize, change: impl FnOnce(&mut Fault)) {
         change(&mut lock(&self.links)[self.place(from, to)].fault);
         self.wake();
     }
 
     /// Sets all links at once.
-    pub fn all(&self, fault: impl Fn(usize, usize) -> Fault) {
+    pub fn set_all_faults(&self, fault: impl Fn(usize, usize) -> Fault) {
         let set = |(i, l): (usize, &mut Link)| l.fault = fault(i / self.parties, i % self.parties);
         lock(&self.links).iter_mut().enumerate().for_each(set);
         self.wake();
@@ -246,8 +246,8 @@
         many.recv().unwrap_or(0)
     }
 
-    pub fn tally(&self, from: usize, to: usize) -> Tally {
-        lock(&self.links)[self.place(from, to)].tally
+    pub fn counters(&self, from: usize, to: usize) -> LinkCounters {
+        lock(&self.links)[self.place(from, to)].counters
     }
 
     fn place(&self, from: usize, to: usize) -> usize {
@@ -344,20 +344,20 @@
         for _ in 0..TURN {
             let Ok((n, from)) = self.socket.recv_from(&mut buf) else { return };
             if from != self.own {
-                l.tally.strange += 1;
+                l.counters.unknown_sender += 1;
                 continue;
             }
             let (lost, late) = self.lots.draw(&l.fault);
             if l.fault.cut {
-                l.tally.cut += 1;
+                l.counters.cut += 1;
             } else if lost {
-                l.tally.dropped += 1;
+                l.counters.dropped += 1;
             } else if self.queue.held + n + EACH > HELD {
-                l.tally.overflowed += 1;
+                l.counters.overflowed += 1;
             } else {
                 let due = if l.fault.stall { self.queue.behind(now) } else { now + late };
                 self.queue.put(due, buf[..n].to_vec());
-                l.tally.held += 1;
+                l.counters.held += 1;
             }
         }
     }
@@ -406,7 +406,7 @@
             let (_, late) = self.lots.draw(&l.fault);
             self.queue.put(self.queue.behind(now + late), buf[..n].to_vec());
             self.read = n == 0;
-            l.tally.overflowed += u64::from(self.queue.held >= HELD);
+            l.counters.overflowed += u64::from(self.queue.held >= HELD);
         }
     }
 
@@ -546,8 +546,8 @@
                 let Some(bytes) = self.doors[i].queue.take() else { break };
                 let back = &self.doors[back];
                 back.socket.send_to(&bytes, back.own).ok();
-                link.tally.held -= 1;
-                link.tally.carried += 1;
+                link.counters.held -= 1;
+                link.counters.delivered += 1;
             }
             due_at(self.doors[i].queue.due());
         }
@@ -563,8 +563,8 @@
                 });
                 let pipe = Pipe { link: l.link, target: l.target, near, far: None, stands: false, flows };
                 let many = self.pipes.len() >= OPEN;
-                link.tally.dropped += u64::from(lost);
-                link.tally.overflowed += u64::from(many && !lost);
+                link.counters.dropped += u64::from(lost);
+                link.counters.overflowed += u64::from(many && !lost);
                 if lost || many || pipe.near.set_nonblocking(true).is_err() {
                     pipe.abort();
                 } else {
--- a/faults/src/shim/mod.rs
+++ b/faults/src/shim/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! The monotonic clock is never touched. Calls that do not pass the C library are out of reach: connects, waits on
 //! sockets and datagrams of programs that use rustix.
-use crate::Start;
+use crate::ProcessBuilder;
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// Where the library cannot be built.
-    pub fn preload(&self, start: Start) -> io::Result<Start> {
+    pub fn preload(&self, start: ProcessBuilder) -> io::Result<ProcessBuilder> {
         Ok(start.env("LD_PRELOAD", library()?).env(CONTROL, self.control.path()))
     }
 
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// Where the file cannot be written.
-    pub fn fail(&self, kind: Failure, per_million: u32) -> io::Result<()> {
+    pub fn set_failure_rate(&self, kind: Failure, per_million: u32) -> io::Result<()> {
         self.put(RATES + 2 * kind as u64, i64::from(per_million))
     }
 
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// Where the file cannot be read.
-    pub fn failed(&self, kind: Failure) -> io::Result<u64> {
+    pub fn failure_count(&self, kind: Failure) -> io::Result<u64> {
         Ok(self.get(RATES + 2 * kind as u64 + 1)? as u64)
     }
 
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// Where the file cannot be read.
-    pub fn file_calls(&self) -> io::Result<u64> {
+    pub fn file_call_count(&self) -> io::Result<u64> {
         Ok(self.get(FILE_CALLS)? as u64)
     }
 
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// Where the file cannot be read.
-    pub fn syncs(&self) -> io::Result<u64> {
+    pub fn sync_count(&self) -> io::Result<u64> {
         Ok(self.get(SYNCS)? as u64)
     }
 
--- a/lab/src/scale/real/process.rs
+++ b/lab/src/scale/real/process.rs
@@ -1,7 +1,7 @@
 //! A real process of the program in a run: its start, and what it and the system say of it.
 use std::path::Path;
 use std::time::Instant;
-use threadward_faults::{after, Process, Signal, Start};
+use threadward_faults::{after, Process, ProcessBuilder, Signal};
 
 /// How long a process may take to start, or to answer a signal.
 const PATIENCE_MS: u64 = 10_000;
@@ -38,10 +38,11 @@
 impl RealProcess {
     /// Starts one, and waits until its budgets are on.
     pub fn start(program: &Path, operators: &Path, configuration: &Path) -> Result<RealProcess, String> {
-        let start = Start::new(program).arg("--fronts").arg(operators).env("LB_CONFIG", configuration);
+        let start =
+            ProcessBuilder::new(program).arg("--fronts").arg(operators).env("LB_CONFIG", configuration);
         let process = start.spawn().map_err(|error| format!("{}: {error}", program.display()))?;
         process.wait_for_line("start: budgets shared by all proxies are on", after(PATIENCE_MS))?;
-        if process.text().contains("no cache is probed here") {
+        if process.output().contains("no cache is probed here") {
             return Err("the real process takes no share: its settings allow no probes".into());
         }
         Ok(RealProcess { process })
@@ -68,7 +69,7 @@
 
     /// By the last word of its log on that.
     fn divides(&self) -> bool {
-        let text = self.process.text();
+        let text = self.process.output();
         let begins = text.rfind("budgets: this proxy divides them");
         begins > text.rfind("budgets: no longer divided here")
     }
--- a/lab/src/scale/real/run.rs
+++ b/lab/src/scale/real/run.rs
@@ -14,7 +14,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tempfile::TempDir;
 use threadward_budgets::seal::TAG_BYTES;
-use threadward_faults::{after, ports, Process, Start};
+use threadward_faults::{after, ports, Process, ProcessBuilder};
 
 /// Real processes of a run.
 const REAL_PROCESSES: u16 = 3;
@@ -162,7 +162,7 @@
         |error| format!("{}: {error}: the program has to be built first", settings.program.display());
     let program = settings.program.canonicalize().map_err(missing)?;
     let folder = TempDir::with_prefix("threadward-").map_err(|error| error.to_string())?;
-    let free = ports::free(3 + usize::from(fleet.real)).map_err(|error| error.to_string())?;
+    let free = ports::free_addresses(3 + usize::from(fleet.real)).map_err(|error| error.to_string())?;
     let port = free[0].port();
     let addresses = addresses(own_net(), port, fleet.proxies);
     let discovery = Discovery::start(free[1])?;
@@ -221,8 +221,10 @@
         };
         let path = files::job(folder.path(), &job)?;
         let command = &settings.host;
-        let start =
-            command.arguments.iter().fold(Start::new(&command.program), |start, word| start.arg(word));
+        let start = command
+            .arguments
+            .iter()
+            .fold(ProcessBuilder::new(&command.program), |start, word| start.arg(word));
         start.arg(path).spawn().map_err(|error| format!("{}: {error}", command.program.display()))
     };
     (0..settings.hosts).map(start).collect()
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -177,7 +177,7 @@
 
     /// The own place and life, and what the file says of all proxies; nothing under the control tree, in which zones take
     /// no part.
-    pub fn seat_settings(&self) -> Option<(Author, Settings)> {
+    pub fn identity_and_settings(&self) -> Option<(Author, Settings)> {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, settings } => Some((budgets.identity(), settings.clone())),
             Instance::Tree(_) => None,
@@ -185,7 +185,7 @@
     }
 
     /// What the election of the one that divides for all says now.
-    pub fn seat(&self) -> ElectionView {
+    pub fn election(&self) -> ElectionView {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
@@ -260,7 +260,7 @@
 }
 
 /// Sees to what is due.
-pub async fn attend(client: Rc<BudgetClient>) {
+pub async fn run_timers(client: Rc<BudgetClient>) {
     loop {
         client.call(|b, now, out| b.tick(now, out));
         if client.has_cold_budget {
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -30,7 +30,7 @@
     Counter::GossipForged,
 ];
 
-pub struct Talk {
+pub struct GossipClient {
     node: Rc<Node>,
     socket: Async<UdpSocket>,
     gossip: RefCell<Gossip>,
@@ -41,16 +41,16 @@
     next_probe: Cell<Micros>,
 }
 
-impl Talk {
+impl GossipClient {
     /// # Errors
     /// One line that says why it cannot start.
-    pub fn new(node: Rc<Node>, s: Settings) -> Result<Rc<Talk>, String> {
+    pub fn new(node: Rc<Node>, s: Settings) -> Result<Rc<GossipClient>, String> {
         let at = node.config.peer_listen.unwrap_or(s.listen);
         let socket = Async::<UdpSocket>::bind(at).map_err(|e| format!("{at}: {e}"))?;
         let mut entropy = [0; 32];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
         let gossip = Gossip::new(now(), s.settings, entropy)?;
-        Ok(Rc::new(Talk {
+        Ok(Rc::new(GossipClient {
             node,
             socket,
             gossip: RefCell::new(gossip),
@@ -184,7 +184,7 @@
 }
 
 /// Reads datagrams for as long as the program runs.
-pub async fn receive(talk: Rc<Talk>) {
+pub async fn receive(talk: Rc<GossipClient>) {
     let take = |bytes: &[u8], from| {
         talk.node.count(Counter::PeerMessages);
         talk.call(|g, now, out| g.receive(now, from, bytes, out));
@@ -193,7 +193,7 @@
 }
 
 /// Sees to what is due.
-pub async fn attend(talk: Rc<Talk>) {
+pub async fn run_timers(talk: Rc<GossipClient>) {
     let mut look = 0;
     loop {
         if now() >= look {
@@ -211,7 +211,7 @@
 ///
 /// # Errors
 /// One line that says why not; an existing file is never touched.
-pub fn make_key(path: &Path) -> Result<String, String> {
+pub fn create_key_file(path: &Path) -> Result<String, String> {
     use base64::engine::general_purpose::URL_SAFE_NO_PAD;
     use base64::Engine;
     let mut secret = [0; 32];
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -22,7 +22,7 @@
     let named = |e: String| format!("threadward: {e}");
     let done = match cli::parse(std::env::args_os()) {
         Ok(Asked::Run(file)) => start(file).map_err(|e| named(format!("cannot start: {e}"))),
-        Ok(Asked::Key(path)) => gossip::make_key(&path).and_then(|key| say(&key)).map_err(named),
+        Ok(Asked::Key(path)) => gossip::create_key_file(&path).and_then(|key| say(&key)).map_err(named),
         Ok(Asked::Say(text)) => say(text.trim_end()).map_err(named),
         // The line begins with the file and its line, as editors look for it.
         Ok(Asked::Check { file, name, json }) => check(&file, &name, json),
@@ -126,7 +126,7 @@
         node.keep("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
     }
     let talk = match fronts.gossip {
-        Some(s) => Some(gossip::Talk::new(node.clone(), s)?),
+        Some(s) => Some(gossip::GossipClient::new(node.clone(), s)?),
         None => None,
     };
     if let Some(talk) = &talk {
@@ -134,7 +134,7 @@
         let t = talk.clone();
         node.keep("gossip in", move || gossip::receive(t.clone()));
         let t = talk.clone();
-        node.keep("gossip", move || gossip::attend(t.clone()));
+        node.keep("gossip", move || gossip::run_timers(t.clone()));
     }
     let client = fronts.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
     if let Some(client) = &client {
@@ -142,14 +142,14 @@
         let socket = client.socket();
         node.keep("budgets in", move || control_socket::receive(socket.clone()));
         let c = client.clone();
-        node.keep("budgets", move || budgets::attend(c.clone()));
+        node.keep("budgets", move || budgets::run_timers(c.clone()));
     }
     let mut fleet = None;
     if let Some((z, client)) = fronts.zones.zip(client.as_ref()) {
-        let f = zones::Fleet::new(node.clone(), client.clone(), z)?;
+        let f = zones::ZoneClient::new(node.clone(), client.clone(), z)?;
         net::log("start: zones are left and taken back by all proxies together");
         fleet = Some(f.clone());
-        node.keep("zones", move || zones::attend(f.clone()));
+        node.keep("zones", move || zones::run_timers(f.clone()));
     }
     let n = node.clone();
     node.spawn("counters", async move {
@@ -182,7 +182,7 @@
         next_signal(&term).await;
         node.stopping.set(Some(now()));
         shift.iter().for_each(|s| s.look());
-        talk.iter().for_each(gossip::Talk::leave);
+        talk.iter().for_each(gossip::GossipClient::leave);
         client.iter().for_each(|c| c.leave());
         net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open_requests())));
         node.drained().await;
--- a/node/src/pair_keys.rs
+++ b/node/src/pair_keys.rs
@@ -25,7 +25,7 @@
     }
 
     /// The others' keys anew. The places belong to budgets, which a restart alone changes.
-    pub fn renew(&mut self, publics: Vec<Vec<[u8; 32]>>) {
+    pub fn replace_public_keys(&mut self, publics: Vec<Vec<[u8; 32]>>) {
         if publics.len() == self.publics.len() {
             (self.publics, self.derived) = (publics, BTreeMap::new());
         }
--- a/node/src/snmp.rs
+++ b/node/src/snmp.rs
@@ -15,13 +15,13 @@
 use threadward_core::Counter;
 
 /// enterprises.32473 (documentation, RFC 5612), threadward.
-pub const ROOT: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
+pub const ROOT_OID: [u32; 8] = [1, 3, 6, 1, 4, 1, 32473, 1];
 /// The longest answer: it has to fit a datagram on any link.
 const ANSWER: usize = 1400;
 
 /// Why a packet gets no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Drop {
+pub enum DropReason {
     Malformed,
     Community,
 }
@@ -30,10 +30,10 @@
 ///
 /// # Errors
 /// Why it is dropped.
-pub fn answer(view: &[(Oid, Value)], community: &str, packet: &[u8]) -> Result<Packet, Drop> {
-    let p = decode(packet).filter(|p| p.version == 1).ok_or(Drop::Malformed)?;
+pub fn answer(view: &[(Oid, Value)], community: &str, packet: &[u8]) -> Result<Packet, DropReason> {
+    let p = decode(packet).filter(|p| p.version == 1).ok_or(DropReason::Malformed)?;
     if p.community != community.as_bytes() {
-        return Err(Drop::Community);
+        return Err(DropReason::Community);
     }
     let exact = |o: &Oid| match view.iter().find(|(name, _)| name == o) {
         Some((_, v)) => (o.clone(), *v),
@@ -45,23 +45,24 @@
     };
     let next = |o: &Oid| match view.iter().find(|(name, _)| name > o) {
         Some(found) => found.clone(),
-        None => (o.clone(), Value::EndOfView),
+        None => (o.clone(), Value::EndOfMibView),
     };
     let names = p.variables.iter().map(|(o, _)| o);
-    let mut r = Packet { kind: RESPONSE, status: 0, index: 0, variables: Vec::new(), ..p.clone() };
-    match p.kind {
+    let mut r =
+        Packet { pdu_type: RESPONSE, error_status: 0, error_index: 0, variables: Vec::new(), ..p.clone() };
+    match p.pdu_type {
         GET => r.variables = names.map(exact).collect(),
         GET_NEXT => r.variables = names.map(next).collect(),
         GET_BULK => {
-            let once = usize::try_from(p.status.max(0)).unwrap_or(0).min(p.variables.len());
+            let once = usize::try_from(p.error_status.max(0)).unwrap_or(0).min(p.variables.len());
             r.variables = names.clone().take(once).map(next).collect();
             let mut rows: Vec<Oid> = names.skip(once).cloned().collect();
-            let times = p.index.clamp(0, VARIABLES as i64);
+            let times = p.error_index.clamp(0, VARIABLES as i64);
             'rows: for _ in 0..times {
                 let mut ended = true;
                 for o in &mut rows {
                     let found = next(o);
-                    ended &= found.1 == Value::EndOfView;
+                    ended &= found.1 == Value::EndOfMibView;
                     *o = found.0.clone();
                     r.variables.push(found);
                     // A bulk answer is cut to what fits.
@@ -77,12 +78,13 @@
         }
         SET => {
             // notWritable: everything here is read-only.
-            (r.status, r.index, r.variables) = (17, i64::from(!p.variables.is_empty()), p.variables);
+            (r.error_status, r.error_index, r.variables) =
+                (17, i64::from(!p.variables.is_empty()), p.variables);
         }
-        _ => return Err(Drop::Malformed),
+        _ => return Err(DropReason::Malformed),
     }
     if encode(&r).len() > ANSWER {
-        (r.status, r.index, r.variables) = (1, 0, Vec::new());
+        (r.error_status, r.error_index, r.variables) = (1, 0, Vec::new());
     }
     Ok(r)
 }
@@ -90,7 +92,7 @@
 /// All objects with their present values, in the order of their names.
 pub fn view(node: &Node) -> Vec<(Oid, Value)> {
     node.count_calls();
-    let name = |table: u32, n: usize| [&ROOT[..], &[table, n as u32 + 1, 0]].concat();
+    let name = |table: u32, n: usize| [&ROOT_OID[..], &[table, n as u32 + 1, 0]].concat();
     let mut all: Vec<(Oid, Value)> = node.plan(|p, _| {
         let all = Counter::ALL.iter().enumerate();
         all.map(|(i, c)| (name(1, i), Value::Counter64(p.counters.get(*c)))).collect()
@@ -117,12 +119,16 @@
         };
         match answer(&view(&node), &community, &buf[..n]) {
             Ok(r) => {
-                node.count(if r.status == 17 { Counter::ManagerRefused } else { Counter::ManagerAnswered });
+                node.count(if r.error_status == 17 {
+                    Counter::ManagerRefused
+                } else {
+                    Counter::ManagerAnswered
+                });
                 // A lost answer is asked for again.
                 let _ = socket.send_to(&encode(&r), from).await;
             }
-            Err(Drop::Malformed) => node.count(Counter::ManagerMalformed),
-            Err(Drop::Community) => node.count(Counter::ManagerCommunity),
+            Err(DropReason::Malformed) => node.count(Counter::ManagerMalformed),
+            Err(DropReason::Community) => node.count(Counter::ManagerCommunity),
         }
     }
 }
--- a/node/src/snmp/packet.rs
+++ b/node/src/snmp/packet.rs
@@ -19,7 +19,7 @@
     Null,
     NoSuchObject,
     NoSuchInstance,
-    EndOfView,
+    EndOfMibView,
 }
 
 pub const GET: u8 = 0xa0;
@@ -28,25 +28,25 @@
 pub const SET: u8 = 0xa3;
 pub const GET_BULK: u8 = 0xa5;
 
-/// A packet. In a GETBULK `status` and `index` are the non-repeaters and the repetitions.
+/// A packet. In a GETBULK `error_status` and `error_index` are the non-repeaters and the repetitions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Packet {
     pub version: i64,
     pub community: Vec<u8>,
-    pub kind: u8,
-    pub id: i64,
-    pub status: i64,
-    pub index: i64,
+    pub pdu_type: u8,
+    pub request_id: i64,
+    pub error_status: i64,
+    pub error_index: i64,
     pub variables: Vec<(Oid, Value)>,
 }
 
 /// The one form of all bodies. That of `rasn-snmp` drops a request whose numbers are outside 32 bits or negative; here
-/// its id comes back as it came, and a negative count is none.
+/// its request_id comes back as it came, and a negative count is none.
 #[derive(AsnType, Decode, Encode)]
 struct Body {
-    id: i64,
-    status: i64,
-    index: i64,
+    request_id: i64,
+    error_status: i64,
+    error_index: i64,
     variables: VarBindList,
 }
 
@@ -68,7 +68,7 @@
 /// Reads a packet; nothing where it is malformed or of a kind that no manager sends.
 pub fn decode(buf: &[u8]) -> Option<Packet> {
     let (message, rest): (Message<Pdu>, _) = rasn::ber::decode_with_remainder(buf).ok()?;
-    let (kind, body) = match message.data {
+    let (pdu_type, body) = match message.data {
         Pdu::Get(b) => (GET, b),
         Pdu::GetNext(b) => (GET_NEXT, b),
         Pdu::Response(b) => (RESPONSE, b),
@@ -82,10 +82,10 @@
     Some(Packet {
         version: i64::try_from(message.version).ok()?,
         community: message.community.to_vec(),
-        kind,
-        id: body.id,
-        status: body.status,
-        index: body.index,
+        pdu_type,
+        request_id: body.request_id,
+        error_status: body.error_status,
+        error_index: body.error_index,
         variables: body.variables.into_iter().map(variable).collect::<Option<_>>()?,
     })
 }
@@ -100,7 +100,7 @@
         }
         VarBindValue::NoSuchObject => Value::NoSuchObject,
         VarBindValue::NoSuchInstance => Value::NoSuchInstance,
-        VarBindValue::EndOfMibView => Value::EndOfView,
+        VarBindValue::EndOfMibView => Value::EndOfMibView,
         // Only a SET brings other values, and none is taken.
         VarBindValue::Unspecified | VarBindValue::Value(_) => Value::Null,
     }
@@ -110,8 +110,13 @@
 pub fn encode(p: &Packet) -> Vec<u8> {
     let written = || {
         let variables = p.variables.iter().map(|(name, value)| bind(name, *value)).collect::<Option<_>>()?;
-        let body = Body { id: p.id, status: p.status, index: p.index, variables };
-        let data = match p.kind {
+        let body = Body {
+            request_id: p.request_id,
+            error_status: p.error_status,
+            error_index: p.error_index,
+            variables,
+        };
+        let data = match p.pdu_type {
             GET => Pdu::Get(body),
             GET_NEXT => Pdu::GetNext(body),
             RESPONSE => Pdu::Response(body),
@@ -133,7 +138,7 @@
         Value::Null => VarBindValue::Unspecified,
         Value::NoSuchObject => VarBindValue::NoSuchObject,
         Value::NoSuchInstance => VarBindValue::NoSuchInstance,
-        Value::EndOfView => VarBindValue::EndOfMibView,
+        Value::EndOfMibView => VarBindValue::EndOfMibView,
     };
     Some(VarBind { name: rasn::types::ObjectIdentifier::new(name.clone())?, value })
 }
@@ -146,7 +151,15 @@
     fn asked(variables: usize, numbers: usize) -> Vec<u8> {
         let variables = vec![([vec![1, 3], vec![6; numbers - 2]].concat(), Value::Null); variables];
         let community = b"depot".to_vec();
-        encode(&Packet { version: 1, community, kind: GET, id: 7, status: 0, index: 0, variables })
+        encode(&Packet {
+            version: 1,
+            community,
+            pdu_type: GET,
+            request_id: 7,
+            error_status: 0,
+            error_index: 0,
+            variables,
+        })
     }
 
     /// The bounds that the reader of BER does not have, and lengths in the long form that managers send.
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -17,7 +17,7 @@
 const TRAFFIC_INTERVAL: Micros = 100_000;
 
 /// This proxy's part in the decisions on zones.
-pub struct Fleet {
+pub struct ZoneClient {
     node: Rc<Node>,
     budgets: Rc<BudgetClient>,
     socket: Rc<ControlSocket>,
@@ -43,11 +43,11 @@
     (0..names.zones.len()).map(zone).collect()
 }
 
-impl Fleet {
+impl ZoneClient {
     /// # Errors
     /// One line that says why it cannot start.
-    pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: Zoned) -> Result<Rc<Fleet>, String> {
-        let plain = budgets.seat_settings();
+    pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: Zoned) -> Result<Rc<ZoneClient>, String> {
+        let plain = budgets.identity_and_settings();
         let (me, shared) = plain.ok_or("zones: they take no part in the tree of regions and sites")?;
         let settings = Settings {
             me,
@@ -60,7 +60,7 @@
         let instance = Zones::new(uptime(), settings).map_err(|e| format!("zones: {e}"))?;
         let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.index).into();
         let (socket, names) = (budgets.socket(), node.config.names.zones.clone());
-        let fleet = Rc::new(Fleet { node, budgets, socket, names, pairs, instance: instance.into() });
+        let fleet = Rc::new(ZoneClient { node, budgets, socket, names, pairs, instance: instance.into() });
         let receiver = Rc::downgrade(&fleet);
         let take = move |datagram: &[u8]| {
             if let Some(fleet) = receiver.upgrade() {
@@ -73,7 +73,7 @@
 
     /// Takes over the others' keys of a file that was read anew: one that is no longer there counts no more.
     pub fn reload(&self, zoned: Zoned) {
-        self.pairs.borrow_mut().renew(zoned.keys);
+        self.pairs.borrow_mut().replace_public_keys(zoned.keys);
     }
 
     /// One call of the instance, what it wants sent, and what follows from the map.
@@ -96,8 +96,8 @@
         let opened = self.pairs.borrow_mut().open(datagram).map(|(from, bytes)| (from, bytes.to_vec()));
         match opened {
             Some((from, bytes)) => {
-                let seat = self.budgets.seat();
-                self.call(|z, now, out| z.receive(now, from, &bytes, seat, out));
+                let election = self.budgets.election();
+                self.call(|z, now, out| z.receive(now, from, &bytes, election, out));
             }
             None => self.node.count(Counter::ZoneForged),
         }
@@ -155,13 +155,13 @@
                 (0..zones).map(|z| p.newest_start(z).map(|t| at.saturating_sub(t))).collect();
             (p.zone_observations(at), newest)
         });
-        let seat = self.budgets.seat();
+        let election = self.budgets.election();
         self.call(|z, now, out| {
             newest.iter().enumerate().for_each(|(n, age)| {
                 z.set_newest_start(n as u16, age.map(|a| now.saturating_sub(a).max(1)));
             });
             z.observe(now, seen);
-            z.tick(now, seat, out);
+            z.tick(now, election, out);
         });
         self.follow();
         let t = self.instance.borrow().counters;
@@ -181,15 +181,15 @@
 }
 
 /// Sees to what is due.
-pub async fn attend(fleet: Rc<Fleet>) {
+pub async fn run_timers(fleet: Rc<ZoneClient>) {
     let mut look = 0;
     loop {
         if now() >= look {
             look = now() + TRAFFIC_INTERVAL;
             fleet.look();
         } else {
-            let seat = fleet.budgets.seat();
-            fleet.call(|z, at, out| z.tick(at, seat, out));
+            let election = fleet.budgets.election();
+            fleet.call(|z, at, out| z.tick(at, election, out));
         }
         let wait = fleet.instance.borrow().next_due().saturating_sub(uptime()).max(1_000);
         sleep_until((now() + wait).min(look)).await;
--- a/node/tests/budgets.rs
+++ b/node/tests/budgets.rs
@@ -11,7 +11,7 @@
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until};
 use threadward_budgets::wire;
-use threadward_faults::{Fault, Process, Relay, Start};
+use threadward_faults::{Fault, Process, ProcessBuilder, Relay};
 
 const PROXIES: usize = 3;
 /// Probes of one cache a second that all may make together; alone, each would make five in two seconds.
@@ -45,8 +45,9 @@
                 text += &format!("[[budgets.proxy]]\nname = \"n{b}\"\naddress = \"{at}\"\nvoter = true\n");
             }
             std::fs::write(file(format!("{a}.toml")), if shared { &text } else { "" }).unwrap();
-            let start =
-                Start::new(env!("CARGO_BIN_EXE_threadward")).arg("--fronts").arg(file(format!("{a}.toml")));
+            let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
+                .arg("--fronts")
+                .arg(file(format!("{a}.toml")));
             proxies.push(start.env("LB_CONFIG", file(format!("{a}.json"))).spawn().unwrap());
         }
         Fleet { relay, own, proxies, _folder: folder }
@@ -55,7 +56,7 @@
     /// The places that divide now, by their logs.
     fn dividing(&self) -> Vec<usize> {
         let said = |i: &usize| {
-            let log = self.proxies[*i].text();
+            let log = self.proxies[*i].output();
             let last =
                 log.lines().rfind(|l| l.contains("budgets: this proxy") || l.contains("no longer divided"));
             last.is_some_and(|l| l.contains("this proxy divides"))
@@ -106,9 +107,9 @@
             wait(1_500).await;
             // One message in three lost, the others late by half a lease time's third.
             let delay = Duration::from_millis(80);
-            fleet.relay.all(|_, _| Fault { drop: 1.0 / 3.0, delay, ..Fault::default() });
+            fleet.relay.set_all_faults(|_, _| Fault { drop: 1.0 / 3.0, delay, ..Fault::default() });
             wait(2_000).await;
-            fleet.relay.all(|_, _| Fault::default());
+            fleet.relay.set_all_faults(|_, _| Fault::default());
             // A holder stopped over the end of its lease, and woken.
             until("one that divides", || fleet.dividing().len() == 1).await;
             let held = (fleet.dividing()[0] + 1) % PROXIES;
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -462,14 +462,14 @@
 
 /// As many addresses for processes of the program.
 pub fn addresses(n: usize) -> Vec<SocketAddr> {
-    ports::free(n).unwrap()
+    ports::free_addresses(n).unwrap()
 }
 
 /// Waits for a line of a process without blocking the executor that the stand-ins run on.
 pub async fn says(p: &Process, what: &str) {
     let end = now() + 10_000_000;
-    while !p.text().contains(what) {
-        assert!(now() < end, "never said '{what}':\n{}", p.text());
+    while !p.output().contains(what) {
+        assert!(now() < end, "never said '{what}':\n{}", p.output());
         sleep_until(now() + 5_000).await;
     }
 }
@@ -477,10 +477,10 @@
 /// A counter's present value; what is zero is left out.
 pub async fn counter(p: &Process, name: &str) -> u64 {
     let lines = |t: &str| t.lines().filter(|l| l.starts_with("counters: ")).count();
-    let before = lines(&p.text());
+    let before = lines(&p.output());
     p.signal(threadward_faults::Signal::USR1).unwrap();
-    until("the counters", || lines(&p.text()) > before).await;
-    let text = p.text();
+    until("the counters", || lines(&p.output()) > before).await;
+    let text = p.output();
     let line = text.lines().rfind(|l| l.starts_with("counters: ")).unwrap();
     let found = line.split(' ').find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
     found.map_or(0, |n| n.parse().unwrap())
--- a/node/tests/control.rs
+++ b/node/tests/control.rs
@@ -12,7 +12,7 @@
 use threadward::net::{now, sleep_until};
 use threadward_control::frame::Frame;
 use threadward_control::Level;
-use threadward_faults::{Fault, Process, Relay, Start};
+use threadward_faults::{Fault, Process, ProcessBuilder, Relay};
 
 /// Region and site of each proxy.
 const LOCATIONS: [(&str, &str); PROXIES] = [
@@ -66,7 +66,7 @@
 
     /// Whether a proxy leads this now, by its log.
     fn leads(&self, place: usize, what: &str) -> bool {
-        let log = self.proxies[place].text();
+        let log = self.proxies[place].output();
         let last = log.lines().rfind(|line| line.ends_with(&format!(" leads {what}")));
         last.is_some_and(|line| !line.contains("no longer"))
     }
@@ -78,7 +78,7 @@
 
     /// Whether a proxy holds a lease now, by its log.
     fn leased(&self, place: usize) -> bool {
-        let log = self.proxies[place].text();
+        let log = self.proxies[place].output();
         let last = log.lines().rfind(|line| line.contains("a share is leased") || line.contains("no lease"));
         last.is_some_and(|line| line.contains("a share is leased"))
     }
@@ -128,13 +128,13 @@
         let mute = self.leaders("region south")[0];
         let others: Vec<usize> = (0..PROXIES).filter(|place| *place != mute).collect();
         for other in &others {
-            self.relay.set(mute, *other, Fault { cut: true, ..Fault::default() });
+            self.relay.set_fault(mute, *other, Fault { cut: true, ..Fault::default() });
         }
         within("another leader of the region", || self.leaders("region south").iter().any(|p| *p != mute))
             .await;
         within("the first leads no more", || !self.leads(mute, "region south")).await;
         wait(FLEET_LEASE_MS).await;
-        others.iter().for_each(|other| self.relay.set(mute, *other, Fault::default()));
+        others.iter().for_each(|other| self.relay.set_fault(mute, *other, Fault::default()));
         self.settled().await;
     }
 
@@ -163,9 +163,9 @@
     /// One message in three lost, the others late.
     async fn lose_and_delay(&self) {
         let (delay, jitter) = (Duration::from_millis(30), Duration::from_millis(30));
-        self.relay.all(|_, _| Fault { drop: 1.0 / 3.0, delay, jitter, ..Fault::default() });
+        self.relay.set_all_faults(|_, _| Fault { drop: 1.0 / 3.0, delay, jitter, ..Fault::default() });
         wait(2 * FLEET_LEASE_MS).await;
-        self.relay.all(|_, _| Fault::default());
+        self.relay.set_all_faults(|_, _| Fault::default());
         self.settled().await;
     }
 
@@ -195,14 +195,14 @@
         }
         let leaving = self.leaders("site gru")[0];
         self.proxies[leaving].term().unwrap();
-        within("its end", || self.proxies[leaving].ended().is_some()).await;
+        within("its end", || self.proxies[leaving].exit_status().is_some()).await;
         within("another leader of the site", || self.leaders("site gru").iter().any(|p| *p != leaving)).await;
     }
 }
 
 fn spawn(folder: &TempDir, place: usize) -> Process {
     let file = |kind: &str| folder.path().join(format!("{place}.{kind}"));
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).arg("--fronts").arg(file("toml"));
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).arg("--fronts").arg(file("toml"));
     start.env("LB_CONFIG", file("json")).spawn().unwrap()
 }
 
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
 use threadward_core::{Counter, Micros};
-use threadward_faults::{after, Process, Signal, Start};
+use threadward_faults::{after, Process, ProcessBuilder, Signal};
 
 fn cancel(id: u8) -> Vec<u8> {
     let mut out = vec![0x93, 0x02];
@@ -307,7 +307,7 @@
     let path = folder.join("config.json");
     std::fs::write(&path, configuration(front, bulletin, &[server("s-0", c.at, "std", "active", 0)]))
         .unwrap();
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
     (start.spawn().unwrap(), c, front)
 }
 
@@ -347,14 +347,14 @@
         assert_eq!(rests.answer().await.unwrap().1, None, "unread");
         assert!(ends(&rests).await && ends(&late).await, "reset at rest");
         assert!(now() > ordered + 850_000, "ended before the last of its clients came");
-        assert!(p.ended().is_none(), "ended with a request half read");
+        assert!(p.exit_status().is_none(), "ended with a request half read");
         half.send(&frame[60..]).await;
         assert_eq!(half.answer().await, Some((2, Some("Full".into()), vec![])));
         assert!(ends(&half).await, "reset after the last answer");
         assert!(rest(&slow).await.is_some_and(|n| n > big as usize * 240_000), "an answer was cut");
         drop((rests, late, half, slow));
-        until("the end", || p.ended().is_some()).await;
-        assert!(p.wait(after(1_000)).unwrap().success() && now() < ordered + 3_700_000, "{}", p.text());
+        until("the end", || p.exit_status().is_some()).await;
+        assert!(p.wait(after(1_000)).unwrap().success() && now() < ordered + 3_700_000, "{}", p.output());
     });
 }
 
@@ -371,13 +371,13 @@
         half.send(&endless.concat()).await;
         p.signal(Signal::TERM).unwrap();
         let ordered = now();
-        while p.ended().is_none() {
+        while p.exit_status().is_none() {
             // A byte at a time, so that it is never silent.
             half.stream.get_ref().write_all(&[7]).ok();
             assert!(now() < ordered + 3_700_000, "the kill would have come first");
             sleep_until(now() + 50_000).await;
         }
-        assert!(p.ended().unwrap().success());
+        assert!(p.exit_status().unwrap().success());
     });
 }
 
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -17,7 +17,7 @@
 use threadward_core::bans::{BanState, BanStates};
 use threadward_core::shift::Phase;
 use threadward_core::{Learned, UnixTime};
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 /// A bulletin that answers every watch at once.
 fn bulletin(ex: &'static LocalExecutor<'static>) -> SocketAddr {
@@ -63,7 +63,7 @@
     fn start(&self, n: usize) -> Process {
         let config = self.folder.path().join(format!("config-{n}.json"));
         std::fs::write(&config, &self.json).unwrap();
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config);
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config);
         start
             .env("LB_ADMIN_ADDR", self.doors[n].to_string())
             .env("TMPDIR", self.folder.path())
@@ -76,7 +76,7 @@
         while Async::<std::net::TcpStream>::connect(self.doors[n]).await.is_err()
             || ask(self.doors[n], &["READY\n"]).await != "done ready\n"
         {
-            assert!(now() < end, "never ready:\n{}", p.text());
+            assert!(now() < end, "never ready:\n{}", p.output());
             sleep_until(now() + 5_000).await;
         }
     }
@@ -116,9 +116,9 @@
         self.ready(n, &next).await;
         from.term().unwrap();
         ends(from).await;
-        assert!(from.text().contains("stop: gives way to another process"), "{}", from.text());
+        assert!(from.output().contains("stop: gives way to another process"), "{}", from.output());
         self.serves(3).await;
-        assert_eq!(next.ended(), None);
+        assert_eq!(next.exit_status(), None);
         let left: Vec<String> = self.files().into_iter().filter(|f| f.ends_with("-1")).collect();
         assert_eq!(left, [""; 0], "what an ended one left is removed");
     }
@@ -155,10 +155,10 @@
 }
 
 async fn ends(p: &Process) {
-    until("the end", || p.ended().is_some()).await;
-    assert_eq!(p.ended().unwrap().code(), Some(0), "{}", p.text());
+    until("the end", || p.exit_status().is_some()).await;
+    assert_eq!(p.exit_status().unwrap().code(), Some(0), "{}", p.output());
     // What it said comes by a pipe, and may come later than its end.
-    until("the last line", || p.text().ends_with("end\n")).await;
+    until("the last line", || p.output().ends_with("end\n")).await;
 }
 
 /// Where the old process ends, or hangs, while a new one starts.
@@ -287,7 +287,7 @@
         if step == New::TookOver {
             old.term().unwrap();
             ends(&old).await;
-            assert!(old.text().contains("stop: gives way"), "{}", old.text());
+            assert!(old.output().contains("stop: gives way"), "{}", old.output());
             drop((new, held));
             let next = s.start(2);
             s.ready(2, &next).await;
@@ -447,7 +447,7 @@
         assert_eq!(begun.answer().await.map(|a| a.0), Some(1));
         if !both {
             ends(&old).await;
-            assert!(old.text().contains("stop: gives way"), "{}", old.text());
+            assert!(old.output().contains("stop: gives way"), "{}", old.output());
             new.cont().unwrap();
         }
         for mut c in waiting {
@@ -456,7 +456,7 @@
         if both {
             ends(&old).await;
             ends(&new).await;
-            let gave = [&old, &new].map(|p| p.text().contains("stop: gives way"));
+            let gave = [&old, &new].map(|p| p.output().contains("stop: gives way"));
             assert!(gave != [true, true], "each left the clients to the other");
             let next = s.start(2);
             s.ready(2, &next).await;
@@ -499,7 +499,7 @@
         descriptors(&old, 3);
         old.term().unwrap();
         ends(&old).await;
-        assert!(old.text().contains("stop: gives way"), "{}", old.text());
+        assert!(old.output().contains("stop: gives way"), "{}", old.output());
         s.goes_on(2, &new).await;
     });
 }
--- a/node/tests/crossings_signals.rs
+++ b/node/tests/crossings_signals.rs
@@ -15,7 +15,7 @@
 use threadward::net::{self, now, sleep_until};
 use threadward::wire;
 use threadward_core::Micros;
-use threadward_faults::{Process, Signal, Start};
+use threadward_faults::{Process, ProcessBuilder, Signal};
 
 /// From SIGTERM to the platform's SIGKILL.
 const KILL: Micros = 3_700_000;
@@ -35,7 +35,7 @@
 }
 
 fn spawn(site: &Site) -> Process {
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &site.file);
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &site.file);
     start.without_env("LB_ADMIN_ADDR").spawn().unwrap()
 }
 
@@ -46,10 +46,10 @@
 
 /// Waits for the end by itself, before the kill.
 async fn ends(p: &Process, from: Micros) {
-    until("the end", || p.ended().is_some()).await;
-    assert_eq!(p.ended().unwrap().code(), Some(0), "{}", p.text());
+    until("the end", || p.exit_status().is_some()).await;
+    assert_eq!(p.exit_status().unwrap().code(), Some(0), "{}", p.output());
     assert!(now() < from + KILL, "ended {} us after SIGTERM", now() - from);
-    until("the last line", || p.text().ends_with("end\n")).await;
+    until("the last line", || p.output().ends_with("end\n")).await;
 }
 
 /// A cache that holds what it is asked, until the test says its answer.
@@ -137,8 +137,8 @@
         std::io::Write::write_all(&mut pipe.join().unwrap(), json.as_bytes()).unwrap();
         ends(&p, from).await;
         let hup = signals.contains(&Signal::HUP);
-        assert_eq!(p.text().contains("reload: kept the old configuration: "), hup, "{}", p.text());
-        assert_eq!(p.text().matches("stop: SIGTERM").count(), 1);
+        assert_eq!(p.output().contains("reload: kept the old configuration: "), hup, "{}", p.output());
+        assert_eq!(p.output().matches("stop: SIGTERM").count(), 1);
     });
 }
 
@@ -212,7 +212,7 @@
         ends(&p, from).await;
         if signals.contains(&Signal::HUP) {
             let said = if broken { "reload: kept the old configuration" } else { "reload: bulletin " };
-            assert!(p.text().contains(said), "{}", p.text());
+            assert!(p.output().contains(said), "{}", p.output());
         }
     });
 }
@@ -332,7 +332,7 @@
         p.term().unwrap();
         says(&p, "stop: SIGTERM").await;
         sleep_until(from + 1_000_000).await;
-        assert_eq!(p.ended(), None, "ended with an answer half written");
+        assert_eq!(p.exit_status(), None, "ended with an answer half written");
         c.read_to_end(&mut got).await.unwrap();
         assert!(got == want, "{} bytes of {}", got.len(), want.len());
         ends(&p, from).await;
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 const LIMIT: usize = 96;
 
@@ -29,7 +29,8 @@
         let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{LIMIT}"));
         std::fs::write(&path, json).unwrap();
         let limited = format!("ulimit -n {LIMIT}; exec \"$0\"");
-        let start = Start::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
+        let start =
+            ProcessBuilder::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
         let p = start.env("LB_CONFIG", &path).spawn().unwrap();
         until("the front", || TcpStream::connect(at[0]).is_ok()).await;
         let own = held(&p);
@@ -75,12 +76,12 @@
             if good.answer().await == Some((id, None, b"whole".to_vec())) {
                 break;
             }
-            assert!(now() < up + 10_000_000, "not served:\n{}", p.text());
+            assert!(now() < up + 10_000_000, "not served:\n{}", p.output());
             sleep_until(now() + 10_000).await;
         }
         println!("served {} ms after the bulletin came up", (now() - up) / 1000);
         println!("{own} descriptors before the clients, {} with them, of {LIMIT}", held(&p));
-        assert!(!p.text().contains("accept: "), "{}", p.text());
+        assert!(!p.output().contains("accept: "), "{}", p.output());
         drop(crowd);
     });
 }
--- a/node/tests/failing_folder.rs
+++ b/node/tests/failing_folder.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use tempfile::{tempdir, TempDir};
 use threadward::net::{now, sleep_until};
-use threadward_faults::{Failure, FileFault, Process, Shim, Start};
+use threadward_faults::{Failure, FileFault, Process, ProcessBuilder, Shim};
 
 const ALWAYS: u32 = 1_000_000;
 const ENOSPC: i32 = 28;
@@ -35,7 +35,7 @@
 
 impl Site {
     async fn start(&self) -> Process {
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward"));
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"));
         let start = start.env("LB_CONFIG", self.folder.path().join("config.json"));
         let start = start.env("LB_ADMIN_ADDR", self.door.to_string()).env("TMPDIR", self.folder.path());
         let process = self.shim.preload(start).unwrap().spawn().unwrap();
@@ -69,17 +69,17 @@
         let first = site.start().await;
         assert!(ask(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
         first.kill().unwrap();
-        site.shim.fail(Failure::File, ALWAYS).unwrap();
+        site.shim.set_failure_rate(Failure::File, ALWAYS).unwrap();
         let second = site.start().await;
-        assert_eq!(site.reach_the_first(1).await, 0, "{}", second.text());
+        assert_eq!(site.reach_the_first(1).await, 0, "{}", second.output());
         let refused = ask(site.door, &["ENABLE s-0\n"]).await;
         assert!(refused.starts_with("error "), "{refused}");
-        assert_eq!(site.reach_the_first(100).await, 0, "{}", second.text());
-        site.shim.fail(Failure::File, 0).unwrap();
+        assert_eq!(site.reach_the_first(100).await, 0, "{}", second.output());
+        site.shim.set_failure_rate(Failure::File, 0).unwrap();
         // The folder has recovered: what this process has come to is shown without a further call.
         until("the sign", || site.signs().iter().any(|s| s.starts_with("ready"))).await;
         assert!(ask(site.door, &["ENABLE s-0\n"]).await.starts_with("done"));
-        assert_eq!(second.ended(), None);
+        assert_eq!(second.exit_status(), None);
     });
 }
 
@@ -101,26 +101,26 @@
             Some(running) => running,
             None => site.start().await,
         };
-        let next = site.shim.file_calls().unwrap() + number;
+        let next = site.shim.file_call_count().unwrap() + number;
         site.shim.fail_file_call(next, fault).unwrap();
         let said = command(site.door, "DISABLE s-0\n").await;
         site.shim.fail_file_call(0, fault).unwrap();
         if said.is_empty() {
-            until("the end of the process", || running.ended().is_some()).await;
+            until("the end of the process", || running.exit_status().is_some()).await;
         }
-        let running = if running.ended().is_some() { site.start().await } else { running };
+        let running = if running.exit_status().is_some() { site.start().await } else { running };
         if !said.starts_with("done") {
             // Not kept, and said so: made again it is kept, and no harm was done.
-            assert!(command(site.door, "DISABLE s-0\n").await.starts_with("done"), "{}", running.text());
+            assert!(command(site.door, "DISABLE s-0\n").await.starts_with("done"), "{}", running.output());
         }
-        assert_eq!(site.reach_the_first(requests).await, 0, "call {number}, {fault:?}: {}", running.text());
+        assert_eq!(site.reach_the_first(requests).await, 0, "call {number}, {fault:?}: {}", running.output());
         running.kill().unwrap();
         let next = site.start().await;
         assert_eq!(
             site.reach_the_first(requests + 100).await,
             0,
             "call {number}, {fault:?}: {}",
-            next.text()
+            next.output()
         );
         assert!(command(site.door, "ENABLE s-0\n").await.starts_with("done"));
         requests += 1_000;
@@ -146,8 +146,8 @@
         let site = site(ex);
         let process = site.start().await;
         sleep_until(now() + 300_000).await;
-        let before = site.shim.syncs().unwrap();
+        let before = site.shim.sync_count().unwrap();
         assert!(ask(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
-        assert!(site.shim.syncs().unwrap() >= before + 2, "{}", process.text());
+        assert!(site.shim.sync_count().unwrap() >= before + 2, "{}", process.output());
     });
 }
--- a/node/tests/gossip.rs
+++ b/node/tests/gossip.rs
@@ -11,7 +11,7 @@
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until};
 use threadward::{config, gossip};
-use threadward_faults::{Process, Signal, Start};
+use threadward_faults::{Process, ProcessBuilder, Signal};
 use threadward_gossip::{public_key, Gossip, Output, PeerConfig, Settings};
 
 fn secret(i: usize) -> [u8; 32] {
@@ -62,7 +62,7 @@
     fn start(&self, i: usize, json: &str) -> Process {
         let config = self.file(i, "json");
         std::fs::write(&config, json.replace("\"name\":\"n0\"", &format!("\"name\":\"n{i}\""))).unwrap();
-        Start::new(env!("CARGO_BIN_EXE_threadward"))
+        ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
             .arg("--fronts")
             .arg(self.file(i, "toml"))
             .env("LB_CONFIG", config)
@@ -156,7 +156,7 @@
             assert_eq!(counter(&proxies[0], name).await, 1, "{name}");
         }
         for p in &proxies {
-            assert_eq!(counter(p, "gossipDoubts").await, 0, "{}", p.text());
+            assert_eq!(counter(p, "gossipDoubts").await, 0, "{}", p.output());
         }
         // One ends by will, and the others know at once.
         proxies[2].term().unwrap();
@@ -181,9 +181,9 @@
         until("the probe", probed).await;
         assert_eq!(counter(&p, "gossipProbes").await, 1);
         // The stand-in never answers it: an own failure, which with the rumour makes a skip.
-        until("the skip", || p.text().contains("counters: ") && caches[1].seen.borrow().len() == 1).await;
+        until("the skip", || p.output().contains("counters: ") && caches[1].seen.borrow().len() == 1).await;
         sleep_until(now() + 600_000).await;
-        assert_eq!(counter(&p, "gossipSkipsHelped").await, 1, "{}", p.text());
+        assert_eq!(counter(&p, "gossipSkipsHelped").await, 1, "{}", p.output());
         // A file without the witnesses: their word ends with them.
         g.write(0, 1);
         p.signal(Signal::HUP).unwrap();
@@ -198,11 +198,11 @@
 #[test]
 fn a_key_is_made_once_and_fits_its_public_part() {
     let path = std::env::temp_dir().join(format!("threadward-key-{}", std::process::id()));
-    let public_part = gossip::make_key(&path).unwrap();
+    let public_part = gossip::create_key_file(&path).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
     let secret: [u8; 32] = URL_SAFE_NO_PAD.decode(text.trim()).unwrap().try_into().unwrap();
     assert_eq!(URL_SAFE_NO_PAD.encode(public_key(&secret)), public_part);
-    assert!(gossip::make_key(&path).is_err(), "an existing file is never touched");
+    assert!(gossip::create_key_file(&path).is_err(), "an existing file is never touched");
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
     std::fs::remove_file(&path).unwrap();
 }
--- a/node/tests/interrupted_calls.rs
+++ b/node/tests/interrupted_calls.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use tempfile::tempdir;
-use threadward_faults::{Failure, Shim, Signal, Start};
+use threadward_faults::{Failure, ProcessBuilder, Shim, Signal};
 
 /// One call in ten, in calls of a million.
 const ONE_IN_TEN: u32 = 100_000;
@@ -32,10 +32,10 @@
             let list = [0, 1].map(|i| server(&format!("s-{i}"), caches[i].at, "std", "active", 0));
             std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
             let shim = Shim::new(7).unwrap();
-            let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
+            let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
             let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
             until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
-            kinds.iter().for_each(|kind| shim.fail(*kind, ONE_IN_TEN).unwrap());
+            kinds.iter().for_each(|kind| shim.set_failure_rate(*kind, ONE_IN_TEN).unwrap());
             for number in 1..=60u32 {
                 let mut client = Client::to(front).await;
                 for id in 1..=3 {
@@ -46,7 +46,7 @@
                         answer.as_ref().map(|a| (a.0, a.1.clone())),
                         Some((id, None)),
                         "{}",
-                        process.text()
+                        process.output()
                     );
                     assert_eq!(answer.map(|a| a.2.len()), Some(body.len()));
                 }
@@ -54,10 +54,10 @@
                 process.signal(Signal::HUP).unwrap();
             }
             for kind in kinds {
-                assert!(shim.failed(*kind).unwrap() > 0, "no call was made to fail: {kind:?}");
-                shim.fail(*kind, 0).unwrap();
+                assert!(shim.failure_count(*kind).unwrap() > 0, "no call was made to fail: {kind:?}");
+                shim.set_failure_rate(*kind, 0).unwrap();
             }
-            assert!(!process.text().contains("stop: "), "{}", process.text());
+            assert!(!process.output().contains("stop: "), "{}", process.output());
             // The log takes so many lines in a second.
             sleep(1_100).await;
             let reloads = counter(&process, "reloads").await;
@@ -66,11 +66,11 @@
             assert!(
                 counter(&process, "reloads").await > reloads,
                 "no reload is read any more:\n{}",
-                process.text()
+                process.output()
             );
             process.term().unwrap();
-            until("the end", || process.ended().is_some()).await;
-            assert_eq!(process.ended().unwrap().code(), Some(0));
+            until("the end", || process.exit_status().is_some()).await;
+            assert_eq!(process.exit_status().unwrap().code(), Some(0));
         });
     }
 }
@@ -88,20 +88,20 @@
         let list = [server("s-0", cache.at, "std", "active", 0)];
         std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
         let shim = Shim::new(7).unwrap();
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
         let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
         until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
         // That connection is taken, so that the place made next is the client's.
         sleep(200).await;
-        shim.fail(Failure::Accept, 1_000_000).unwrap();
+        shim.set_failure_rate(Failure::Accept, 1_000_000).unwrap();
         let mut client = Client::to(front).await;
         // Longer than a client that says nothing is kept.
         sleep(2_500).await;
-        shim.fail(Failure::Accept, 0).unwrap();
+        shim.set_failure_rate(Failure::Accept, 0).unwrap();
         sleep(200).await;
         client.send(&request(1, "media", &[])).await;
         let answer = within("an answer", client.answer()).await;
-        assert_eq!(answer, Some((1, None, b"whole".to_vec())), "{}", process.text());
+        assert_eq!(answer, Some((1, None, b"whole".to_vec())), "{}", process.output());
     });
 }
 
--- a/node/tests/pair_keys.rs
+++ b/node/tests/pair_keys.rs
@@ -30,6 +30,6 @@
     // A file read anew in which c has no key: it is not heard, nor told anything.
     let word = c.sign(0, &message(2)).remove(0);
     assert!(a.open(&word).is_some());
-    a.renew(vec![vec![public(1)], vec![public(2)], vec![]]);
+    a.replace_public_keys(vec![vec![public(1)], vec![public(2)], vec![]]);
     assert!(a.open(&word).is_none() && a.sign(2, &message(0)).is_empty());
 }
--- a/node/tests/restarts.rs
+++ b/node/tests/restarts.rs
@@ -11,7 +11,7 @@
 use std::sync::{Mutex, PoisonError};
 use threadward::net::{now, sleep_until};
 use threadward_core::Micros;
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 const S: Micros = 1_000_000;
 const PROCESSES: usize = 30;
@@ -91,7 +91,10 @@
             }
             let path = folder.path().join(format!("{i}.json"));
             std::fs::write(&path, v.to_string()).unwrap();
-            let p = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).spawn().unwrap();
+            let p = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
+                .env("LB_CONFIG", &path)
+                .spawn()
+                .unwrap();
             let (times, front) = (times.clone(), *front);
             ex.spawn(async move {
                 let at = ready(front).await;
@@ -106,7 +109,7 @@
         }
         let at = times.borrow().iter().map(|t| format!("{:.2}", *t as f64 / 1e6)).collect::<Vec<_>>();
         println!("ready after s: {} ({} calls taken)", at.join(" "), calls.borrow());
-        assert!(processes.iter().all(|p| p.ended().is_none()));
+        assert!(processes.iter().all(|p| p.exit_status().is_none()));
         assert!(at.len() >= PROCESSES * 9 / 10, "{} of {PROCESSES} ready within {within} us", at.len());
     });
 }
--- a/node/tests/signed.rs
+++ b/node/tests/signed.rs
@@ -363,10 +363,10 @@
     snmp::encode(&Packet {
         version: 1,
         community: community.into(),
-        kind,
-        id: -129,
-        status,
-        index,
+        pdu_type: kind,
+        request_id: -129,
+        error_status: status,
+        error_index: index,
         variables,
     })
 }
@@ -395,19 +395,22 @@
             }
         };
         // Dropped without an answer: the next answer is to the next good packet.
-        let other = ask(snmp::GET, "public", 0, 0, &[snmp::ROOT.to_vec()]);
+        let other = ask(snmp::GET, "public", 0, 0, &[snmp::ROOT_OID.to_vec()]);
         for junk in [&b"junk"[..], &other] {
             manager.send_to(junk, at).await.unwrap();
         }
         let refused =
-            exchange(ask(snmp::SET, "depot", 0, 0, &[[&snmp::ROOT[..], &[1, 1, 0]].concat()])).await;
-        assert_eq!((refused.kind, refused.id, refused.status, refused.index), (snmp::RESPONSE, -129, 17, 1));
+            exchange(ask(snmp::SET, "depot", 0, 0, &[[&snmp::ROOT_OID[..], &[1, 1, 0]].concat()])).await;
+        assert_eq!(
+            (refused.pdu_type, refused.request_id, refused.error_status, refused.error_index),
+            (snmp::RESPONSE, -129, 17, 1)
+        );
         let mut by_next = Vec::new();
-        let mut at_name = snmp::ROOT.to_vec();
+        let mut at_name = snmp::ROOT_OID.to_vec();
         loop {
             let r = exchange(ask(snmp::GET_NEXT, "depot", 0, 0, &[at_name.clone()])).await;
             let (name, value) = r.variables[0].clone();
-            if value == Value::EndOfView {
+            if value == Value::EndOfMibView {
                 break;
             }
             at_name.clone_from(&name);
@@ -425,10 +428,11 @@
         assert_eq!(by_next[0].1, Value::Counter64(300));
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!((count(Counter::ManagerMalformed), count(Counter::ManagerCommunity)), (1, 1));
-        let bulk = exchange(ask(snmp::GET_BULK, "depot", 0, 10, &[snmp::ROOT.to_vec()])).await;
+        let bulk = exchange(ask(snmp::GET_BULK, "depot", 0, 10, &[snmp::ROOT_OID.to_vec()])).await;
         let names = |v: &[(Vec<u32>, Value)]| v.iter().map(|x| x.0.clone()).collect::<Vec<_>>();
         assert_eq!(names(&bulk.variables), names(&by_next[..10]));
-        let missing = [[&snmp::ROOT[..], &[1, 1, 7]].concat(), [&snmp::ROOT[..], &[9, 1, 0]].concat()];
+        let missing =
+            [[&snmp::ROOT_OID[..], &[1, 1, 7]].concat(), [&snmp::ROOT_OID[..], &[9, 1, 0]].concat()];
         let r = exchange(ask(snmp::GET, "depot", 0, 0, &missing)).await;
         assert_eq!((r.variables[0].1, r.variables[1].1), (Value::NoSuchInstance, Value::NoSuchObject));
     });
@@ -448,7 +452,7 @@
 /// A packet with a broken length, or cut anywhere, is malformed and never a panic.
 #[test]
 fn cut_packets() {
-    let whole = ask(snmp::GET, "depot", 0, 0, &[snmp::ROOT.to_vec()]);
+    let whole = ask(snmp::GET, "depot", 0, 0, &[snmp::ROOT_OID.to_vec()]);
     assert!(snmp::decode(&whole).is_some());
     for n in 0..whole.len() {
         assert_eq!(snmp::decode(&whole[..n]), None);
@@ -466,10 +470,10 @@
     let p = Packet {
         version: 1,
         community: b"c".to_vec(),
-        kind: snmp::RESPONSE,
-        id: n as i64,
-        status: -1,
-        index: 128,
+        pdu_type: snmp::RESPONSE,
+        request_id: n as i64,
+        error_status: -1,
+        error_index: 128,
         variables: vec![(vec![1, 3, 6, u32::MAX, 0, 300], Value::Counter64(n))],
     };
     assert_eq!(snmp::decode(&snmp::encode(&p)), Some(p));
--- a/node/tests/soak/proxies.rs
+++ b/node/tests/soak/proxies.rs
@@ -12,7 +12,7 @@
 use tempfile::{tempdir, TempDir};
 use threadward::net::now;
 use threadward_core::Micros;
-use threadward_faults::{Failure, Process, Shim, Signal, Start};
+use threadward_faults::{Failure, Process, ProcessBuilder, Shim, Signal};
 
 /// New connections, and requests on open ones, keep coming for so long after SIGTERM.
 const CONNECTIONS_AFTER_TERM: Micros = 400 * MILLISECOND;
@@ -75,7 +75,7 @@
         let file = self.folder.path().join("config.json");
         std::fs::write(&file, text).unwrap();
         self.world.starts(self.number);
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
         let start =
             start.env("TMPDIR", self.folder.path()).env("LB_ADMIN_ADDR", self.admins[admin].to_string());
         self.shim.preload(start).unwrap().spawn().unwrap()
@@ -85,8 +85,8 @@
         let process = self.spawn(self.admin.get());
         let by = now() + READY_WITHIN;
         while TcpStream::connect(self.front).is_err() {
-            if process.ended().is_some() || now() > by {
-                self.world.oracle.fail(Rule::Crash, "", &format!("no start: {}", process.text()));
+            if process.exit_status().is_some() || now() > by {
+                self.world.oracle.fail(Rule::Crash, "", &format!("no start: {}", process.output()));
                 return;
             }
             pause(5 * MILLISECOND).await;
@@ -109,12 +109,12 @@
         let new = self.spawn(next);
         let by = now() + READY_WITHIN;
         while !self.said_done(self.admins[next], "READY\n").await {
-            if new.ended().is_some() || now() > by {
+            if new.exit_status().is_some() || now() > by {
                 return self.failed("never ready beside the old one", &new);
             }
             pause(20 * MILLISECOND).await;
         }
-        self.world.oracle.befell(self.number, format!("the new process is ready, said {}", new.text()));
+        self.world.oracle.befell(self.number, format!("the new process is ready, said {}", new.output()));
         self.world.replaced(self.number, published);
         let old = self.process.borrow_mut().replace(new);
         self.admin.set(next);
@@ -125,18 +125,18 @@
     async fn term(&self, old: &RefCell<Option<Process>>) {
         old.borrow().as_ref().unwrap().term().ok();
         let by = now() + KILL_AFTER;
-        let ended = |p: &Option<Process>| p.as_ref().and_then(Process::ended);
+        let ended = |p: &Option<Process>| p.as_ref().and_then(Process::exit_status);
         while ended(&old.borrow()).is_none() && now() < by {
             pause(10 * MILLISECOND).await;
         }
         self.killed.set(if ended(&old.borrow()).is_none() { now() } else { self.killed.get() });
         let process = old.borrow_mut().take().unwrap();
-        let text = process.text();
+        let text = process.output();
         let last: Vec<&str> = text.lines().collect();
         self.world
             .oracle
             .befell(self.number, format!("ended, said {:?}", &last[last.len().saturating_sub(6)..]));
-        match process.ended().and_then(|status| status.code()) {
+        match process.exit_status().and_then(|status| status.code()) {
             Some(0) => {}
             other => self.failed(&format!("after SIGTERM: {other:?}"), &process),
         }
@@ -153,7 +153,7 @@
     }
 
     fn failed(&self, how: &str, process: &Process) {
-        let text = process.text();
+        let text = process.output();
         let last: Vec<&str> = text.lines().rev().take(8).collect();
         self.world.oracle.fail(Rule::Crash, "", &format!("proxy {} {how}: {last:?}", self.number));
     }
@@ -177,12 +177,12 @@
     /// Takes a server out while files fail, and calls it back after a while.
     async fn ban(&self, lots: &mut fastrand::Rng) {
         let server = lots.usize(1..SERVERS);
-        self.shim.fail(Failure::File, lots.u32(0..400_000)).unwrap();
+        self.shim.set_failure_rate(Failure::File, lots.u32(0..400_000)).unwrap();
         let done = self.command(&format!("DISABLE s-{server}\n")).await;
         if done {
             self.world.bans.borrow_mut().insert((self.number, server), now());
         }
-        self.shim.fail(Failure::File, 0).unwrap();
+        self.shim.set_failure_rate(Failure::File, 0).unwrap();
         if done && lots.bool() {
             self.kill().await;
         }
@@ -226,9 +226,9 @@
             _ => {
                 let kind = FAILURES[lots.usize(0..FAILURES.len())];
                 befell(&format!("{kind:?}"));
-                self.shim.fail(kind, lots.u32(1_000..100_000)).unwrap();
+                self.shim.set_failure_rate(kind, lots.u32(1_000..100_000)).unwrap();
                 pause(lots.u64(300..2_000) * MILLISECOND).await;
-                self.shim.fail(kind, 0).unwrap();
+                self.shim.set_failure_rate(kind, 0).unwrap();
             }
         }
     }
@@ -289,10 +289,10 @@
         let by = now() + KILL_AFTER;
         for proxy in &self.proxies {
             let Some(process) = proxy.process.borrow_mut().take() else { continue };
-            while process.ended().is_none() && now() < by {
+            while process.exit_status().is_none() && now() < by {
                 pause(10 * MILLISECOND).await;
             }
-            if process.ended().and_then(|status| status.code()) != Some(0) {
+            if process.exit_status().and_then(|status| status.code()) != Some(0) {
                 proxy.failed("at the end", &process);
             }
         }
@@ -304,7 +304,7 @@
     fn check(&self) {
         let process = self.process.borrow();
         let Some(process) = process.as_ref() else { return };
-        if process.ended().is_some() || process.text().contains("panic") {
+        if process.exit_status().is_some() || process.output().contains("panic") {
             self.failed("ended untold or panicked", process);
         }
     }
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use tempfile::{tempdir, TempDir};
 use threadward::net::{now, sleep_until, Signal as Wake};
 use threadward_core::Micros;
-use threadward_faults::{Process, Shim, Start};
+use threadward_faults::{Process, ProcessBuilder, Shim};
 
 const SECOND: i64 = 1_000_000;
 const HOUR: i64 = 3_600 * SECOND;
@@ -54,7 +54,7 @@
     std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
     let shim = Shim::new(1).unwrap();
     shim.step_wall_clock(step).unwrap();
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
     let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
     until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
     Site { cache, others: all, news, told, front, shim, process, _folder: folder }
@@ -78,9 +78,9 @@
     async fn ends(&self) {
         let at = now();
         self.process.term().unwrap();
-        until("the end", || self.process.ended().is_some()).await;
+        until("the end", || self.process.exit_status().is_some()).await;
         assert!(now() - at < 3_700_000, "ended {} us after SIGTERM", now() - at);
-        assert_eq!(self.process.ended().unwrap().code(), Some(0));
+        assert_eq!(self.process.exit_status().unwrap().code(), Some(0));
     }
 }
 
@@ -108,7 +108,7 @@
     *site.cache.act.borrow_mut() = served();
     site.serves(200, 20).await;
     // The watch is neither taken for silent nor kept when it is.
-    assert!(!site.process.text().contains("connection lost"), "{}", site.process.text());
+    assert!(!site.process.output().contains("connection lost"), "{}", site.process.output());
     site.shim.step_wall_clock(step).unwrap();
     site.ends().await;
 }
@@ -155,7 +155,7 @@
     let (at, mut number) = (now(), 10);
     let asked = || site.cache.seen.borrow().last().is_some_and(|parts| parts[2].contains("newer="));
     while !asked() {
-        assert!(now() < at + 4_000_000, "the purge was not heard: {}", site.process.text());
+        assert!(now() < at + 4_000_000, "the purge was not heard: {}", site.process.output());
         site.serves(number, 1).await;
         number += 1;
         sleep_until(now() + 50_000).await;
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until, Signal};
-use threadward_faults::{Process, Relay, Start};
+use threadward_faults::{Process, ProcessBuilder, Relay};
 use threadward_gossip::public_key;
 use threadward_zones::map::{Epoch, Map};
 use threadward_zones::state::State;
@@ -184,7 +184,7 @@
     async fn run(&mut self) {
         let path = self.folder.path();
         let start = |p: usize| {
-            Start::new(env!("CARGO_BIN_EXE_threadward"))
+            ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
                 .arg("--fronts")
                 .arg(path.join(format!("{p}.toml")))
                 .env("LB_CONFIG", path.join(format!("{p}.json")))
@@ -214,7 +214,7 @@
 
     /// What a process said of zones: the epoch, and the rest of the line.
     fn moves(&self, p: usize) -> Vec<(u64, String)> {
-        let text = self.proxies[p].text();
+        let text = self.proxies[p].output();
         let lines = text.lines().filter_map(|l| l.split_once("zones: epoch ")?.1.split_once(": "));
         lines.map(|(n, rest)| (n.parse().unwrap(), rest.to_owned())).collect()
     }
@@ -245,7 +245,7 @@
     /// The one that decides, by the logs.
     fn decides(&self) -> Option<usize> {
         (0..PROXIES).find(|p| {
-            let text = self.proxies[*p].text();
+            let text = self.proxies[*p].output();
             let last =
                 text.lines().rfind(|l| l.contains("this proxy divides") || l.contains("no longer divided"));
             last.is_some_and(|l| l.contains("this proxy"))
@@ -339,7 +339,7 @@
             others.iter().all(|p| f.epoch(*p, "north is in service again").is_some())
         })
         .await;
-        let second = others.iter().find(|p| f.proxies[**p].text().contains("this proxy divides"));
+        let second = others.iter().find(|p| f.proxies[**p].output().contains("this proxy divides"));
         assert!(second.is_some(), "another decider");
         f.proxies[first].cont().unwrap();
         within("the first learns", || f.epoch(first, "north is in service again").is_some()).await;
@@ -501,9 +501,9 @@
             for name in ["zoneForged", "zoneMalformed"] {
                 assert_eq!(counter(said, name).await, 1, "{name} of {p}");
             }
-            assert!(counter(said, "zoneUnvouched").await > 0, "{}", said.text());
+            assert!(counter(said, "zoneUnvouched").await > 0, "{}", said.output());
             // Who has no vote is asked to take nothing.
-            assert!(p == PROXIES - 1 || counter(said, "zoneOld").await >= 60, "{}", said.text());
+            assert!(p == PROXIES - 1 || counter(said, "zoneOld").await >= 60, "{}", said.output());
             assert_eq!(&f.moves(p), before, "a liar moved a zone");
         }
 
