--- a/node/src/snmp.rs
+++ b/node/src/snmp.rs
@@ -45,7 +45,7 @@
     };
     let next = |o: &Oid| match view.iter().find(|(name, _)| name > o) {
         Some(found) => found.clone(),
-        None => (o.clone(), Value::EndOfMibView),
+        None => (o.clone(), Value::EndOfMib),
     };
     let names = p.variables.iter().map(|(o, _)| o);
     let mut r =
@@ -62,7 +62,7 @@
                 let mut ended = true;
                 for o in &mut rows {
                     let found = next(o);
-                    ended &= found.1 == Value::EndOfMibView;
+                    ended &= found.1 == Value::EndOfMib;
                     *o = found.0.clone();
                     r.variables.push(found);
                     // A bulk answer is cut to what fits.
--- a/node/src/snmp/packet.rs
+++ b/node/src/snmp/packet.rs
@@ -19,7 +19,7 @@
     Null,
     NoSuchObject,
     NoSuchInstance,
-    EndOfMibView,
+    EndOfMib,
 }
 
 pub const GET: u8 = 0xa0;
@@ -100,7 +100,7 @@
         }
         VarBindValue::NoSuchObject => Value::NoSuchObject,
         VarBindValue::NoSuchInstance => Value::NoSuchInstance,
-        VarBindValue::EndOfMibView => Value::EndOfMibView,
+        VarBindValue::EndOfMibView => Value::EndOfMib,
         // Only a SET brings other values, and none is taken.
         VarBindValue::Unspecified | VarBindValue::Value(_) => Value::Null,
     }
@@ -138,7 +138,7 @@
         Value::Null => VarBindValue::Unspecified,
         Value::NoSuchObject => VarBindValue::NoSuchObject,
         Value::NoSuchInstance => VarBindValue::NoSuchInstance,
-        Value::EndOfMibView => VarBindValue::EndOfMibView,
+        Value::EndOfMib => VarBindValue::EndOfMibView,
     };
     Some(VarBind { name: rasn::types::ObjectIdentifier::new(name.clone())?, value })
 }
--- a/node/tests/signed.rs
+++ b/node/tests/signed.rs
@@ -410,7 +410,7 @@
         loop {
             let r = exchange(ask(snmp::GET_NEXT, "depot", 0, 0, &[at_name.clone()])).await;
             let (name, value) = r.variables[0].clone();
-            if value == Value::EndOfMibView {
+            if value == Value::EndOfMib {
                 break;
             }
             at_name.clone_from(&name);
