--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -22,8 +22,11 @@
     let named = |e: String| format!("threadward: {e}");
     let done = match cli::parse(std::env::args_os()) {
         Ok(Invocation::Run(file)) => start(file).map_err(|e| named(format!("cannot start: {e}"))),
-        Ok(Invocation::CreateKey(path)) => gossip::make_key(&path).and_then(|key| say(&key)).map_err(named),
+        Ok(Invocation::CreateKey(path)) => {
+            gossip::create_key_file(&path).and_then(|key| say(&key)).map_err(named)
+        }
         Ok(Invocation::Print(text)) => say(text.trim_end()).map_err(named),
+
         // The line begins with the file and its line, as editors look for it.
         Ok(Invocation::Check { file, name, json }) => check(&file, &name, json),
         Err(e) => Err(named(e)),
@@ -126,7 +129,7 @@
         node.spawn_restarting("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
     }
     let talk = match fronts.gossip {
-        Some(s) => Some(gossip::Talk::new(node.clone(), s)?),
+        Some(s) => Some(gossip::GossipClient::new(node.clone(), s)?),
         None => None,
     };
     if let Some(talk) = &talk {
@@ -134,7 +137,7 @@
         let t = talk.clone();
         node.spawn_restarting("gossip in", move || gossip::receive(t.clone()));
         let t = talk.clone();
-        node.spawn_restarting("gossip", move || gossip::attend(t.clone()));
+        node.spawn_restarting("gossip", move || gossip::run_timers(t.clone()));
     }
     let client = fronts.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
     if let Some(client) = &client {
@@ -142,14 +145,14 @@
         let socket = client.socket();
         node.spawn_restarting("budgets in", move || control_socket::receive(socket.clone()));
         let c = client.clone();
-        node.spawn_restarting("budgets", move || budgets::attend(c.clone()));
+        node.spawn_restarting("budgets", move || budgets::run_timers(c.clone()));
     }
     let mut fleet = None;
     if let Some((z, client)) = fronts.zones.zip(client.as_ref()) {
-        let f = zones::Fleet::new(node.clone(), client.clone(), z)?;
+        let f = zones::ZoneClient::new(node.clone(), client.clone(), z)?;
         net::log("start: zones are left and taken back by all proxies together");
         fleet = Some(f.clone());
-        node.spawn_restarting("zones", move || zones::attend(f.clone()));
+        node.spawn_restarting("zones", move || zones::run_timers(f.clone()));
     }
     let n = node.clone();
     node.spawn("counters", async move {
@@ -182,7 +185,8 @@
         next_signal(&term).await;
         node.stopping.set(Some(now()));
         shift.iter().for_each(|s| s.refresh());
-        talk.iter().for_each(gossip::Talk::leave);
+        talk.iter().for_each(gossip::GossipClient::leave);
+
         client.iter().for_each(|c| c.leave());
         net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open_requests())));
         node.wait_until_drained().await;
