--- a/node/examples/measure-door.rs
+++ b/node/examples/measure-door.rs
@@ -20,7 +20,7 @@
 
 /// Requests on one connection at points of the clock, whether or not answers come; how many were answered.
 async fn load(front: SocketAddr, first: u64, n: u64, every: u64, answered: Rc<Cell<u64>>) {
-    let c = Client::to(front).await;
+    let c = Client::connect(front).await;
     let reader = c.stream.get_ref().try_clone().unwrap();
     let reader = async_io::Async::new(reader).unwrap();
     let (from, got) = (now(), Cell::new(0));
@@ -56,13 +56,17 @@
     let (result, good) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Cell::new(true)));
     let (out, fine) = (result.clone(), good.clone());
     run(|ex| async move {
-        let w = world(ex, 4).await;
-        w.all_do(Act::Say("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", vec![7; 4000]));
+        let w = start_testbed(ex, 4).await;
+        w.set_behavior(CacheBehavior::Answer(
+            "served",
+            "version=4be0c1927d55a6f3,stamp=1,detail=HIT",
+            vec![7; 4000],
+        ));
         let dir = std::env::temp_dir().join(format!("threadward-measure-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
-        let (shift, at) = door(&w, Some(&dir));
+        let (shift, at) = start_admin(&w, Some(&dir));
         w.node.keep("shift", move || shift.clone().attend());
-        until("the bulletin", || w.node.heard.get()).await;
+        wait_until("the bulletin", || w.node.heard.get()).await;
         // Overload: each connection has as many open as it may, at any time.
         for (name, every, seconds) in [("usual", 1_000_000 * CONNECTIONS / RATE, 8), ("overload", 300, 4)] {
             let (answered, from) = (Rc::new(Cell::new(0)), now());
@@ -75,7 +79,7 @@
             let lines = ["READY\n", "DISABLE s-0\n", "READY\n", "ENABLE s-0\n"];
             while now() < from + seconds * 1_000_000 {
                 let asked = now();
-                let said = ask(at, &[lines[waits.len() % lines.len()]]).await;
+                let said = admin_command(at, &[lines[waits.len() % lines.len()]]).await;
                 let wait = now() - asked;
                 fine.set(fine.get() && wait <= MOST && said.starts_with("done "));
                 waits.push(wait);
--- a/node/tests/budgets.rs
+++ b/node/tests/budgets.rs
@@ -3,7 +3,7 @@
 mod common;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
-use common::probes::{densest, load, watch};
+use common::probes::{keep_requesting, max_probes_in_5_seconds, record_probes};
 use common::*;
 use rstest::rstest;
 use std::net::{SocketAddr, UdpSocket};
@@ -34,7 +34,7 @@
         let folder = TempDir::new().unwrap();
         let file = |name: String| folder.path().join(name);
         std::fs::write(file("key".into()), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
-        let (relay, own) = (Relay::new(5, fronts.len()).unwrap(), addresses(fronts.len()));
+        let (relay, own) = (Relay::new(5, fronts.len()).unwrap(), free_addresses(fronts.len()));
         let mut proxies = Vec::new();
         for (a, reached) in relay.udp(&own).unwrap().iter().enumerate() {
             let json = config(fronts[a]).replace("\"name\":\"n0\"", &format!("\"name\":\"n{a}\""));
@@ -72,28 +72,28 @@
     let most = std::rc::Rc::new(std::cell::Cell::new(0));
     let out = most.clone();
     run(|ex| async move {
-        let c = cache(ex);
-        *c.act.borrow_mut() =
-            Act::Say("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec());
-        let (_, _, bulletin) = news(ex);
+        let c = start_cache(ex);
+        *c.behavior.borrow_mut() =
+            CacheBehavior::Answer("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec());
+        let (_, _, bulletin) = start_discovery(ex);
         let servers = [
-            server("s-0", c.at, "std", "active", 0),
-            server("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0),
+            server_entry("s-0", c.addr, "std", "active", 0),
+            server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0),
         ];
         let config = |front| {
             let json = configuration(front, bulletin, &servers);
             json.replace("inline", "on_probe").replace(r#""cancel""#, r#""probes":true,"cancel""#)
         };
-        let fronts = addresses(PROXIES);
+        let fronts = free_addresses(PROXIES);
         let fleet = Fleet::start(config, &fronts, shared);
         for p in &fleet.proxies {
-            says(p, "start: ").await;
+            wait_for_log(p, "start: ").await;
         }
         wait(300).await;
-        let times = watch(ex, &c);
-        fronts.iter().for_each(|f| load(ex, *f, REQUEST_PAUSE_US));
+        let times = record_probes(ex, &c);
+        fronts.iter().for_each(|f| keep_requesting(ex, *f, REQUEST_PAUSE_US));
         if shared {
-            until("one that divides", || fleet.dividing().len() == 1).await;
+            wait_until("one that divides", || fleet.dividing().len() == 1).await;
         }
         wait(2_500).await;
         if faults {
@@ -101,8 +101,8 @@
             // The one that divides is cut off: the other two go on with another, and it with its floor.
             let others: Vec<usize> = (0..PROXIES).filter(|i| *i != first).collect();
             fleet.relay.cut(&[first], &others);
-            until("another that divides", || fleet.dividing().iter().any(|i| *i != first)).await;
-            until("the first without authority", || !fleet.dividing().contains(&first)).await;
+            wait_until("another that divides", || fleet.dividing().iter().any(|i| *i != first)).await;
+            wait_until("the first without authority", || !fleet.dividing().contains(&first)).await;
             wait(1_500).await;
             // One message in three lost, the others late by half a lease time's third.
             let delay = Duration::from_millis(80);
@@ -110,7 +110,7 @@
             wait(2_000).await;
             fleet.relay.all(|_, _| Fault::default());
             // A holder stopped over the end of its lease, and woken.
-            until("one that divides", || fleet.dividing().len() == 1).await;
+            wait_until("one that divides", || fleet.dividing().len() == 1).await;
             let held = (fleet.dividing()[0] + 1) % PROXIES;
             fleet.proxies[held].stop().unwrap();
             wait(1_500).await;
@@ -123,11 +123,11 @@
             forged.extend([0; 16]);
             UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&forged, fleet.own[0]).unwrap();
             wait(100).await;
-            assert_eq!(counter(&fleet.proxies[0], "budgetForged").await, 1);
+            assert_eq!(read_counter(&fleet.proxies[0], "budgetForged").await, 1);
         }
         let times = times.borrow();
         assert!(times.len() >= 5, "{} probes: hardly any", times.len());
-        out.set(densest(&times));
+        out.set(max_probes_in_5_seconds(&times));
     });
     most.get()
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for the tests: caches that answer as a test says, a bulletin, and clients. All run on
-//! one executor beside the node under test.
+//! Stand-ins on loopback for the tests: caches that answer as a test says, a discovery server, and clients.
+//! They all run on one executor together with the node under test.
 #![allow(dead_code)]
 pub mod probes;
 
@@ -18,140 +18,152 @@
 use threadward::{admin, bulletin, config, front};
 use threadward_faults::{ports, Process};
 
+/// The name of the object that requests ask for unless a test names another.
 pub const OBJECT: &str = "7f3a9c21e0b4d655";
 
 /// What a stand-in cache does with a request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Answers with a word, fields and a body.
-    Say(&'static str, &'static str, Vec<u8>),
+pub enum CacheBehavior {
+    /// Answers with an outcome word, fields and a body.
+    Answer(&'static str, &'static str, Vec<u8>),
+    /// Never answers.
     Silent,
-    /// Begins an answer on this connection and never ends it, whatever else is asked there.
+    /// Begins an answer and never finishes it; everything else that is asked on the connection is ignored.
     Stall,
     /// Closes the connection.
-    Break,
+    Close,
 }
 
-pub type Seen = Rc<RefCell<Vec<Vec<String>>>>;
+/// The commands that a cache received, each as its parts.
+pub type Commands = Rc<RefCell<Vec<Vec<String>>>>;
 
+/// A stand-in cache.
 pub struct Cache {
-    pub at: SocketAddr,
-    /// Every command it was sent, as texts.
-    pub seen: Seen,
-    pub act: Rc<RefCell<Act>>,
-    /// Takes no further connections once set.
-    pub full: Rc<Cell<bool>>,
-    conns: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>>,
+    pub addr: SocketAddr,
+    /// Every command that it received.
+    pub commands: Commands,
+    pub behavior: Rc<RefCell<CacheBehavior>>,
+    /// Accepts no further connections once set.
+    pub refuses_connections: Rc<Cell<bool>>,
+    connections: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>>,
 }
 
 impl Cache {
-    /// Answers a request that was held, on every open connection.
-    pub async fn reply(&self, call: &str, body: &[u8]) {
-        let all: Vec<_> = self.conns.borrow().clone();
+    /// Answers a request that was left unanswered. The answer is written to every open connection, as the
+    /// cache does not record which one the request came on.
+    pub async fn reply(&self, call_id: &str, body: &[u8]) {
+        let connections: Vec<_> = self.connections.borrow().clone();
         let fields = b"version=4be0c1927d55a6f3,stamp=1,detail=HIT";
-        for c in all {
-            let bytes = wire::resp_write(&[call.as_bytes(), b"served", fields, body]);
-            (&*c).write_all(&bytes).await.unwrap();
+        for connection in connections {
+            let bytes = wire::resp_write(&[call_id.as_bytes(), b"served", fields, body]);
+            (&*connection).write_all(&bytes).await.unwrap();
         }
     }
 }
 
-pub struct World {
+/// A node under test with its stand-in caches and discovery server.
+pub struct Testbed {
     pub ex: &'static LocalExecutor<'static>,
     pub node: Rc<Node>,
     pub front: SocketAddr,
     pub caches: Vec<Cache>,
-    pub news: Rc<RefCell<Vec<String>>>,
-    told: Rc<Signal>,
+    pub discovery_events: Rc<RefCell<Vec<String>>>,
+    events_changed: Rc<Signal>,
 }
 
+/// Runs a test on an executor of its own.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(&'static LocalExecutor<'static>) -> F) {
     let ex: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     async_io::block_on(ex.run(test(ex)));
 }
 
+/// Listens on a free port of the loopback interface.
 pub fn listen() -> (Rc<Async<TcpListener>>, SocketAddr) {
-    let l = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
-    let at = l.get_ref().local_addr().unwrap();
-    (Rc::new(l), at)
+    let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+    let addr = listener.get_ref().local_addr().unwrap();
+    (Rc::new(listener), addr)
 }
 
-/// Unix time in milliseconds, as lists and purges name it.
+/// Returns the Unix time in milliseconds, the unit that member lists and purges use.
 pub fn unix_ms() -> u64 {
     threadward::clock::unix_now().micros() / 1000
 }
 
-/// Waits until something holds; the bound only ends a test that fails.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = now() + 10_000_000;
-    while !holds() {
-        assert!(now() < end, "never came: {what}");
+/// Waits until a condition holds. The timeout is there only to end a test that fails.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = now() + 10_000_000;
+    while !condition() {
+        assert!(now() < deadline, "timed out waiting for: {what}");
         sleep_until(now() + 2_000).await;
     }
 }
 
-/// What a future gives; the bound only ends a test that fails.
-pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
-    let late = async {
+/// Awaits a future. The timeout is there only to end a test that fails.
+pub async fn with_timeout<T>(what: &str, future: impl Future<Output = T>) -> T {
+    let timeout = async {
         sleep_until(now() + 10_000_000).await;
-        panic!("never came: {what}")
+        panic!("timed out waiting for: {what}")
     };
-    future.or(late).await
+    future.or(timeout).await
 }
 
-pub fn cache(ex: &'static LocalExecutor<'static>) -> Cache {
-    let (l, at) = listen();
-    let (seen, act) = (Seen::default(), Rc::new(RefCell::new(Act::Silent)));
-    let conns: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>> = Rc::default();
-    let open = conns.clone();
-    let full = Rc::new(Cell::new(false));
-    let (s, a, closed) = (seen.clone(), act.clone(), full.clone());
+/// Starts a stand-in cache, silent until a test sets its behavior. It answers every probe for its load.
+pub fn start_cache(ex: &'static LocalExecutor<'static>) -> Cache {
+    let (listener, addr) = listen();
+    let (commands, behavior) = (Commands::default(), Rc::new(RefCell::new(CacheBehavior::Silent)));
+    let connections: Rc<RefCell<Vec<Rc<Async<TcpStream>>>>> = Rc::default();
+    let accepted = connections.clone();
+    let refuses_connections = Rc::new(Cell::new(false));
+    let (log, behaviors, refusing) = (commands.clone(), behavior.clone(), refuses_connections.clone());
     ex.spawn(async move {
         loop {
-            let shut = async {
-                while !closed.get() {
+            let refusal = async {
+                while !refusing.get() {
                     sleep_until(now() + 2_000).await;
                 }
                 None
             };
-            let Some(taken) = async { Some(l.accept().await.unwrap()) }.or(shut).await else { return };
-            let (stream, _) = taken;
-            let (s, a, stream) = (s.clone(), a.clone(), Rc::new(stream));
-            open.borrow_mut().push(stream.clone());
+            let Some(connection) = async { Some(listener.accept().await.unwrap()) }.or(refusal).await else {
+                return;
+            };
+            let (stream, _) = connection;
+            let (log, behaviors, stream) = (log.clone(), behaviors.clone(), Rc::new(stream));
+            accepted.borrow_mut().push(stream.clone());
             ex.spawn(async move {
                 let (mut stream, mut buf, mut chunk) = (&*stream, Vec::new(), [0u8; 4096]);
                 loop {
-                    let n = stream.read(&mut chunk).await.unwrap_or(0);
-                    if n == 0 {
+                    let read = stream.read(&mut chunk).await.unwrap_or(0);
+                    if read == 0 {
                         return;
                     }
-                    buf.extend_from_slice(&chunk[..n]);
+                    buf.extend_from_slice(&chunk[..read]);
                     while let Some((parts, used)) = wire::resp(&buf).unwrap() {
                         let parts: Vec<String> =
                             parts.iter().map(|p| String::from_utf8_lossy(p).into()).collect();
                         buf.drain(..used);
-                        s.borrow_mut().push(parts.clone());
-                        let act = a.borrow().clone();
-                        match act {
-                            // There, but not well: a probe that ended, whatever else the cache does.
+                        log.borrow_mut().push(parts.clone());
+                        let behavior = behaviors.borrow().clone();
+                        match behavior {
+                            // A probe is answered with "red": the cache is up but unwell, whatever its
+                            // behavior.
                             _ if parts[0] == "gauges" => {
                                 let fields = b"use=util:0.91;x1:0.40";
                                 let answer: [&[u8]; 4] = [parts[1].as_bytes(), b"red", fields, b""];
                                 stream.write_all(&wire::resp_write(&answer)).await.ok();
                             }
                             _ if parts[0] != "serve" => {}
-                            Act::Say(word, fields, body) => {
+                            CacheBehavior::Answer(word, fields, body) => {
                                 let answer: [&[u8]; 4] =
                                     [parts[1].as_bytes(), word.as_bytes(), fields.as_bytes(), &body];
                                 stream.write_all(&wire::resp_write(&answer)).await.ok();
                             }
-                            Act::Silent => {}
-                            Act::Stall => {
+                            CacheBehavior::Silent => {}
+                            CacheBehavior::Stall => {
                                 stream.write_all(b"*4\r\n$16\r\n00").await.ok();
                                 while stream.read(&mut chunk).await.unwrap_or(0) > 0 {}
                                 return;
                             }
-                            Act::Break => {
+                            CacheBehavior::Close => {
                                 stream.get_ref().shutdown(std::net::Shutdown::Both).ok();
                                 return;
                             }
@@ -163,17 +175,18 @@
         }
     })
     .detach();
-    Cache { at, seen, act, full, conns }
+    Cache { addr, commands, behavior, refuses_connections, connections }
 }
 
-pub fn server(id: &str, at: SocketAddr, kind: &str, state: &str, started_ms: u64) -> String {
+/// Returns a server's entry in a member list.
+pub fn server_entry(id: &str, addr: SocketAddr, kind: &str, state: &str, started_ms: u64) -> String {
     let zone = if kind == "std" { "east" } else { "hub" };
     format!(
-        r#"{{"id":"{id}","addr":"{at}","zone":"{zone}","kind":"{kind}","cell":1,"state":"{state}","weight":4,"started_ms":{started_ms}}}"#
+        r#"{{"id":"{id}","addr":"{addr}","zone":"{zone}","kind":"{kind}","cell":1,"state":"{state}","weight":4,"started_ms":{started_ms}}}"#
     )
 }
 
-/// The settings of the tests; `booking` may not be repeated at all.
+/// The settings of the tests. A request of the class `booking` may not be repeated at all.
 fn settings() -> &'static str {
     r#"{"classes":[
       {"name":"media","aim":600000,"aim_stretch":1.6,"hard_limit":6000000,"importance":2,"effect":"retryable","group":"all"},
@@ -188,23 +201,29 @@
      "rules":{"answer_slack":8000,"cold":17000000,"cold_from":0.21,"drain_grace":1000000,"fall":2000000,"fall_multiple":2.5}}"#
 }
 
-pub type News = Rc<RefCell<Vec<String>>>;
-
-/// A bulletin that sends what is in the list from the number it is asked for, each event twice. The word `close` ends
-/// a connection in the middle of an event, `hush` leaves it open and silent; an event after `late:` is left out once.
-pub fn news(ex: &'static LocalExecutor<'static>) -> (News, Rc<Signal>, SocketAddr) {
-    let (l, at) = listen();
-    let (news, told) = (News::default(), Rc::new(Signal::default()));
-    let (n, t) = (news.clone(), told.clone());
+/// The events that a discovery server sends, in order; the first has number 1.
+pub type DiscoveryEvents = Rc<RefCell<Vec<String>>>;
+
+/// Starts a discovery server that sends the events of the list from the number it is asked for, each event
+/// twice. Some entries of the list are commands: `close` closes the connection in the middle of an event,
+/// `hush` leaves it open and silent after half an event, and an event after `late:` is left out the first
+/// time.
+///
+/// Returns the list, the signal to notify when the list has grown, and the address.
+pub fn start_discovery(ex: &'static LocalExecutor<'static>) -> (DiscoveryEvents, Rc<Signal>, SocketAddr) {
+    let (listener, addr) = listen();
+    let (events, events_changed) = (DiscoveryEvents::default(), Rc::new(Signal::default()));
+    let (list, changed) = (events.clone(), events_changed.clone());
     ex.spawn(async move {
-        'next: loop {
-            let (stream, _) = l.accept().await.unwrap();
+        'accept: loop {
+            let (stream, _) = listener.accept().await.unwrap();
             let (mut stream, mut buf, mut chunk) = (&stream, Vec::new(), [0u8; 4096]);
             let head = loop {
                 let read = stream.read(&mut chunk).await.unwrap_or(0);
-                // Left before it asked, by a process that ended: reading on would never wait again.
+                // The other process ended before it sent its request: reading on would spin without ever
+                // waiting.
                 if read == 0 {
-                    continue 'next;
+                    continue 'accept;
                 }
                 buf.extend_from_slice(&chunk[..read]);
                 if let Some((head, _)) = wire::http_head(&buf).unwrap() {
@@ -213,152 +232,164 @@
             };
             let mut sent: usize = head.get("last-event-id").unwrap().parse().unwrap();
             stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n:\n\n").await.unwrap();
-            'open: loop {
-                let new: Vec<String> = n.borrow()[sent..].to_vec();
-                for e in new {
+            'send: loop {
+                let unsent: Vec<String> = list.borrow()[sent..].to_vec();
+                for event in unsent {
                     sent += 1;
-                    if let Some(e) = e.strip_prefix("late:") {
-                        n.borrow_mut()[sent - 1] = e.to_owned();
+                    if let Some(event) = event.strip_prefix("late:") {
+                        list.borrow_mut()[sent - 1] = event.to_owned();
                         continue;
                     }
-                    if e == "close" || e == "hush" {
-                        // Its number is not given again.
-                        n.borrow_mut()[sent - 1] = format!(r#"{{"no":{sent}}}"#);
+                    if event == "close" || event == "hush" {
+                        // The number is used up: an empty event takes the place of the command.
+                        list.borrow_mut()[sent - 1] = format!(r#"{{"no":{sent}}}"#);
                         stream.write_all(b"id: 99\ndata: {\"no\":99,\"recall\"").await.ok();
-                        while e == "hush" && stream.read(&mut chunk).await.unwrap_or(0) > 0 {}
-                        break 'open;
+                        while event == "hush" && stream.read(&mut chunk).await.unwrap_or(0) > 0 {}
+                        break 'send;
                     }
-                    let block = format!("id: {sent}\ndata: {e}\n\n").repeat(2);
+                    let block = format!("id: {sent}\ndata: {event}\n\n").repeat(2);
                     if stream.write_all(block.as_bytes()).await.is_err() {
-                        break 'open;
+                        break 'send;
                     }
                 }
-                // One that is left makes way for the next.
-                let left = async { stream.read(&mut chunk).await.unwrap_or(0) == 0 };
-                if async { (t.wait().await, false).1 }.or(left).await {
+                // A connection that the other side has closed makes way for the next.
+                let closed = async { stream.read(&mut chunk).await.unwrap_or(0) == 0 };
+                if async { (changed.wait().await, false).1 }.or(closed).await {
                     break;
                 }
             }
         }
     })
     .detach();
-    (news, told, at)
+    (events, events_changed, addr)
 }
 
-pub fn configuration(front: SocketAddr, bulletin: SocketAddr, servers: &[String]) -> String {
+/// Returns the configuration of a proxy that knows these servers from the start.
+pub fn configuration(front: SocketAddr, discovery: SocketAddr, servers: &[String]) -> String {
     format!(
-        r#"{{"name":"n0","listen":"{front}","seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":1024}},"bulletin":"{bulletin}",
+        r#"{{"name":"n0","listen":"{front}","seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":1024}},"bulletin":"{discovery}",
           "known":{{"no":0,"items":[{{"no":0,"roster":{{"version":1,"full":true,"servers":[{}]}}}}]}},"settings":{}}}"#,
         servers.join(","),
         settings()
     )
 }
 
-/// A node with as many caches, all ready, an origin behind them and a bulletin.
-pub async fn world(ex: &'static LocalExecutor<'static>, caches: usize) -> World {
-    small_world(ex, caches, 1024).await
+/// Starts a node with so many caches, all ready, an origin behind them and a discovery server.
+pub async fn start_testbed(ex: &'static LocalExecutor<'static>, caches: usize) -> Testbed {
+    start_testbed_with_sockets(ex, caches, 1024).await
 }
 
-/// The same with as many descriptors.
-pub async fn small_world(ex: &'static LocalExecutor<'static>, caches: usize, sockets: usize) -> World {
-    world_with(ex, caches, |json| json.replace("1024", &sockets.to_string())).await
+/// Starts the same with another limit on descriptors.
+pub async fn start_testbed_with_sockets(
+    ex: &'static LocalExecutor<'static>,
+    caches: usize,
+    sockets: usize,
+) -> Testbed {
+    start_testbed_with_config(ex, caches, |json| json.replace("1024", &sockets.to_string())).await
 }
 
-/// The same with another configuration.
-pub async fn world_with(
+/// Starts the same with a configuration that `change` has changed.
+pub async fn start_testbed_with_config(
     ex: &'static LocalExecutor<'static>,
     caches: usize,
-    other: impl FnOnce(String) -> String,
-) -> World {
-    let caches: Vec<Cache> = (0..caches).map(|_| cache(ex)).collect();
-    let (news, told, at) = news(ex);
-    let (l, front) = listen();
-    let mut all: Vec<String> =
-        caches.iter().enumerate().map(|(i, c)| server(&format!("s-{i}"), c.at, "std", "active", 0)).collect();
-    all.push(server("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
-    let json = other(configuration(front, at, &all));
+    change: impl FnOnce(String) -> String,
+) -> Testbed {
+    let caches: Vec<Cache> = (0..caches).map(|_| start_cache(ex)).collect();
+    let (discovery_events, events_changed, discovery) = start_discovery(ex);
+    let (listener, front) = listen();
+    let mut servers: Vec<String> = caches
+        .iter()
+        .enumerate()
+        .map(|(i, c)| server_entry(&format!("s-{i}"), c.addr, "std", "active", 0))
+        .collect();
+    servers.push(server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
+    let json = change(configuration(front, discovery, &servers));
     let node = Node::new(config::parse(&json).unwrap(), ex);
-    for b in node.config.known.clone() {
-        bulletin::apply(&node, b, true);
+    for event in node.config.known.clone() {
+        bulletin::apply(&node, event, true);
     }
-    node.spawn("front", front::serve(node.clone(), l));
+    node.spawn("front", front::serve(node.clone(), listener));
     node.spawn("bulletin", bulletin::follow(node.clone()));
-    World { ex, node, front, caches, news, told }
+    Testbed { ex, node, front, caches, discovery_events, events_changed }
 }
 
-impl World {
-    /// Ends the bulletin's connection, by `close` or `hush`.
-    pub fn hang_up(&self, how: &str) {
-        self.news.borrow_mut().push(how.into());
-        self.told.notify();
+impl Testbed {
+    /// Ends the connection to the discovery server as `how` says, `close` or `hush` (see
+    /// [`start_discovery`]).
+    pub fn end_discovery_connection(&self, how: &str) {
+        self.discovery_events.borrow_mut().push(how.into());
+        self.events_changed.notify();
     }
 
-    /// An event that is left out until it is asked for again.
-    pub fn hold_back(&self, event: &str) {
-        let no = self.news.borrow().len() + 1;
-        self.news.borrow_mut().push(format!(r#"late:{{"no":{no},{event}}}"#));
+    /// Adds an event that the discovery server leaves out until it is asked for it again.
+    pub fn push_withheld_event(&self, event: &str) {
+        let no = self.discovery_events.borrow().len() + 1;
+        self.discovery_events.borrow_mut().push(format!(r#"late:{{"no":{no},{event}}}"#));
     }
 
-    /// Tells an event and waits until the node has heard it.
-    pub async fn tell(&self, event: &str) {
+    /// Sends an event and waits until the node has received it.
+    pub async fn publish_event(&self, event: &str) {
         let before = self.node.plan(|p, _| p.epoch());
-        let no = self.news.borrow().len() + 1;
-        self.news.borrow_mut().push(format!(r#"{{"no":{no},{event}}}"#));
-        self.told.notify();
-        until("the event", || self.node.plan(|p, _| p.epoch()) > before).await;
+        let no = self.discovery_events.borrow().len() + 1;
+        self.discovery_events.borrow_mut().push(format!(r#"{{"no":{no},{event}}}"#));
+        self.events_changed.notify();
+        wait_until("the event", || self.node.plan(|p, _| p.epoch()) > before).await;
     }
 
-    pub fn all_do(&self, act: Act) {
-        for c in &self.caches {
-            *c.act.borrow_mut() = act.clone();
+    /// Sets what every cache does with requests from now on.
+    pub fn set_behavior(&self, behavior: CacheBehavior) {
+        for cache in &self.caches {
+            *cache.behavior.borrow_mut() = behavior.clone();
         }
     }
 
-    /// All requests that reached the caches.
-    pub fn sent(&self) -> Vec<Vec<String>> {
-        let all = self.caches.iter().flat_map(|c| c.seen.borrow().clone());
+    /// Returns all requests that reached the caches, without cancels and probes.
+    pub fn received_requests(&self) -> Vec<Vec<String>> {
+        let all = self.caches.iter().flat_map(|c| c.commands.borrow().clone());
         all.filter(|p| p[0] == "serve").collect()
     }
 }
 
-pub fn put_text(out: &mut Vec<u8>, s: &str) {
-    out.extend([0xd9, s.len() as u8]);
-    out.extend(s.as_bytes());
+/// Appends a MessagePack string of up to 255 bytes.
+pub fn put_text(out: &mut Vec<u8>, text: &str) {
+    out.extend([0xd9, text.len() as u8]);
+    out.extend(text.as_bytes());
 }
 
-/// A request frame with the usual fields; `more` replaces or adds fields.
+/// Returns a request frame with the usual fields; `more` replaces or adds fields.
 pub fn request(id: u32, class: &str, more: &[(&str, &str)]) -> Vec<u8> {
-    let call = format!("{id:016x}");
+    let call_id = format!("{id:016x}");
     let mut fields =
-        vec![("call", call.as_str()), ("ttl", "2000"), ("row", OBJECT), ("seg", "3"), ("bucket", "17")];
-    for m in more {
-        fields.retain(|f| f.0 != m.0);
-        fields.push(*m);
+        vec![("call", call_id.as_str()), ("ttl", "2000"), ("row", OBJECT), ("seg", "3"), ("bucket", "17")];
+    for field in more {
+        fields.retain(|f| f.0 != field.0);
+        fields.push(*field);
     }
     let mut out = vec![0x94, 0x00, 0xce];
     out.extend(id.to_be_bytes());
     put_text(&mut out, class);
     out.extend([0x92, 0x80 | fields.len() as u8]);
-    for (n, v) in fields {
-        put_text(&mut out, n);
-        put_text(&mut out, v);
+    for (name, value) in fields {
+        put_text(&mut out, name);
+        put_text(&mut out, value);
     }
     out.extend([0xc4, 0]);
     out
 }
 
+/// A client of the proxy.
 pub struct Client {
     pub stream: Async<TcpStream>,
     buf: Vec<u8>,
 }
 
 impl Client {
-    pub async fn to(at: SocketAddr) -> Client {
-        Client::on(Async::<TcpStream>::connect(at).await.unwrap())
+    pub async fn connect(front: SocketAddr) -> Client {
+        Client::from_stream(Async::<TcpStream>::connect(front).await.unwrap())
     }
 
-    /// On a connection that stands.
-    pub fn on(stream: Async<TcpStream>) -> Client {
+    /// Uses a connection that is already established.
+    pub fn from_stream(stream: Async<TcpStream>) -> Client {
         Client { stream, buf: Vec::new() }
     }
 
@@ -366,15 +397,16 @@
         (&self.stream).write_all(bytes).await.unwrap();
     }
 
-    /// Some more bytes; nothing at the end.
-    async fn more(&mut self) -> bool {
+    /// Reads some more bytes; returns false at the end of the stream.
+    async fn read_more(&mut self) -> bool {
         let mut chunk = [0u8; 4096];
         let n = (&self.stream).read(&mut chunk).await.unwrap_or(0);
         self.buf.extend_from_slice(&chunk[..n]);
         n > 0
     }
 
-    /// The next answer: its id, the error's word if it is one, the body.
+    /// Returns the next answer: its id, the error word if it is an error, and the body. `None` at the end of
+    /// the stream.
     pub async fn answer(&mut self) -> Option<(u32, Option<String>, Vec<u8>)> {
         loop {
             let found = match wire::value(&self.buf).unwrap() {
@@ -403,85 +435,86 @@
                 self.buf.drain(..used);
                 return Some(answer);
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
-    /// The next HTTP answer: status, head as text, body.
+    /// Returns the next HTTP answer: status, head as text, and body. `None` at the end of the stream.
     pub async fn http(&mut self) -> Option<(u16, String, Vec<u8>)> {
         loop {
             if let Some((head, used)) = wire::http_head(&self.buf).unwrap() {
-                let n: usize = head.get("content-length").map_or(0, |n| n.parse().unwrap());
-                if self.buf.len() >= used + n {
+                let length: usize = head.get("content-length").map_or(0, |n| n.parse().unwrap());
+                if self.buf.len() >= used + length {
                     let text = String::from_utf8_lossy(&self.buf[..used]).into_owned();
-                    let body = self.buf[used..used + n].to_vec();
-                    self.buf.drain(..used + n);
+                    let body = self.buf[used..used + length].to_vec();
+                    self.buf.drain(..used + length);
                     return Some((head.start[1].parse().unwrap(), text, body));
                 }
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 }
 
-/// A whole answer from a copy that a cache held.
-pub fn served() -> Act {
-    Act::Say("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec())
+/// Answers in full from a copy that the cache held.
+pub fn served() -> CacheBehavior {
+    CacheBehavior::Answer("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec())
 }
 
-/// Opens a door on this world's node, as the program does.
-pub fn door(w: &World, folder: Option<&Path>) -> (Rc<Shift>, SocketAddr) {
-    let shift = Shift::new(w.node.clone(), folder);
-    let (l, at) = listen();
+/// Opens the admin socket of the node under test, as the program does.
+pub fn start_admin(testbed: &Testbed, folder: Option<&Path>) -> (Rc<Shift>, SocketAddr) {
+    let shift = Shift::new(testbed.node.clone(), folder);
+    let (listener, addr) = listen();
     shift.listening.set(true);
-    let (n, s) = (w.node.clone(), shift.clone());
-    w.node.keep("door", move || admin::serve(n.clone(), s.clone(), l.clone()));
-    (shift, at)
+    let (node, state) = (testbed.node.clone(), shift.clone());
+    testbed.node.keep("door", move || admin::serve(node.clone(), state.clone(), listener.clone()));
+    (shift, addr)
 }
 
-/// One call at a door, sent in these pieces; where they hold no newline the end of the stream ends it.
-pub async fn ask(at: SocketAddr, pieces: &[&str]) -> String {
-    let mut s = Async::<TcpStream>::connect(at).await.unwrap();
-    for (i, p) in pieces.iter().enumerate() {
+/// Sends a command to an admin socket in these pieces, a short while apart, and returns the answer. Where the
+/// pieces hold no newline, the end of the stream ends the command.
+pub async fn admin_command(admin: SocketAddr, pieces: &[&str]) -> String {
+    let mut stream = Async::<TcpStream>::connect(admin).await.unwrap();
+    for (i, piece) in pieces.iter().enumerate() {
         if i > 0 {
             sleep_until(now() + 3_000).await;
         }
-        s.write_all(p.as_bytes()).await.unwrap();
+        stream.write_all(piece.as_bytes()).await.unwrap();
     }
     if !pieces.concat().contains('\n') {
-        s.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
+        stream.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
-    let mut said = String::new();
-    s.read_to_string(&mut said).await.unwrap();
-    said
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await.unwrap();
+    answer
 }
 
-/// As many addresses for processes of the program.
-pub fn addresses(n: usize) -> Vec<SocketAddr> {
+/// Returns `n` free addresses for processes of the program.
+pub fn free_addresses(n: usize) -> Vec<SocketAddr> {
     ports::free(n).unwrap()
 }
 
-/// Waits for a line of a process without blocking the executor that the stand-ins run on.
-pub async fn says(p: &Process, what: &str) {
-    let end = now() + 10_000_000;
-    while !p.text().contains(what) {
-        assert!(now() < end, "never said '{what}':\n{}", p.text());
+/// Waits until a process has logged this text, without blocking the executor that the stand-ins run on.
+pub async fn wait_for_log(process: &Process, text: &str) {
+    let deadline = now() + 10_000_000;
+    while !process.text().contains(text) {
+        assert!(now() < deadline, "never logged '{text}':\n{}", process.text());
         sleep_until(now() + 5_000).await;
     }
 }
 
-/// A counter's present value; what is zero is left out.
-pub async fn counter(p: &Process, name: &str) -> u64 {
-    let lines = |t: &str| t.lines().filter(|l| l.starts_with("counters: ")).count();
-    let before = lines(&p.text());
-    p.signal(threadward_faults::Signal::USR1).unwrap();
-    until("the counters", || lines(&p.text()) > before).await;
-    let text = p.text();
-    let line = text.lines().rfind(|l| l.starts_with("counters: ")).unwrap();
+/// Makes a process log its counters and returns the value of one. A counter that the log leaves out is zero.
+pub async fn read_counter(process: &Process, name: &str) -> u64 {
+    let lines = |log: &str| log.lines().filter(|l| l.starts_with("counters: ")).count();
+    let before = lines(&process.text());
+    process.signal(threadward_faults::Signal::USR1).unwrap();
+    wait_until("the counters", || lines(&process.text()) > before).await;
+    let log = process.text();
+    let line = log.lines().rfind(|l| l.starts_with("counters: ")).unwrap();
     let found = line.split(' ').find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
     found.map_or(0, |n| n.parse().unwrap())
 }
--- a/node/tests/common/probes.rs
+++ b/node/tests/common/probes.rs
@@ -1,4 +1,5 @@
-//! Requests that make every proxy probe as often as it may, and a look at what a stand-in cache was probed.
+//! Load that makes every proxy probe as often as it may, and a record of the probes that reach a stand-in
+//! cache.
 use super::{request, Cache};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -8,16 +9,16 @@
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
 
-/// When a cache was probed, in microseconds.
+/// The times at which a cache was probed, in microseconds.
 pub type ProbeTimes = Rc<RefCell<Vec<u64>>>;
 
-/// Asks a proxy again and again, the next time so long after each answer. A proxy that is not there, or ends, is asked
-/// once it is there again.
-pub fn load(ex: &'static LocalExecutor<'static>, front: SocketAddr, pause_us: u64) {
+/// Sends requests to a proxy without end, each one `pause_us` after the answer to the previous one. A proxy
+/// that is not up, or ends, gets requests again once it is up.
+pub fn keep_requesting(ex: &'static LocalExecutor<'static>, front: SocketAddr, pause_us: u64) {
     ex.spawn(async move {
         loop {
             if let Ok(stream) = Async::<TcpStream>::connect(front).await {
-                ask_until_it_ends(super::Client::on(stream), pause_us).await;
+                send_requests_until_closed(super::Client::from_stream(stream), pause_us).await;
             }
             sleep_until(now() + 10_000).await;
         }
@@ -25,7 +26,7 @@
     .detach();
 }
 
-async fn ask_until_it_ends(mut client: super::Client, pause_us: u64) {
+async fn send_requests_until_closed(mut client: super::Client, pause_us: u64) {
     for id in 1.. {
         let sent = (&client.stream).write_all(&request(id, "media", &[])).await;
         if sent.is_err() || client.answer().await.is_none() {
@@ -35,14 +36,14 @@
     }
 }
 
-/// Takes the probes of a cache as they come.
-pub fn watch(ex: &'static LocalExecutor<'static>, cache: &Cache) -> ProbeTimes {
-    let (seen, times) = (cache.seen.clone(), ProbeTimes::default());
-    let all = times.clone();
+/// Records the probes of a cache as they come. Takes the recorded commands out of the cache.
+pub fn record_probes(ex: &'static LocalExecutor<'static>, cache: &Cache) -> ProbeTimes {
+    let (commands, times) = (cache.commands.clone(), ProbeTimes::default());
+    let recorded = times.clone();
     ex.spawn(async move {
         loop {
-            let new = seen.borrow_mut().drain(..).filter(|p| p[0] == "gauges").count();
-            all.borrow_mut().extend(std::iter::repeat_n(now(), new));
+            let new = commands.borrow_mut().drain(..).filter(|p| p[0] == "gauges").count();
+            recorded.borrow_mut().extend(std::iter::repeat_n(now(), new));
             sleep_until(now() + 5_000).await;
         }
     })
@@ -50,8 +51,8 @@
     times
 }
 
-/// The most probes in any five seconds.
-pub fn densest(times: &[u64]) -> usize {
-    let within = |i: usize| times[i..].iter().take_while(|t| **t < times[i] + 5_000_000).count();
-    (0..times.len()).map(within).max().unwrap_or(0)
+/// Returns the highest number of probes in any five seconds.
+pub fn max_probes_in_5_seconds(times: &[u64]) -> usize {
+    let count_from = |i: usize| times[i..].iter().take_while(|t| **t < times[i] + 5_000_000).count();
+    (0..times.len()).map(count_from).max().unwrap_or(0)
 }
--- a/node/tests/control.rs
+++ b/node/tests/control.rs
@@ -4,7 +4,7 @@
 mod common;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
-use common::probes::{densest, load, watch, ProbeTimes};
+use common::probes::{keep_requesting, max_probes_in_5_seconds, record_probes, ProbeTimes};
 use common::*;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -49,7 +49,7 @@
     fn start(config: impl Fn(SocketAddr) -> String, fronts: &[SocketAddr], shared: bool) -> Fleet {
         let folder = TempDir::new().unwrap();
         std::fs::write(folder.path().join("key"), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
-        let (relay, own) = (Relay::new(5, PROXIES).unwrap(), addresses(PROXIES));
+        let (relay, own) = (Relay::new(5, PROXIES).unwrap(), free_addresses(PROXIES));
         for (place, reached) in relay.udp(&own).unwrap().iter().enumerate() {
             let json = config(fronts[place]).replace("\"name\":\"n0\"", &format!("\"name\":\"n{place}\""));
             std::fs::write(folder.path().join(format!("{place}.json")), json).unwrap();
@@ -95,7 +95,7 @@
     async fn probes_of(&self, places: &[usize]) -> u64 {
         let mut sum = 0;
         for place in places {
-            sum += counter(&self.proxies[*place], "loadProbes").await;
+            sum += read_counter(&self.proxies[*place], "loadProbes").await;
         }
         sum
     }
@@ -171,27 +171,27 @@
 
     /// Somebody without the key asks for everything in the name of a proxy.
     async fn forge(&self) {
-        let before = counter(&self.proxies[0], "budgetForged").await;
+        let before = read_counter(&self.proxies[0], "budgetForged").await;
         let (level, group, seat) = (Level::Site, 0, 0);
         let mut forged = Frame { level, group, seat, hops: 0, origin: 1, message: &[6; 11] }.encode();
         forged.extend([0; 16]);
         UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&forged, self.own[0]).unwrap();
         wait(200).await;
-        assert_eq!(counter(&self.proxies[0], "budgetForged").await, before + 1);
+        assert_eq!(read_counter(&self.proxies[0], "budgetForged").await, before + 1);
     }
 
     /// What was counted agrees with what was to be seen, and a planned end is one.
     async fn counters_and_end(&self) {
         for place in 0..PROXIES {
-            assert_eq!(counter(&self.proxies[place], "budgetMalformed").await, 0, "of {place}");
-            assert!(counter(&self.proxies[place], "budgetBytes").await > 0, "of {place}");
+            assert_eq!(read_counter(&self.proxies[place], "budgetMalformed").await, 0, "of {place}");
+            assert!(read_counter(&self.proxies[place], "budgetBytes").await > 0, "of {place}");
         }
         for (what, name) in [
             ("the fleet", "budgetElected"),
             ("region south", "budgetRegionElected"),
             ("site gru", "budgetSiteElected"),
         ] {
-            assert!(counter(&self.proxies[self.leaders(what)[0]], name).await > 0, "{name}");
+            assert!(read_counter(&self.proxies[self.leaders(what)[0]], name).await > 0, "{name}");
         }
         let leaving = self.leaders("site gru")[0];
         self.proxies[leaving].term().unwrap();
@@ -232,24 +232,24 @@
 
 /// A fleet under load whose probes of one cache are watched.
 async fn begin(ex: &'static async_executor::LocalExecutor<'static>, shared: bool) -> (Fleet, ProbeTimes) {
-    let cache = cache(ex);
-    *cache.act.borrow_mut() = served();
-    let (_, _, bulletin) = news(ex);
+    let cache = start_cache(ex);
+    *cache.behavior.borrow_mut() = served();
+    let (_, _, bulletin) = start_discovery(ex);
     let servers = [
-        server("s-0", cache.at, "std", "active", 0),
-        server("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0),
+        server_entry("s-0", cache.addr, "std", "active", 0),
+        server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0),
     ];
     let config = |front| {
         let json = configuration(front, bulletin, &servers);
         json.replace("inline", "on_probe").replace(r#""cancel""#, r#""probes":true,"cancel""#)
     };
-    let fronts = addresses(PROXIES);
+    let fronts = free_addresses(PROXIES);
     let fleet = Fleet::start(config, &fronts, shared);
     for proxy in &fleet.proxies {
-        says(proxy, "start: ").await;
+        wait_for_log(proxy, "start: ").await;
     }
-    let times = watch(ex, &cache);
-    fronts.iter().for_each(|front| load(ex, *front, REQUEST_PAUSE_US));
+    let times = record_probes(ex, &cache);
+    fronts.iter().for_each(|front| keep_requesting(ex, *front, REQUEST_PAUSE_US));
     (fleet, times)
 }
 
@@ -268,7 +268,7 @@
         fleet.counters_and_end().await;
         let times = times.borrow();
         assert!(times.len() >= 20, "{} probes: hardly any", times.len());
-        let seen = densest(&times);
+        let seen = max_probes_in_5_seconds(&times);
         println!("{seen} probes in the densest five seconds, {MOST} at most; {} in all", times.len());
         assert!(seen <= MOST, "{seen} probes in five seconds, {MOST} at most");
     });
@@ -279,7 +279,7 @@
     run(|ex| async move {
         let (fleet, times) = begin(ex, false).await;
         wait(6_000).await;
-        let seen = densest(&times.borrow());
+        let seen = max_probes_in_5_seconds(&times.borrow());
         assert!(seen > MOST, "{seen} probes in five seconds: the test of the whole could not fail");
         drop(fleet);
     });
--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -107,9 +107,9 @@
     v.to_string()
 }
 
-async fn world_at(ex: Ex, caches: usize, at: SocketAddr) -> World {
-    let w = world_with(ex, caches, |json| with_bulletin(&json, at)).await;
-    w.all_do(served());
+async fn world_at(ex: Ex, caches: usize, at: SocketAddr) -> Testbed {
+    let w = start_testbed_with_config(ex, caches, |json| with_bulletin(&json, at)).await;
+    w.set_behavior(served());
     w
 }
 
@@ -117,16 +117,16 @@
     node.reload(&config::parse(&configuration(node.config.listen, at, &[])).unwrap())
 }
 
-fn count(w: &World, c: Counter) -> u64 {
+fn count(w: &Testbed, c: Counter) -> u64 {
     w.node.plan(|p, _| p.counters.get(c))
 }
 
-async fn heard(w: &World, no: u64) {
-    until("the event", || w.node.last_event.get() == no).await;
+async fn heard(w: &Testbed, no: u64) {
+    wait_until("the event", || w.node.last_event.get() == no).await;
 }
 
-fn drain(w: &World, no: u64) -> String {
-    told(no, &list(false, &[server("s-0", w.caches[0].at, "std", "leaving", 0)]))
+fn drain(w: &Testbed, no: u64) -> String {
+    told(no, &list(false, &[server_entry("s-0", w.caches[0].addr, "std", "leaving", 0)]))
 }
 
 fn list(full: bool, servers: &[String]) -> String {
@@ -134,14 +134,14 @@
 }
 
 /// From here on the first of two caches gets nothing.
-async fn drain_is_kept(w: &World) {
-    let before = w.caches[0].seen.borrow().len();
-    let mut c = Client::to(w.front).await;
+async fn drain_is_kept(w: &Testbed) {
+    let before = w.caches[0].commands.borrow().len();
+    let mut c = Client::connect(w.front).await;
     for id in 1..20 {
         c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
     }
-    assert_eq!(w.caches[0].seen.borrow().len(), before, "sent to a cache that drains");
+    assert_eq!(w.caches[0].commands.borrow().len(), before, "sent to a cache that drains");
 }
 
 /// However the first calls go, a drain told meanwhile is applied before it counts as told, once, and calls keep apart.
@@ -208,7 +208,7 @@
         if moved {
             assert!(move_to(&w.node, other).contains("moved to"));
         } else {
-            until("given up", || count(&w, Counter::DiscoveryLosses) > 0).await;
+            wait_until("given up", || count(&w, Counter::DiscoveryLosses) > 0).await;
             drop(full);
             let calls =
                 scripted(ex, Rc::new(Async::new(l).unwrap()), vec![vec![say(OK), say(&purge(1)), Hold]]);
@@ -246,10 +246,10 @@
         let (calls, w) = if moved {
             let (calls, at) = listening(ex, vec![old]);
             let w = world_at(ex, 1, at).await;
-            until("half an event", || w.node.heard.get()).await;
+            wait_until("half an event", || w.node.heard.get()).await;
             let (new, to) = listening(ex, vec![new]);
             move_to(&w.node, to);
-            until("the new watch", || !new.borrow().is_empty()).await;
+            wait_until("the new watch", || !new.borrow().is_empty()).await;
             (calls, w)
         } else {
             let (calls, at) = listening(ex, vec![old, new]);
@@ -279,7 +279,7 @@
         };
         let (calls, at) = listening(ex, vec![script(&gates[0]), script(&gates[1])]);
         let w = world_at(ex, 1, at).await;
-        until("the second call", || calls.borrow().len() == 2).await;
+        wait_until("the second call", || calls.borrow().len() == 2).await;
         gates[first][0].notify();
         heard(&w, 1).await;
         gates[1 - first].iter().for_each(|g| g.notify());
@@ -306,12 +306,12 @@
         let w = world_at(ex, 1, at).await;
         heard(&w, 1).await;
         let begun = now();
-        let down: SocketAddr = addresses(1)[0];
+        let down: SocketAddr = free_addresses(1)[0];
         move_to(&w.node, if how == 2 { down } else { to });
         match how {
             0 => {}
-            1 => until("the other", || !other.borrow().is_empty()).await,
-            _ => until("some tries", || count(&w, Counter::DiscoveryLosses) >= 4).await,
+            1 => wait_until("the other", || !other.borrow().is_empty()).await,
+            _ => wait_until("some tries", || count(&w, Counter::DiscoveryLosses) >= 4).await,
         }
         let (took, tries) = (now() - begun, count(&w, Counter::DiscoveryLosses));
         assert!(tries <= 2 + took / 50_000, "{tries} tries in {took} us");
@@ -349,7 +349,7 @@
 #[test]
 fn a_drain_within_the_second_of_the_return() {
     run(|ex| async move {
-        let at: SocketAddr = addresses(1)[0];
+        let at: SocketAddr = free_addresses(1)[0];
         let w = world_at(ex, 2, at).await;
         sleep_until(now() + 8 * S).await;
         let back = now();
@@ -413,7 +413,7 @@
     run(|ex| async move {
         let (_, to) = listening(ex, vec![vec![say(OK), say(&purge(1)), Hold]]);
         let w = world_at(ex, 1, at).await;
-        until("the flood", || w.node.heard.get()).await;
+        wait_until("the flood", || w.node.heard.get()).await;
         let mut longest = 0;
         for _ in 0..10 {
             let before = now();
@@ -440,18 +440,18 @@
 #[case::starts_in_the_future("\"started_ms\":0", "\"started_ms\":18446744073709551")]
 fn unusual_values_in_a_list(#[case] usual: &str, #[case] value: &str) {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(served());
-        let odd = server("s-0", w.caches[0].at, "std", "active", 0).replace(usual, value);
-        let usual = server("s-1", w.caches[1].at, "std", "active", 0);
-        w.tell(&list(true, &[odd, usual])).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(served());
+        let odd = server_entry("s-0", w.caches[0].addr, "std", "active", 0).replace(usual, value);
+        let usual = server_entry("s-1", w.caches[1].addr, "std", "active", 0);
+        w.publish_event(&list(true, &[odd, usual])).await;
+        let mut c = Client::connect(w.front).await;
         for id in 1..20 {
             c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
             assert_eq!(c.answer().await.unwrap().0, id);
         }
         assert_eq!((count(&w, Counter::Panics), count(&w, Counter::Malformed)), (0, 0));
-        assert!(!w.caches[1].seen.borrow().is_empty(), "the usual one serves");
+        assert!(!w.caches[1].commands.borrow().is_empty(), "the usual one serves");
     });
 }
 
@@ -459,12 +459,12 @@
 #[test]
 fn a_change_of_a_very_long_list() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
+        let w = start_testbed(ex, 1).await;
         let at = |i: usize| ([127, 1, (i >> 8) as u8, i as u8], 9).into();
         for state in ["active", "left"] {
             let all: Vec<String> =
-                (0..11_000).map(|i| server(&format!("x-{i}"), at(i), "unheard-of", state, 0)).collect();
-            w.tell(&list(false, &all)).await;
+                (0..11_000).map(|i| server_entry(&format!("x-{i}"), at(i), "unheard-of", state, 0)).collect();
+            w.publish_event(&list(false, &all)).await;
         }
         assert_eq!((w.node.pool.listed(), count(&w, Counter::Malformed)), (2, 0));
     });
@@ -483,27 +483,28 @@
 #[case::another_then_left_in_two("new;left")]
 fn a_list_takes_a_server_with_an_attempt_out(#[case] how: &str) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let (at, other) = (w.caches[0].at, cache(ex));
-        *other.act.borrow_mut() = Act::Say("served", "version=bb,stamp=1,detail=HIT", b"other".to_vec());
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        let (at, other) = (w.caches[0].addr, start_cache(ex));
+        *other.behavior.borrow_mut() =
+            CacheBehavior::Answer("served", "version=bb,stamp=1,detail=HIT", b"other".to_vec());
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[("ttl", "5900")])).await;
-        until("the attempt", || !w.sent().is_empty()).await;
-        let call = w.sent()[0][1].clone();
+        wait_until("the attempt", || !w.received_requests().is_empty()).await;
+        let call = w.received_requests()[0][1].clone();
         for part in how.split(';') {
             let one = |word: &str| match word {
-                "whole" => server("s-9", other.at, "std", "active", 0),
-                "new" => server("s-9", at, "std", "active", 1),
-                "again" => server("s-0", at, "std", "active", 1),
-                word => server("s-0", at, "std", word, 0),
+                "whole" => server_entry("s-9", other.addr, "std", "active", 0),
+                "new" => server_entry("s-9", at, "std", "active", 1),
+                "again" => server_entry("s-0", at, "std", "active", 1),
+                word => server_entry("s-0", at, "std", word, 0),
             };
             let servers: Vec<String> = part.split(',').map(one).collect();
-            w.tell(&list(part == "whole", &servers)).await;
+            w.publish_event(&list(part == "whole", &servers)).await;
         }
         w.caches[0].reply(&call, b"of before").await;
         assert_eq!(c.answer().await, Some((1, None, b"of before".to_vec())));
         w.caches[0].reply(&call, b"once more").await;
-        w.all_do(Act::Say("served", "version=cc,stamp=1,detail=HIT", b"new".to_vec()));
+        w.set_behavior(CacheBehavior::Answer("served", "version=cc,stamp=1,detail=HIT", b"new".to_vec()));
         c.send(&request(2, "media", &[])).await;
         let (id, word, body) = c.answer().await.unwrap();
         let wanted: (Option<&str>, &[u8]) = match how {
@@ -523,9 +524,11 @@
 #[case::left("left", 150_000, false)]
 fn a_drain_against_an_attempt_unwritten(#[case] state: &str, #[case] waits: Micros, #[case] sent: bool) {
     run(|ex| async move {
-        let w =
-            world_with(ex, 2, |json| json.replace("\"drain_grace\":1000000", "\"drain_grace\":50000")).await;
-        w.all_do(served());
+        let w = start_testbed_with_config(ex, 2, |json| {
+            json.replace("\"drain_grace\":1000000", "\"drain_grace\":50000")
+        })
+        .await;
+        w.set_behavior(served());
         let answers = Rc::new(RefCell::new(Vec::new()));
         let into = answers.clone();
         let ask = threadward_core::ClientRequest {
@@ -544,13 +547,18 @@
             .caches
             .iter()
             .enumerate()
-            .map(|(i, c)| server(&format!("s-{i}"), c.at, "std", state, 0))
+            .map(|(i, c)| server_entry(&format!("s-{i}"), c.addr, "std", state, 0))
             .collect();
         let text = format!(r#"{{"no":1,{}}}"#, list(false, &both));
         let (_, b) = config::event(&serde_json::from_str(&text).unwrap(), &w.node.config.names).unwrap();
         bulletin::apply(&w.node, b.unwrap(), false);
-        until("the answer", || !answers.borrow().is_empty()).await;
-
-        assert_eq!((answers.borrow().len(), !w.sent().is_empty()), (1, sent), "{:?}", answers.borrow());
+        wait_until("the answer", || !answers.borrow().is_empty()).await;
+
+        assert_eq!(
+            (answers.borrow().len(), !w.received_requests().is_empty()),
+            (1, sent),
+            "{:?}",
+            answers.borrow()
+        );
     });
 }
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -116,13 +116,15 @@
 }
 
 /// A node before these caches, with values changed in its settings. `booking` is keyed: window and deadline 2 s.
-async fn before(ex: &'static LocalExecutor<'static>, caches: &[&Hand], more: &[(&str, Value)]) -> World {
+async fn before(ex: &'static LocalExecutor<'static>, caches: &[&Hand], more: &[(&str, Value)]) -> Testbed {
     let servers: Vec<Value> = caches
         .iter()
         .enumerate()
-        .map(|(i, c)| serde_json::from_str(&server(&format!("c-{i}"), c.at, "std", "active", 0)).unwrap())
+        .map(|(i, c)| {
+            serde_json::from_str(&server_entry(&format!("c-{i}"), c.at, "std", "active", 0)).unwrap()
+        })
         .collect();
-    world_with(ex, 0, |text| {
+    start_testbed_with_config(ex, 0, |text| {
         let mut v: Value = serde_json::from_str(&text).unwrap();
         v["known"]["items"][0]["roster"]["servers"] = servers.into();
         v["settings"]["limits"]["connect_timeout"] = json!(6_000_000);
@@ -138,7 +140,7 @@
     .await
 }
 
-fn count(w: &World, c: Counter) -> u64 {
+fn count(w: &Testbed, c: Counter) -> u64 {
     w.node.plan(|p, _| p.counters.get(c))
 }
 
@@ -165,7 +167,7 @@
     run(|ex| async move {
         let h = Hand::new();
         let w = before(ex, &[&h], &[]).await;
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "booking", &[("dedupe", "k")])).await;
         let mut first = h.line().await;
         assert_eq!(first.next().await.unwrap()[1], call(1));
@@ -201,10 +203,10 @@
     run(|ex| async move {
         let (h, full) = Hand::shut();
         let w = before(ex, &[&h], &[]).await;
-        let mut c = Some(Client::to(w.front).await);
+        let mut c = Some(Client::connect(w.front).await);
         c.as_ref().unwrap().send(&request(1, "media", &[("ttl", "6000")])).await;
-        until("the attempt", || count(&w, Counter::Sent) == 1).await;
-        let told = |state, started| server("c-0", h.at, "std", state, started);
+        wait_until("the attempt", || count(&w, Counter::Sent) == 1).await;
+        let told = |state, started| server_entry("c-0", h.at, "std", state, started);
         let list = |s: String| format!(r#""roster":{{"version":2,"full":false,"servers":[{s}]}}"#);
         match how {
             "close" => c = None,
@@ -213,18 +215,18 @@
                 sockopt::set_socket_linger(c.stream.get_ref(), Some(std::time::Duration::ZERO)).unwrap();
             }
             "cancel" => c.as_ref().unwrap().send(&cancel(1)).await,
-            "anew" => w.tell(&list(told("active", unix_ms()))).await,
-            "replaced" => w.tell(&list(server("c-9", h.at, "std", "active", unix_ms()))).await,
-            state => w.tell(&list(told(state, 0))).await,
+            "anew" => w.publish_event(&list(told("active", unix_ms()))).await,
+            "replaced" => w.publish_event(&list(server_entry("c-9", h.at, "std", "active", unix_ms()))).await,
+            state => w.publish_event(&list(told(state, 0))).await,
         }
         let left = matches!(how, "close" | "reset" | "cancel");
-        until("what ended it", || !left || count(&w, Counter::Left) == 1).await;
+        wait_until("what ended it", || !left || count(&w, Counter::Left) == 1).await;
         h.open().await;
         drop(full);
         let mut line = h.line().await;
         if left {
             // Another request shows that the writer has had its turn.
-            let other = Client::to(w.front).await;
+            let other = Client::connect(w.front).await;
             other.send(&request(2, "media", &[("row", "0000000000000abc")])).await;
             assert_eq!(line.next().await.unwrap()[1], call(2), "the one that was given up was written");
         } else if how == "leaving" {
@@ -246,7 +248,7 @@
         let (h, (late, full)) = (Hand::new(), Hand::shut());
         let window = json!(window);
         let w = before(ex, &[&h, &late], &[("/settings/classes/1/dedup_window", window)]).await;
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         // An object whose first cache is the one that answers.
         let mut id = 0;
         let mut line = loop {
@@ -254,7 +256,7 @@
             let row = format!("{id:016x}");
             let more = [("dedupe", "k"), ("row", row.as_str()), ("ttl", "4000")];
             c.send(&request(id, "booking", &more)).await;
-            until("the attempt", || count(&w, Counter::Sent) == u64::from(id)).await;
+            wait_until("the attempt", || count(&w, Counter::Sent) == u64::from(id)).await;
             let got = async { Some(h.line().await) };
             let other = async { (sleep_until(now() + 30 * MS).await, None).1 };
             match got.or(other).await {
@@ -264,7 +266,7 @@
         };
         assert_eq!(line.next().await.unwrap()[1], call(id));
         line.say(&call(id), "crashed", "-", b"").await;
-        until("the repeat is decided", || count(&w, Counter::Sent) == u64::from(id) + 1).await;
+        wait_until("the repeat is decided", || count(&w, Counter::Sent) == u64::from(id) + 1).await;
         late.open().await;
         drop(full);
         let mut second = late.line().await;
@@ -418,7 +420,7 @@
         let mut first = h.line().await;
         assert_eq!(first.next().await.unwrap()[1], call(1));
         first.say(&call(1), "not_here", "-", b"").await;
-        until("the first end", || alone.ends.borrow().len() == 1).await;
+        wait_until("the first end", || alone.ends.borrow().len() == 1).await;
         way.send(attempt(1, 1, 0, id_once));
         if id_once {
             let mut second = h.line().await;
@@ -430,7 +432,7 @@
             assert_eq!(first.next().await.unwrap()[1], call(1));
             first.serve(&call(1), b"own").await;
         }
-        until("the second end", || alone.ends.borrow().len() == 2).await;
+        wait_until("the second end", || alone.ends.borrow().len() == 2).await;
         let ends = alone.ends.borrow();
         let served = |e: &AttemptEnd| matches!(e, AttemptEnd::Answered(t) if t.outcome == Outcome::Ok);
         assert!(ends[0].1 == 0 && !served(&ends[0].2) && ends[1].1 == 1 && served(&ends[1].2));
@@ -443,7 +445,7 @@
     run(|ex| async move {
         let h = Hand::new();
         let w = before(ex, &[&h], &[]).await;
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         let mut line = h.line().await;
         assert_eq!(line.next().await.unwrap()[1], call(1));
@@ -466,7 +468,7 @@
     run(|ex| async move {
         let h = Hand::new();
         let w = before(ex, &[&h], &[]).await;
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "booking", &[("dedupe", "k")])).await;
         let mut line = h.line().await;
         assert_eq!(line.next().await.unwrap()[1], call(1));
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -61,7 +61,7 @@
 
 impl Why {
     /// Brings it about before any task has a turn; gives what has to be held meanwhile.
-    fn come(self, w: &World) -> Vec<TcpStream> {
+    fn come(self, w: &Testbed) -> Vec<TcpStream> {
         match self {
             Why::GivesWay => w.node.give_way(),
             Why::Ends => {
@@ -76,10 +76,10 @@
 }
 
 /// A client that was answered once, in a world with four places.
-async fn answered(ex: &'static async_executor::LocalExecutor<'static>) -> (World, Client) {
-    let w = small_world(ex, 1, 8).await;
-    w.all_do(served());
-    let mut c = Client::to(w.front).await;
+async fn answered(ex: &'static async_executor::LocalExecutor<'static>) -> (Testbed, Client) {
+    let w = start_testbed_with_sockets(ex, 1, 8).await;
+    w.set_behavior(served());
+    let mut c = Client::connect(w.front).await;
     c.send(&request(1, "media", &[])).await;
     assert_eq!(c.answer().await, Some((1, None, b"whole".to_vec())));
     (w, c)
@@ -137,9 +137,9 @@
             sleep_until(now() + 20_000).await;
         }
         drop(held);
-        until("the close", || w.node.connections() == 0).await;
+        wait_until("the close", || w.node.connections() == 0).await;
         let took = |c| w.node.plan(|p, _| p.counters.get(c));
-        assert_eq!((w.sent().len(), took(Counter::Taken)), (1, 1));
+        assert_eq!((w.received_requests().len(), took(Counter::Taken)), (1, 1));
     });
 }
 
@@ -152,12 +152,12 @@
     run(|ex| async move {
         let (w, mut c) = answered(ex).await;
         at_once(&c, &[before, vec![0xc1; 40_000]].concat());
-        until("its end", || w.node.plan(|p, _| p.counters.get(Counter::Malformed)) == 1).await;
+        wait_until("its end", || w.node.plan(|p, _| p.counters.get(Counter::Malformed)) == 1).await;
         for id in 2..2 + errors {
             assert_eq!(c.answer().await, Some((id, Some("Error".into()), vec![])));
         }
         assert!(ends(&c).await, "reset");
-        assert_eq!((w.node.plan(|p, _| p.open_requests()), w.sent().len()), (0, 1));
+        assert_eq!((w.node.plan(|p, _| p.open_requests()), w.received_requests().len()), (0, 1));
     });
 }
 
@@ -178,25 +178,33 @@
     #[values(false, true)] blocked: bool,
 ) {
     run(|ex| async move {
-        let w = world(ex, 8).await;
-        let c = Client::to(w.front).await;
+        let w = start_testbed(ex, 8).await;
+        let c = Client::connect(w.front).await;
         let mut n = 0;
         if blocked {
-            w.all_do(Act::Say("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]));
+            w.set_behavior(CacheBehavior::Answer(
+                "served",
+                "version=ab,stamp=1,detail=HIT",
+                vec![7; 240_000],
+            ));
             rustix::net::sockopt::set_socket_recv_buffer_size(&c.stream, 4096).unwrap();
             while w.node.unwritten_bytes.get() < 500_000 {
                 n += 1;
                 c.send(&request(n, "media", &[])).await;
-                until("its answer", || w.node.plan(|p, _| p.counters.get(Counter::Served)) == u64::from(n))
-                    .await;
+                wait_until("its answer", || {
+                    w.node.plan(|p, _| p.counters.get(Counter::Served)) == u64::from(n)
+                })
+                .await;
             }
-            w.all_do(Act::Silent);
+            w.set_behavior(CacheBehavior::Silent);
         }
         let first = n + 1;
         c.send(&(first..first + 32).flat_map(|id| request(id, "media", &[])).collect::<Vec<_>>()).await;
         let counted = |c| w.node.plan(|p, _| p.counters.get(c));
-        until("the requests", || counted(Counter::Taken) == u64::from(n) + 32 && w.sent().len() > n as usize)
-            .await;
+        wait_until("the requests", || {
+            counted(Counter::Taken) == u64::from(n) + 32 && w.received_requests().len() > n as usize
+        })
+        .await;
         let open = w.node.plan(|p, _| p.open_requests()) as u64;
         assert_eq!(open, 32, "the others were declined");
         let begun = now();
@@ -214,18 +222,18 @@
                 kept = Some(c);
             }
         }
-        until("the end", || counted(Counter::Left) == open).await;
+        wait_until("the end", || counted(Counter::Left) == open).await;
         println!("noticed after {} us", now() - begun);
         // What is already on its way to the cache may still arrive; of what waits nothing goes out any more.
         sleep_until(now() + 100_000).await;
-        let sent = w.sent().len();
-        w.all_do(Act::Break);
+        let sent = w.received_requests().len();
+        w.set_behavior(CacheBehavior::Close);
         w.caches[0].reply(&call(n), b"nobody waits").await;
         sleep_until(now() + 100_000).await;
         assert_eq!(w.node.plan(|p, _| p.open_requests()), 0);
         drop(kept);
-        until("its memory", || w.node.unwritten_bytes.get() == 0 && w.node.connections() == 0).await;
-        assert_eq!((w.sent().len(), w.node.unwritten.get()), (sent, 0));
+        wait_until("its memory", || w.node.unwritten_bytes.get() == 0 && w.node.connections() == 0).await;
+        assert_eq!((w.received_requests().len(), w.node.unwritten.get()), (sent, 0));
     });
 }
 
@@ -237,10 +245,10 @@
     #[values(false, true)] answer_first: bool,
 ) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let mut c = Some(Client::to(w.front).await);
+        let w = start_testbed(ex, 1).await;
+        let mut c = Some(Client::connect(w.front).await);
         c.as_ref().unwrap().send(&request(1, "media", &[])).await;
-        until("the attempt", || w.sent().len() == 1).await;
+        wait_until("the attempt", || w.received_requests().len() == 1).await;
         for answers in [answer_first, !answer_first] {
             if answers {
                 // Written whole at once: no other task has a turn.
@@ -254,10 +262,12 @@
                 Goes::Cancels => at_once(c.as_ref().unwrap(), &cancel(1)),
             }
         }
-        until("its end", || w.node.plan(|p, _| p.open_requests()) == 0 && w.node.unwritten_bytes.get() == 0)
-            .await;
+        wait_until("its end", || {
+            w.node.plan(|p, _| p.open_requests()) == 0 && w.node.unwritten_bytes.get() == 0
+        })
+        .await;
         if let Some(c) = c.as_mut() {
-            w.all_do(served());
+            w.set_behavior(served());
             if matches!(how, Goes::Cancels) {
                 c.send(&request(2, "media", &[])).await;
             }
@@ -271,7 +281,7 @@
             answers.retain(|a| *a != (1, None));
             assert_eq!(answers, if matches!(how, Goes::Cancels) { vec![(2, None)] } else { vec![] });
         }
-        let sent = w.sent().iter().filter(|p| p[1] == call(1)).count();
+        let sent = w.received_requests().iter().filter(|p| p[1] == call(1)).count();
         assert_eq!((sent, w.node.unwritten.get()), (1, 0));
     });
 }
@@ -282,30 +292,33 @@
 #[case::sent(true)]
 fn an_id_anew_after_a_cancel(#[case] sent: bool) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        let mut c = Client::connect(w.front).await;
         at_once(&c, &request(1, "media", &[]));
         if sent {
-            until("the attempt", || w.sent().len() == 1).await;
+            wait_until("the attempt", || w.received_requests().len() == 1).await;
         }
-        w.all_do(served());
+        w.set_behavior(served());
         at_once(&c, &[cancel(1), request(2, "media", &[("call", &call(1))])].concat());
         let (id, word, _) = c.answer().await.unwrap();
         assert!(id == 2 && (word.is_none() || word.as_deref() == Some("Error")), "{word:?}");
-        let seen: Vec<String> = w.caches[0].seen.borrow().iter().map(|p| p[0].clone()).collect();
+        let seen: Vec<String> = w.caches[0].commands.borrow().iter().map(|p| p[0].clone()).collect();
         assert!(seen == ["serve"] || sent && seen == ["serve", "cancel", "serve"], "{seen:?}");
     });
 }
 
 /// The program as a process of its own, with one cache that says this.
-fn program(ex: &'static async_executor::LocalExecutor<'static>, act: Act) -> (Process, Cache, SocketAddr) {
-    let c = cache(ex);
-    *c.act.borrow_mut() = act;
-    let (_, _, bulletin) = news(ex);
-    let front = addresses(1)[0];
+fn program(
+    ex: &'static async_executor::LocalExecutor<'static>,
+    act: CacheBehavior,
+) -> (Process, Cache, SocketAddr) {
+    let c = start_cache(ex);
+    *c.behavior.borrow_mut() = act;
+    let (_, _, bulletin) = start_discovery(ex);
+    let front = free_addresses(1)[0];
     let folder = tempfile::tempdir().unwrap().keep();
     let path = folder.join("config.json");
-    std::fs::write(&path, configuration(front, bulletin, &[server("s-0", c.at, "std", "active", 0)]))
+    std::fs::write(&path, configuration(front, bulletin, &[server_entry("s-0", c.addr, "std", "active", 0)]))
         .unwrap();
     let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
     (start.spawn().unwrap(), c, front)
@@ -316,28 +329,28 @@
 #[test]
 fn the_order_to_end_meets_clients_in_every_state() {
     run(|ex| async move {
-        let big = Act::Say("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]);
+        let big = CacheBehavior::Answer("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]);
         let (p, cache, front) = program(ex, served());
-        says(&p, "start: ").await;
-        until("the front", || TcpStream::connect(front).is_ok()).await;
+        wait_for_log(&p, "start: ").await;
+        wait_until("the front", || TcpStream::connect(front).is_ok()).await;
         let (mut rests, mut half, slow) =
-            (Client::to(front).await, Client::to(front).await, Client::to(front).await);
+            (Client::connect(front).await, Client::connect(front).await, Client::connect(front).await);
         rests.send(&request(1, "media", &[])).await;
         assert_eq!(rests.answer().await.unwrap().1, None);
         let frame = request(2, "media", &[]);
         half.send(&frame[..60]).await;
         rustix::net::sockopt::set_socket_recv_buffer_size(&slow.stream, 200_000).unwrap();
-        *cache.act.borrow_mut() = big;
+        *cache.behavior.borrow_mut() = big;
         for id in 3..33 {
             slow.send(&request(id, "media", &[])).await;
-            until("its answer", || cache.seen.borrow().len() == id as usize - 1).await;
+            wait_until("its answer", || cache.commands.borrow().len() == id as usize - 1).await;
         }
-        let big = counter(&p, "answersServed").await - 1;
+        let big = read_counter(&p, "answersServed").await - 1;
         assert!(big > 20, "{big} large answers");
-        *cache.act.borrow_mut() = served();
+        *cache.behavior.borrow_mut() = served();
         // What comes while the program stands still is in the backlog, or unread, as it hears the order.
         p.stop().unwrap();
-        let mut late = Client::to(front).await;
+        let mut late = Client::connect(front).await;
         late.send(&request(40, "media", &[])).await;
         rests.send(&request(41, "media", &[])).await;
         p.term().unwrap();
@@ -353,7 +366,7 @@
         assert!(ends(&half).await, "reset after the last answer");
         assert!(rest(&slow).await.is_some_and(|n| n > big as usize * 240_000), "an answer was cut");
         drop((rests, late, half, slow));
-        until("the end", || p.ended().is_some()).await;
+        wait_until("the end", || p.ended().is_some()).await;
         assert!(p.wait(after(1_000)).unwrap().success() && now() < ordered + 3_700_000, "{}", p.text());
     });
 }
@@ -363,8 +376,8 @@
 fn the_end_is_bounded_by_the_kill() {
     run(|ex| async move {
         let (p, _cache, front) = program(ex, served());
-        until("the front", || TcpStream::connect(front).is_ok()).await;
-        let (mut rests, half) = (Client::to(front).await, Client::to(front).await);
+        wait_until("the front", || TcpStream::connect(front).is_ok()).await;
+        let (mut rests, half) = (Client::connect(front).await, Client::connect(front).await);
         rests.send(&request(1, "media", &[])).await;
         assert_eq!(rests.answer().await.unwrap().1, None);
         let endless = [vec![0x94, 0x00, 0x01, 0xa5], b"media".to_vec(), vec![0x92, 0x80, 0xc5, 0xbb, 0x80]];
@@ -391,8 +404,8 @@
 fn a_flood_leaves_nothing_behind(#[case] bytes: Vec<u8>, #[case] crowd: usize, #[case] asks: bool) {
     const SOCKETS: usize = 128;
     run(|ex| async move {
-        let w = small_world(ex, 1, SOCKETS).await;
-        w.all_do(Act::Say("served", "version=ab,stamp=1,detail=HIT", vec![7; 20_000]));
+        let w = start_testbed_with_sockets(ex, 1, SOCKETS).await;
+        w.set_behavior(CacheBehavior::Answer("served", "version=ab,stamp=1,detail=HIT", vec![7; 20_000]));
         let (most, n, over) = (Rc::new(Cell::new(0)), w.node.clone(), Rc::new(Cell::new(false)));
         let (m, o) = (most.clone(), over.clone());
         ex.spawn(async move {
@@ -411,7 +424,7 @@
                 all.push(s);
             }
             let asked = now();
-            let (mut good, own) = (Client::to(w.front).await, format!("ffff{wave:012x}"));
+            let (mut good, own) = (Client::connect(w.front).await, format!("ffff{wave:012x}"));
             good.send(&request(wave, "media", &[("call", &own)])).await;
             let (_, word, _) = good.answer().await.unwrap();
             assert!(word.is_none() || asks, "{word:?}");
@@ -420,14 +433,15 @@
             let count = |c| w.node.plan(|p, _| p.counters.get(c)) as usize;
             let come = (crowd + 1) * wave as usize;
             let taken = || count(Counter::Accepted) + count(Counter::TurnedAway) == come;
-            until("all of the backlog", taken).await;
+            wait_until("all of the backlog", taken).await;
         }
-        until("all gone", || w.node.connections() == 0 && w.node.plan(|p, _| p.open_requests()) == 0).await;
+        wait_until("all gone", || w.node.connections() == 0 && w.node.plan(|p, _| p.open_requests()) == 0)
+            .await;
         over.set(true);
         println!("longest answer {longest} us, most connections {}", most.get());
         assert!(most.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", most.get());
         assert!(longest < 1_000_000, "an answer took {longest} us");
-        until("its memory", || (w.node.unwritten.get(), w.node.held()) == (0, 0)).await;
+        wait_until("its memory", || (w.node.unwritten.get(), w.node.held()) == (0, 0)).await;
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
     });
 }
@@ -446,10 +460,13 @@
         frame.extend(vec![7; body]);
         at_once(&c, &frame);
         drop(c);
-        let mut other = Client::to(w.front).await;
+        let mut other = Client::connect(w.front).await;
         other.send(&request(1, "media", &[("call", "00000000000000ab")])).await;
         assert_eq!(other.answer().await.unwrap().1, None);
-        assert!(w.sent().iter().all(|p| p[1] != "00000000000000aa"), "sent for one that has gone");
+        assert!(
+            w.received_requests().iter().all(|p| p[1] != "00000000000000aa"),
+            "sent for one that has gone"
+        );
     });
 }
 
@@ -457,19 +474,19 @@
 #[test]
 fn a_malformed_message_costs_no_answer_that_is_owed() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&[request(1, "media", &[]), vec![0xc1]].concat()).await;
-        until("the attempt", || !w.sent().is_empty()).await;
+        wait_until("the attempt", || !w.received_requests().is_empty()).await;
         sleep_until(now() + 100_000).await;
-        w.caches[0].reply(&w.sent()[0][1], b"owed").await;
-        assert_eq!(within("the answer", c.answer()).await, Some((1, None, b"owed".to_vec())));
-        assert_eq!(within("the end", c.answer()).await, None);
+        w.caches[0].reply(&w.received_requests()[0][1], b"owed").await;
+        assert_eq!(with_timeout("the answer", c.answer()).await, Some((1, None, b"owed".to_vec())));
+        assert_eq!(with_timeout("the end", c.answer()).await, None);
         // One that goes asks for nothing any more.
-        let gone = Client::to(w.front).await;
+        let gone = Client::connect(w.front).await;
         gone.send(&[request(1, "media", &[("call", "00000000000000aa")]), vec![0xc1]].concat()).await;
-        until("the attempt", || w.sent().len() == 2).await;
+        wait_until("the attempt", || w.received_requests().len() == 2).await;
         drop(gone);
-        until("its end", || w.node.plan(|p, _| p.open_requests()) == 0).await;
+        wait_until("its end", || w.node.plan(|p, _| p.open_requests()) == 0).await;
     });
 }
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -47,11 +47,11 @@
 }
 
 fn site(ex: &'static LocalExecutor<'static>) -> Site {
-    let caches = [cache(ex), cache(ex)];
-    caches.iter().for_each(|c| *c.act.borrow_mut() = served());
-    let mut doors = addresses(4);
+    let caches = [start_cache(ex), start_cache(ex)];
+    caches.iter().for_each(|c| *c.behavior.borrow_mut() = served());
+    let mut doors = free_addresses(4);
     let front = doors.remove(0);
-    let list = [0, 1].map(|i| server(&format!("s-{i}"), caches[i].at, "std", "active", 0));
+    let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
     let json = configuration(front, bulletin(ex), &list);
     let folder = tempdir().unwrap();
     let out = BanStates::from([("s-0".into(), BanState::Banned(UnixTime::from_micros(5)))]);
@@ -74,7 +74,7 @@
     async fn ready(&self, n: usize, p: &Process) {
         let end = now() + 6_000_000;
         while Async::<std::net::TcpStream>::connect(self.doors[n]).await.is_err()
-            || ask(self.doors[n], &["READY\n"]).await != "done ready\n"
+            || admin_command(self.doors[n], &["READY\n"]).await != "done ready\n"
         {
             assert!(now() < end, "never ready:\n{}", p.text());
             sleep_until(now() + 5_000).await;
@@ -98,7 +98,7 @@
                 continue;
             };
             drop(stream);
-            let (mut c, text) = (Client::to(self.front).await, format!("{:016x}", now()));
+            let (mut c, text) = (Client::connect(self.front).await, format!("{:016x}", now()));
             c.send(&request(1, "media", &[("call", &text), ("row", &text)])).await;
             match c.answer().await.expect("an answer") {
                 (1, None, body) if body == b"whole" => left -= 1,
@@ -106,7 +106,7 @@
                 other => panic!("{other:?}"),
             }
         }
-        assert!(self.caches[0].seen.borrow().is_empty(), "the ban was lost");
+        assert!(self.caches[0].commands.borrow().is_empty(), "the ban was lost");
     }
 
     /// A further process starts, takes over from this one, and serves.
@@ -155,10 +155,10 @@
 }
 
 async fn ends(p: &Process) {
-    until("the end", || p.ended().is_some()).await;
+    wait_until("the end", || p.ended().is_some()).await;
     assert_eq!(p.ended().unwrap().code(), Some(0), "{}", p.text());
     // What it said comes by a pipe, and may come later than its end.
-    until("the last line", || p.text().ends_with("end\n")).await;
+    wait_until("the last line", || p.text().ends_with("end\n")).await;
 }
 
 /// Where the old process ends, or hangs, while a new one starts.
@@ -191,7 +191,7 @@
         let own = Rc::new(net::reserve(s.front, true).unwrap().listen().unwrap());
         let (elsewhere, _) = listen();
         let new = s.start(0);
-        says(&new, "shift: 1 other processes of this proxy live").await;
+        wait_for_log(&new, "shift: 1 other processes of this proxy live").await;
         let pupil = old.others()[0].rank;
         let text = write_learned(&["media", "booking", "quick"].map(str::to_owned), &Learned::default());
         let file = |kind: &str, of: (u64, u32)| {
@@ -202,12 +202,12 @@
             Old::HalfWritten => std::fs::write(file("aside", old.rank()), &text[..text.len() / 2]).unwrap(),
             Old::Damaged => {
                 std::fs::write(file("learned", pupil), &text[..text.len() / 2]).unwrap();
-                says(&new, "what another process has learned is not used: ").await;
+                wait_for_log(&new, "what another process has learned is not used: ").await;
             }
             _ => {
                 let at = handover::open(&old.socket_path(old.rank())).unwrap();
                 old.teach(pupil, &text).unwrap();
-                says(&new, "shift: took over what another process has learned").await;
+                wait_for_log(&new, "shift: took over what another process has learned").await;
                 match step {
                     Old::Asked => drop(at.accept().await.unwrap()),
                     Old::Hangs => {
@@ -220,7 +220,7 @@
                     }
                     Old::Given => {
                         // Waits in the queue that both have; whoever is left takes it.
-                        let mut waits = Client::to(s.front).await;
+                        let mut waits = Client::connect(s.front).await;
                         waits.send(&request(1, "media", &[])).await;
                         ex.spawn(handover::offer(at, Rc::downgrade(&own))).detach();
                         s.ready(0, &new).await;
@@ -269,7 +269,7 @@
             return s.goes_on(1, &old).await;
         }
         let new = s.other(now());
-        says(&old, "shift: what was learned is handed to a process that starts").await;
+        wait_for_log(&old, "shift: what was learned is handed to a process that starts").await;
         let path = new.socket_path(new.others()[0].rank);
         let mut held = None;
         match step {
@@ -282,7 +282,7 @@
         }
         if matches!(step, New::Ready | New::TookOver) {
             new.show(Phase::Ready, 1).unwrap();
-            says(&old, "shift: another process is ready to take over").await;
+            wait_for_log(&old, "shift: another process is ready to take over").await;
         }
         if step == New::TookOver {
             old.term().unwrap();
@@ -294,7 +294,7 @@
             return s.goes_on(1, &next).await;
         }
         drop((new, held));
-        says(&old, "shift: 0 other processes of this proxy live").await;
+        wait_for_log(&old, "shift: 0 other processes of this proxy live").await;
         s.goes_on(1, &old).await;
     });
 }
@@ -306,7 +306,7 @@
         let (s, old) = serving(ex).await;
         old.stop().unwrap();
         let new = s.start(1);
-        says(&new, "shift: 1 other processes of this proxy live").await;
+        wait_for_log(&new, "shift: 1 other processes of this proxy live").await;
         old.kill().unwrap();
         s.ready(1, &new).await;
         s.goes_on(2, &new).await;
@@ -324,7 +324,7 @@
         old.cont().unwrap();
         let classes = ["media", "booking", "quick"].map(str::to_owned);
         for new in &both {
-            until("what was learned", || new.taught(&classes).unwrap().is_some()).await;
+            wait_until("what was learned", || new.taught(&classes).unwrap().is_some()).await;
         }
     });
 }
@@ -341,12 +341,12 @@
         old.show(Phase::Ready, 1).unwrap();
         let new = [s.start(0), s.start(1)];
         for p in &new {
-            says(p, "shift: 2 other processes of this proxy live").await;
+            wait_for_log(p, "shift: 2 other processes of this proxy live").await;
         }
         drop(old);
         for _ in &new {
-            until("a listener", || !s.queues().is_empty()).await;
-            let mut c = Client::to(s.front).await;
+            wait_until("a listener", || !s.queues().is_empty()).await;
+            let mut c = Client::connect(s.front).await;
             c.send(&request(1, "media", &[])).await;
             assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
             new.iter().find(|p| s.listens(p)).unwrap().kill().unwrap();
@@ -368,7 +368,7 @@
         let at = handover::open(&old.socket_path(old.rank())).unwrap();
         let new = s.start(0);
         let (asking, _) = at.accept().await.unwrap();
-        let mut waits = Client::to(s.front).await;
+        let mut waits = Client::connect(s.front).await;
         waits.send(&request(1, "media", &[])).await;
         new.stop().unwrap();
         new.term().unwrap();
@@ -390,21 +390,21 @@
     run(|ex| async move {
         let (s, old) = serving(ex).await;
         let queue = s.queues();
-        *s.caches[1].act.borrow_mut() = Act::Silent;
-        let mut c = Client::to(s.front).await;
+        *s.caches[1].behavior.borrow_mut() = CacheBehavior::Silent;
+        let mut c = Client::connect(s.front).await;
         c.send(&request(1, "media", &[("ttl", "6000")])).await;
-        until("the attempt", || !s.caches[1].seen.borrow().is_empty()).await;
+        wait_until("the attempt", || !s.caches[1].commands.borrow().is_empty()).await;
         old.term().unwrap();
-        says(&old, "stop: SIGTERM, 1 requests open").await;
+        wait_for_log(&old, "stop: SIGTERM, 1 requests open").await;
         let new = s.start(1);
         s.ready(1, &new).await;
         assert_eq!(s.queues(), queue, "one queue for both");
-        says(&old, "stop: gives way to another process").await;
-        let call = s.caches[1].seen.borrow()[0][1].clone();
+        wait_for_log(&old, "stop: gives way to another process").await;
+        let call = s.caches[1].commands.borrow()[0][1].clone();
         s.caches[1].reply(&call, b"whole").await;
         assert_eq!(c.answer().await, Some((1, None, b"whole".to_vec())));
         ends(&old).await;
-        *s.caches[1].act.borrow_mut() = served();
+        *s.caches[1].behavior.borrow_mut() = served();
         s.goes_on(2, &new).await;
     });
 }
@@ -418,7 +418,7 @@
 fn what_waits_when_the_old_one_stops(#[case] shared: bool, #[case] both: bool) {
     run(|ex| async move {
         let (s, old) = serving(ex).await;
-        let mut begun = Client::to(s.front).await;
+        let mut begun = Client::connect(s.front).await;
         let bytes = request(1, "media", &[]);
         begun.send(&bytes[..bytes.len() / 2]).await;
         if !shared {
@@ -432,7 +432,7 @@
         old.stop().unwrap();
         let mut waiting = Vec::new();
         for id in 0..16u32 {
-            let c = Client::to(s.front).await;
+            let c = Client::connect(s.front).await;
             c.send(&request(1, "media", &[("call", &format!("{:016x}", 50 + id))])).await;
             waiting.push(c);
         }
@@ -442,7 +442,7 @@
             new.cont().unwrap();
         }
         old.cont().unwrap();
-        says(&old, "stop: ").await;
+        wait_for_log(&old, "stop: ").await;
         begun.send(&bytes[bytes.len() / 2..]).await;
         assert_eq!(begun.answer().await.map(|a| a.0), Some(1));
         if !both {
@@ -479,12 +479,12 @@
         let (s, old) = serving(ex).await;
         let new = s.start(1);
         s.ready(1, &new).await;
-        says(&old, "shift: another process is ready to take over").await;
+        wait_for_log(&old, "shift: another process is ready to take over").await;
         descriptors(&new, 3);
-        assert_eq!(ask(s.doors[0], &["ENABLE s-0\n"]).await, "done in use\n");
-        says(&new, "bans: the file of bans ").await;
+        assert_eq!(admin_command(s.doors[0], &["ENABLE s-0\n"]).await, "done in use\n");
+        wait_for_log(&new, "bans: the file of bans ").await;
         descriptors(&new, 1024);
-        says(&new, "bans: 0 servers are out (version 2)").await;
+        wait_for_log(&new, "bans: 0 servers are out (version 2)").await;
     });
 }
 
@@ -495,7 +495,7 @@
         let (s, old) = serving(ex).await;
         let new = s.start(1);
         s.ready(1, &new).await;
-        says(&old, "shift: another process is ready to take over").await;
+        wait_for_log(&old, "shift: another process is ready to take over").await;
         descriptors(&old, 3);
         old.term().unwrap();
         ends(&old).await;
@@ -508,7 +508,7 @@
 #[test]
 fn what_a_process_says_of_itself_is_so_for_the_others() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
+        let w = start_testbed(ex, 1).await;
         let folder = tempdir().unwrap();
         let shift = Shift::new(w.node.clone(), Some(folder.path()));
         shift.listens(&listen().0);
@@ -518,7 +518,7 @@
         };
         assert!(file(".sock-").is_some_and(|p| std::os::unix::net::UnixStream::connect(p).is_ok()));
         // The same of its readiness: who is told yes starts the next one, which looks at the file.
-        until("the bulletin", || w.node.heard.get()).await;
+        wait_until("the bulletin", || w.node.heard.get()).await;
         assert_eq!(shift.ready(), Ok(()));
         assert!(std::fs::read_to_string(file(".run-").unwrap()).unwrap().starts_with("ready "));
     });
--- a/node/tests/crossings_signals.rs
+++ b/node/tests/crossings_signals.rs
@@ -30,7 +30,7 @@
 async fn start(site: &Site, json: &str) -> Process {
     std::fs::write(&site.file, json).unwrap();
     let p = spawn(site);
-    says(&p, "start: n0 on ").await;
+    wait_for_log(&p, "start: n0 on ").await;
     p
 }
 
@@ -41,15 +41,15 @@
 
 fn site() -> Site {
     let folder = tempdir().unwrap();
-    Site { front: addresses(1)[0], file: folder.path().join("config.json"), _folder: folder }
+    Site { front: free_addresses(1)[0], file: folder.path().join("config.json"), _folder: folder }
 }
 
 /// Waits for the end by itself, before the kill.
 async fn ends(p: &Process, from: Micros) {
-    until("the end", || p.ended().is_some()).await;
+    wait_until("the end", || p.ended().is_some()).await;
     assert_eq!(p.ended().unwrap().code(), Some(0), "{}", p.text());
     assert!(now() < from + KILL, "ended {} us after SIGTERM", now() - from);
-    until("the last line", || p.text().ends_with("end\n")).await;
+    wait_until("the last line", || p.text().ends_with("end\n")).await;
 }
 
 /// A cache that holds what it is asked, until the test says its answer.
@@ -92,7 +92,7 @@
 impl Held {
     /// Ends the first request that is held by this word, or by a reset.
     async fn say(&self, word: &str, body: &[u8]) {
-        until("the attempt", || !self.asked.borrow().is_empty()).await;
+        wait_until("the attempt", || !self.asked.borrow().is_empty()).await;
         let (call, stream) = self.asked.borrow_mut().remove(0);
         if word == "reset" {
             return drop(stream.get_ref().shutdown(std::net::Shutdown::Both));
@@ -106,8 +106,8 @@
 }
 
 async fn client(at: SocketAddr) -> Client {
-    until("the front", || TcpStream::connect(at).is_ok()).await;
-    Client::to(at).await
+    wait_until("the front", || TcpStream::connect(at).is_ok()).await;
+    Client::connect(at).await
 }
 
 /// Signals that come while the configuration is read wait until there is somebody to take them. The configuration is a
@@ -118,18 +118,18 @@
 #[case::all(&[Signal::HUP, Signal::USR1, Signal::TERM, Signal::HUP])]
 fn while_the_configuration_is_read(#[case] signals: &'static [Signal]) {
     run(|ex| async move {
-        let (s, c) = (site(), cache(ex));
+        let (s, c) = (site(), start_cache(ex));
         assert!(Command::new("mkfifo").arg(&s.file).status().unwrap().success());
         let p = spawn(&s);
         // Open for writing once the program has opened it to read; blocking would stop the stand-ins.
         let at = s.file.clone();
         let pipe = std::thread::spawn(move || std::fs::OpenOptions::new().write(true).open(at).unwrap());
-        until("the program reads", || pipe.is_finished()).await;
+        wait_until("the program reads", || pipe.is_finished()).await;
         for signal in signals {
             p.signal(*signal).unwrap();
         }
         let from = now();
-        let json = configuration(s.front, listen().1, &[server("s-0", c.at, "std", "active", 0)]);
+        let json = configuration(s.front, listen().1, &[server_entry("s-0", c.addr, "std", "active", 0)]);
         // The next one to read it, on SIGHUP, finds a broken file.
         let other = s.file.with_extension("broken");
         std::fs::write(&other, "{").unwrap();
@@ -175,11 +175,11 @@
 ) {
     run(|ex| async move {
         let (s, h) = (site(), held(ex));
-        let json = configuration(s.front, listen().1, &[server("s-0", h.at, "std", "active", 0)]);
+        let json = configuration(s.front, listen().1, &[server_entry("s-0", h.at, "std", "active", 0)]);
         let p = start(&s, &json).await;
         let mut c = client(s.front).await;
         c.send(&request(1, "media", &[])).await;
-        until("the attempt", || !h.asked.borrow().is_empty()).await;
+        wait_until("the attempt", || !h.asked.borrow().is_empty()).await;
         std::fs::write(&s.file, if broken { "{" } else { &json }).unwrap();
         let from = now();
         if together {
@@ -193,15 +193,15 @@
                     Signal::HUP => "reload: ",
                     _ => "counters: ",
                 };
-                says(&p, line).await;
+                wait_for_log(&p, line).await;
             }
         }
         if together {
             p.cont().unwrap();
         }
-        says(&p, "stop: SIGTERM, 1 requests open").await;
+        wait_for_log(&p, "stop: SIGTERM, 1 requests open").await;
         // A new client, too.
-        let mut late = Client::to(s.front).await;
+        let mut late = Client::connect(s.front).await;
         late.send(&request(1, "media", &[("call", "00000000000000aa"), ("row", "00000000000000aa")])).await;
         for _ in 0..2 {
             h.say("served", b"whole").await;
@@ -243,7 +243,7 @@
     run(|ex| async move {
         let (s, h) = (site(), held(ex));
         // Listens with no room in its queue.
-        let never = net::reserve(addresses(1)[0], false).unwrap().listen().unwrap();
+        let never = net::reserve(free_addresses(1)[0], false).unwrap().listen().unwrap();
         rustix::net::listen(&never, 0).unwrap();
         let never_at = never.get_ref().local_addr().unwrap();
         let full: Vec<_> = (0..3)
@@ -251,11 +251,12 @@
             .collect();
         assert!(full.iter().any(Result::is_err), "a dial would come up");
         let first = match place {
-            Place::Refused => addresses(1)[0],
+            Place::Refused => free_addresses(1)[0],
             Place::Dial => never_at,
             _ => h.at,
         };
-        let list = [server("s-0", first, "std", "active", 0), server("s-1", h.at, "std", "active", 0)];
+        let list =
+            [server_entry("s-0", first, "std", "active", 0), server_entry("s-1", h.at, "std", "active", 0)];
         let p = start(&s, &configuration(s.front, listen().1, &list)).await;
         let mut c = client(s.front).await;
         // Several, so that both servers are some request's first.
@@ -265,18 +266,18 @@
             c.send(&request(id, "media", &[("call", &text), ("row", &text)])).await;
         }
         match place {
-            Place::FirstOut(_) => until("the attempts", || h.asked.borrow().len() as u32 >= all).await,
+            Place::FirstOut(_) => wait_until("the attempts", || h.asked.borrow().len() as u32 >= all).await,
             Place::Ended(word) => {
-                until("the attempts", || h.asked.borrow().len() as u32 >= all).await;
+                wait_until("the attempts", || h.asked.borrow().len() as u32 >= all).await;
                 for _ in 0..all {
                     h.say(word, b"").await;
                 }
             }
-            _ => until("the attempts", || !h.asked.borrow().is_empty()).await,
+            _ => wait_until("the attempts", || !h.asked.borrow().is_empty()).await,
         }
         let from = now();
         p.term().unwrap();
-        says(&p, "stop: SIGTERM").await;
+        wait_for_log(&p, "stop: SIGTERM").await;
         if let Place::FirstOut(word) = place {
             for _ in 0..all {
                 h.say(word, b"").await;
@@ -307,9 +308,9 @@
 fn an_answer_half_written_to_a_slow_reader() {
     run(|ex| async move {
         let (s, h) = (site(), held(ex));
-        let list = [server("s-0", h.at, "std", "active", 0)];
+        let list = [server_entry("s-0", h.at, "std", "active", 0)];
         let p = start(&s, &configuration(s.front, listen().1, &list)).await;
-        until("the front", || TcpStream::connect(s.front).is_ok()).await;
+        wait_until("the front", || TcpStream::connect(s.front).is_ok()).await;
         let socket =
             rustix::net::socket(rustix::net::AddressFamily::INET, rustix::net::SocketType::STREAM, None)
                 .unwrap();
@@ -327,10 +328,10 @@
             c.write_all(&request(id, "media", &[("call", &text), ("row", &text)])).await.unwrap();
             h.say("served", &body).await;
         }
-        until("the first bytes", || c.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0)).await;
+        wait_until("the first bytes", || c.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0)).await;
         let from = now();
         p.term().unwrap();
-        says(&p, "stop: SIGTERM").await;
+        wait_for_log(&p, "stop: SIGTERM").await;
         sleep_until(from + 1_000_000).await;
         assert_eq!(p.ended(), None, "ended with an answer half written");
         c.read_to_end(&mut got).await.unwrap();
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -20,9 +20,9 @@
 #[test]
 fn the_bulletin_is_reached_however_many_clients_come() {
     run(|ex| async move {
-        let c = cache(ex);
-        *c.act.borrow_mut() = served();
-        let at = addresses(2);
+        let c = start_cache(ex);
+        *c.behavior.borrow_mut() = served();
+        let at = free_addresses(2);
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
         let json = configuration(at[0], at[1], &[]);
@@ -31,7 +31,7 @@
         let limited = format!("ulimit -n {LIMIT}; exec \"$0\"");
         let start = Start::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
         let p = start.env("LB_CONFIG", &path).spawn().unwrap();
-        until("the front", || TcpStream::connect(at[0]).is_ok()).await;
+        wait_until("the front", || TcpStream::connect(at[0]).is_ok()).await;
         let own = held(&p);
         let (mut crowd, frame) = (Vec::new(), request(1, "media", &[]));
         for wave in 0..3 {
@@ -54,7 +54,7 @@
         }
         let up = now();
         let bulletin = Rc::new(Async::<TcpListener>::bind(at[1]).unwrap());
-        let list = server("s-0", c.at, "std", "active", 0);
+        let list = server_entry("s-0", c.addr, "std", "active", 0);
         let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{list}]}}}}"#);
         ex.spawn(async move {
             loop {
@@ -70,7 +70,7 @@
         let mut id = 0;
         loop {
             id += 1;
-            let mut good = Client::to(at[0]).await;
+            let mut good = Client::connect(at[0]).await;
             good.send(&request(id, "media", &[])).await;
             if good.answer().await == Some((id, None, b"whole".to_vec())) {
                 break;
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -105,40 +105,44 @@
 #[test]
 fn a_server_taken_out_and_called_back() {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(served());
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(served());
         let folder = tempdir().unwrap();
         let dir = folder.path();
-        let (_shift, at) = door(&w, Some(dir));
-        until("the bulletin", || w.node.heard.get()).await;
-        assert_eq!(ask(at, &["READY\n"]).await, "done ready\n");
-        assert_eq!(ask(at, &["DISABLE s-9\n"]).await, "error unknown cache server\n");
-        assert_eq!(ask(at, &["DIS", "ABLE s", "-0\r\nENABLE s-0\n"]).await, "done out\n");
-        assert_eq!(ask(at, &["DISABLE s-0"]).await, "done out\n");
-        let mut c = Client::to(w.front).await;
+        let (_shift, at) = start_admin(&w, Some(dir));
+        wait_until("the bulletin", || w.node.heard.get()).await;
+        assert_eq!(admin_command(at, &["READY\n"]).await, "done ready\n");
+        assert_eq!(admin_command(at, &["DISABLE s-9\n"]).await, "error unknown cache server\n");
+        assert_eq!(admin_command(at, &["DIS", "ABLE s", "-0\r\nENABLE s-0\n"]).await, "done out\n");
+        assert_eq!(admin_command(at, &["DISABLE s-0"]).await, "done out\n");
+        let mut c = Client::connect(w.front).await;
         let mut id = 0;
         let mut play = async |n: u32| {
-            let before = (w.caches[0].seen.borrow().len(), w.caches[1].seen.borrow().len());
+            let before = (w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len());
             for _ in 0..n {
                 id += 1;
                 c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
                 assert_eq!(c.answer().await.unwrap().1, None);
             }
-            let seen = (w.caches[0].seen.borrow().len(), w.caches[1].seen.borrow().len());
+            let seen = (w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len());
             (seen.0 - before.0, seen.1 - before.1)
         };
         assert_eq!(play(30).await, (0, 30));
-        let again = server("s-0", w.caches[0].at, "std", "active", 0);
-        w.tell(&format!(r#""roster":{{"version":2,"full":false,"servers":[{again}]}}"#)).await;
+        let again = server_entry("s-0", w.caches[0].addr, "std", "active", 0);
+        w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{again}]}}"#)).await;
         assert_eq!(play(30).await, (0, 30), "the bulletin does not undo a ban");
         // A process that starts now finds the ban.
-        let other = world(ex, 2).await;
-        let (_other, _) = door(&other, Some(dir));
+        let other = start_testbed(ex, 2).await;
+        let (_other, _) = start_admin(&other, Some(dir));
         assert!(other.node.bans.borrow().is_banned("s-0"));
-        assert_eq!(ask(at, &["ENABLE s-0\n"]).await, "done in use\n");
+        assert_eq!(admin_command(at, &["ENABLE s-0\n"]).await, "done in use\n");
         let (cold, warm) = play(100).await;
         assert!(cold > 0 && cold * 2 < warm, "{cold} to the one that came back, {warm} to the other");
-        assert_eq!(ask(at, &["ENABLE s-0\n"]).await, "done in use\n", "with no ban it is a yes as well");
+        assert_eq!(
+            admin_command(at, &["ENABLE s-0\n"]).await,
+            "done in use\n",
+            "with no ban it is a yes as well"
+        );
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!((count(Counter::BansSet), count(Counter::BansLifted)), (1, 1));
         assert_eq!((count(Counter::AdminCommands), count(Counter::AdminRefused)), (6, 1));
@@ -149,15 +153,15 @@
 #[test]
 fn all_servers_out() {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        let (_shift, at) = door(&w, None);
+        let w = start_testbed(ex, 2).await;
+        let (_shift, at) = start_admin(&w, None);
         for id in ["s-0", "s-1"] {
-            assert_eq!(ask(at, &[&format!("DISABLE {id}\n")]).await, "done out\n");
+            assert_eq!(admin_command(at, &[&format!("DISABLE {id}\n")]).await, "done out\n");
         }
-        let (mut c, from) = (Client::to(w.front).await, now());
+        let (mut c, from) = (Client::connect(w.front).await, now());
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
-        assert!(now() < from + 500_000 && w.sent().is_empty());
+        assert!(now() < from + 500_000 && w.received_requests().is_empty());
     });
 }
 
@@ -165,8 +169,8 @@
 #[test]
 fn a_ban_holds_for_what_is_not_yet_written() {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(served());
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(served());
         let said: Rc<std::cell::RefCell<Option<FinalAnswer>>> = Rc::default();
         let (told, object) = (said.clone(), u64::from_str_radix(OBJECT, 16).unwrap());
         let ask = ClientRequest {
@@ -182,9 +186,9 @@
         let out = [0, 1].map(|i| (format!("s-{i}"), bans::BanState::Banned(unix_now())));
         let changed = w.node.bans.borrow_mut().adopt(BanStates::from(out));
         bulletin::hold(&w.node, changed, 0);
-        until("the answer", || said.borrow().is_some()).await;
+        wait_until("the answer", || said.borrow().is_some()).await;
         assert!(matches!(*said.borrow(), Some(FinalAnswer::Refused { .. })), "{:?}", said.borrow());
-        assert!(w.sent().is_empty(), "{:?}", w.sent());
+        assert!(w.received_requests().is_empty(), "{:?}", w.received_requests());
     });
 }
 
@@ -192,8 +196,8 @@
 #[test]
 fn callers_that_say_nothing() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let (_shift, at) = door(&w, None);
+        let w = start_testbed(ex, 1).await;
+        let (_shift, at) = start_admin(&w, None);
         let mut silent = Vec::new();
         for _ in 0..PLACES * 3 {
             let s = async_io::Async::<std::net::TcpStream>::connect(at).await.unwrap();
@@ -201,8 +205,8 @@
             silent.push(s);
         }
         let from = now();
-        assert_eq!(ask(at, &["ENABLE s-0\n"]).await, "done in use\n");
-        assert_eq!(ask(at, &[&"x".repeat(300)]).await, "error a line too long\n");
+        assert_eq!(admin_command(at, &["ENABLE s-0\n"]).await, "done in use\n");
+        assert_eq!(admin_command(at, &[&"x".repeat(300)]).await, "error a line too long\n");
         assert!(now() < from + 1_000_000);
     });
 }
@@ -225,13 +229,13 @@
 }
 
 fn site(ex: &'static async_executor::LocalExecutor<'static>) -> Site {
-    let caches = [cache(ex), cache(ex)];
+    let caches = [start_cache(ex), start_cache(ex)];
     for c in &caches {
-        *c.act.borrow_mut() = served();
+        *c.behavior.borrow_mut() = served();
     }
-    let (_, _, bulletin) = news(ex);
+    let (_, _, bulletin) = start_discovery(ex);
     let front = address();
-    let list = [0, 1].map(|i| server(&format!("s-{i}"), caches[i].at, "std", "active", 0));
+    let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
     let json = configuration(front, bulletin, &list);
     Site { caches, front, json, folder: tempdir().unwrap(), doors: [0, 1, 2, 3].map(|_| address()) }
 }
@@ -259,7 +263,7 @@
     let end = now() + 6_000_000;
     loop {
         let there = async_io::Async::<std::net::TcpStream>::connect(door).await.is_ok();
-        if there && ask(door, &["READY\n"]).await.starts_with("done") {
+        if there && admin_command(door, &["READY\n"]).await.starts_with("done") {
             return;
         }
         assert!(now() < end, "never ready");
@@ -268,7 +272,7 @@
 }
 
 async fn end(mut r: Running) -> Output {
-    until("the end", || r.0.try_wait().unwrap().is_some()).await;
+    wait_until("the end", || r.0.try_wait().unwrap().is_some()).await;
     let mut err = Vec::new();
     std::io::Read::read_to_end(r.0.stderr.as_mut().unwrap(), &mut err).unwrap();
     Output { status: r.0.wait().unwrap(), stdout: Vec::new(), stderr: err }
@@ -295,7 +299,7 @@
         // One request a connection: each of them might meet the listener that closes.
         let load = ex.spawn(async move {
             while !s.get() {
-                let mut c = Client::to(front).await;
+                let mut c = Client::connect(front).await;
                 a.set(a.get() + 1);
                 c.send(&request(
                     1,
@@ -312,34 +316,34 @@
                 x.set(x.get() + u32::from(!fine));
             }
         });
-        until("some load", || asked.get() > 50).await;
-        assert_eq!(ask(doors[0], &["DISABLE s-0\n"]).await, "done out\n");
+        wait_until("some load", || asked.get() > 50).await;
+        assert_eq!(admin_command(doors[0], &["DISABLE s-0\n"]).await, "done out\n");
         let died = program(&json, dir, doors[3]);
         drop(died);
         for next in 1..3 {
             let new = program(&json, dir, doors[next]);
             ready(doors[next]).await;
-            let sent = caches[0].seen.borrow().len();
+            let sent = caches[0].commands.borrow().len();
             // A call at either process holds in both once it is answered.
             if next == 2 {
-                assert_eq!(ask(doors[1], &["ENABLE s-0\n"]).await, "done in use\n");
-                assert_eq!(ask(doors[2], &["DISABLE s-1\n"]).await, "done out\n");
+                assert_eq!(admin_command(doors[1], &["ENABLE s-0\n"]).await, "done in use\n");
+                assert_eq!(admin_command(doors[2], &["DISABLE s-1\n"]).await, "done out\n");
             }
-            let other = caches[1].seen.borrow().len();
+            let other = caches[1].commands.borrow().len();
             let before = asked.get();
-            until("more load", || asked.get() > before + 50).await;
+            wait_until("more load", || asked.get() > before + 50).await;
             term(&old);
             let out = end(std::mem::replace(&mut old, new)).await;
             let text = String::from_utf8(out.stderr).unwrap();
             assert_eq!(out.status.code(), Some(0), "{text}");
             assert!(text.contains("stop: gives way to another process") && text.ends_with("end\n"), "{text}");
             let before = asked.get();
-            until("load after the old one", || asked.get() > before + 50).await;
+            wait_until("load after the old one", || asked.get() > before + 50).await;
             if next == 1 {
-                assert_eq!(caches[0].seen.borrow().len(), sent, "out at the new one as well");
+                assert_eq!(caches[0].commands.borrow().len(), sent, "out at the new one as well");
             } else {
-                assert!(caches[0].seen.borrow().len() > sent);
-                assert!(caches[1].seen.borrow().len() <= other + 1, "out at both");
+                assert!(caches[0].commands.borrow().len() > sent);
+                assert!(caches[1].commands.borrow().len() <= other + 1, "out at both");
             }
         }
         stop.set(true);
@@ -358,14 +362,14 @@
         let dir = folder.path();
         let first = program(&json, dir, doors[0]);
         ready(doors[0]).await;
-        assert_eq!(ask(doors[0], &["DISABLE s-0\n"]).await, "done out\n");
+        assert_eq!(admin_command(doors[0], &["DISABLE s-0\n"]).await, "done out\n");
         drop(first);
         std::fs::write(dir.join("threadward-n0.aside-1"), "half").unwrap();
         std::fs::write(dir.join("threadward-n0.run-zz"), "ready 9\n").unwrap();
         let second = program(&json, dir, doors[1]);
         ready(doors[1]).await;
         let play = async |first: u64| {
-            let mut c = Client::to(front).await;
+            let mut c = Client::connect(front).await;
             for id in 1..20 {
                 let text = format!("{:016x}", first + id);
                 c.send(&request(id as u32, "media", &[("call", &text), ("row", &text)])).await;
@@ -373,7 +377,7 @@
             }
         };
         play(0).await;
-        assert_eq!((caches[0].seen.borrow().len(), caches[1].seen.borrow().len()), (0, 19));
+        assert_eq!((caches[0].commands.borrow().len(), caches[1].commands.borrow().len()), (0, 19));
         // One that is given up gives way to the one that stays.
         let third = program(&json, dir, doors[2]);
         ready(doors[2]).await;
@@ -382,14 +386,14 @@
         let text = String::from_utf8(out.stderr).unwrap();
         assert!(out.status.success() && text.contains("gives way to another process"), "{text}");
         play(1 << 32).await;
-        assert_eq!(ask(doors[1], &["READY\n"]).await, "done ready\n");
+        assert_eq!(admin_command(doors[1], &["READY\n"]).await, "done ready\n");
         drop(second);
         std::fs::write(dir.join("threadward-n0.bans"), "threadward-bans 9\n").unwrap();
         let last = program(&json, dir, doors[3]);
         ready(doors[3]).await;
         play(1 << 33).await;
-        assert!(!caches[0].seen.borrow().is_empty(), "a file of a newer version is not used");
-        assert_eq!(ask(doors[3], &["DISABLE s-0\n"]).await, "done out\n");
+        assert!(!caches[0].commands.borrow().is_empty(), "a file of a newer version is not used");
+        assert_eq!(admin_command(doors[3], &["DISABLE s-0\n"]).await, "done out\n");
         assert!(std::fs::read_to_string(dir.join("threadward-n0.bans"))
             .unwrap()
             .starts_with("threadward-bans 1"));
@@ -416,21 +420,21 @@
         let crowd = async |n: usize| {
             let mut all = Vec::new();
             for _ in 0..n {
-                all.push(Client::to(front).await);
+                all.push(Client::connect(front).await);
             }
             all
         };
         let callers = async |door: SocketAddr| {
             let mut all = Vec::new();
             for _ in 0..PLACES {
-                all.push(Client::to(door).await);
+                all.push(Client::connect(door).await);
             }
             all
         };
         let old = program(&json, dir, doors[0]);
         ready(doors[0]).await;
         let _first = (crowd(MOST).await, callers(doors[0]).await);
-        until("the crowd", || open(&old) > MOST / 2).await;
+        wait_until("the crowd", || open(&old) > MOST / 2).await;
         let new = program(&json, dir, doors[1]);
         ready(doors[1]).await;
         let _second = (crowd(MOST).await, callers(doors[1]).await);
@@ -441,7 +445,7 @@
         }
         assert!(most <= MOST, "{most} descriptors");
         for door in &doors[..2] {
-            assert_eq!(ask(*door, &["READY\n"]).await, "done ready\n");
+            assert_eq!(admin_command(*door, &["READY\n"]).await, "done ready\n");
         }
     });
 }
@@ -463,7 +467,7 @@
         };
         let first = start(None, &json);
         let there = || std::net::TcpStream::connect(front).is_ok();
-        until("the front", there).await;
+        wait_until("the front", there).await;
         let files = std::fs::read_dir(dir).unwrap().filter_map(|e| e.unwrap().file_name().into_string().ok());
         assert_eq!(files.collect::<Vec<_>>(), ["config.json"]);
         let taken = std::net::TcpListener::bind(doors[0]).unwrap();
--- a/node/tests/failing_folder.rs
+++ b/node/tests/failing_folder.rs
@@ -23,11 +23,11 @@
 }
 
 fn site(ex: &'static LocalExecutor<'static>) -> Site {
-    let caches = [cache(ex), cache(ex)];
-    caches.iter().for_each(|c| *c.act.borrow_mut() = served());
-    let at = addresses(2);
-    let (_, _, bulletin) = news(ex);
-    let list = [0, 1].map(|i| server(&format!("s-{i}"), caches[i].at, "std", "active", 0));
+    let caches = [start_cache(ex), start_cache(ex)];
+    caches.iter().for_each(|c| *c.behavior.borrow_mut() = served());
+    let at = free_addresses(2);
+    let (_, _, bulletin) = start_discovery(ex);
+    let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
     let folder = tempdir().unwrap();
     std::fs::write(folder.path().join("config.json"), configuration(at[0], bulletin, &list)).unwrap();
     Site { caches, front: at[0], door: at[1], folder, shim: Shim::new(1).unwrap() }
@@ -39,19 +39,19 @@
         let start = start.env("LB_CONFIG", self.folder.path().join("config.json"));
         let start = start.env("LB_ADMIN_ADDR", self.door.to_string()).env("TMPDIR", self.folder.path());
         let process = self.shim.preload(start).unwrap().spawn().unwrap();
-        until("the front", || std::net::TcpStream::connect(self.front).is_ok()).await;
+        wait_until("the front", || std::net::TcpStream::connect(self.front).is_ok()).await;
         process
     }
 
     /// How many of some requests reach the server `s-0`.
     async fn reach_the_first(&self, from: u32) -> usize {
-        let before = self.caches[0].seen.borrow().len();
+        let before = self.caches[0].commands.borrow().len();
         for number in from..from + 12 {
-            let (mut client, text) = (Client::to(self.front).await, format!("{number:016x}"));
+            let (mut client, text) = (Client::connect(self.front).await, format!("{number:016x}"));
             client.send(&request(1, "media", &[("call", &text), ("row", &text)])).await;
-            assert!(within("an answer", client.answer()).await.is_some());
+            assert!(with_timeout("an answer", client.answer()).await.is_some());
         }
-        self.caches[0].seen.borrow().len() - before
+        self.caches[0].commands.borrow().len() - before
     }
 
     /// What processes show of themselves.
@@ -67,18 +67,18 @@
     run(|ex| async move {
         let site = site(ex);
         let first = site.start().await;
-        assert!(ask(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
+        assert!(admin_command(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
         first.kill().unwrap();
         site.shim.fail(Failure::File, ALWAYS).unwrap();
         let second = site.start().await;
         assert_eq!(site.reach_the_first(1).await, 0, "{}", second.text());
-        let refused = ask(site.door, &["ENABLE s-0\n"]).await;
+        let refused = admin_command(site.door, &["ENABLE s-0\n"]).await;
         assert!(refused.starts_with("error "), "{refused}");
         assert_eq!(site.reach_the_first(100).await, 0, "{}", second.text());
         site.shim.fail(Failure::File, 0).unwrap();
         // The folder has recovered: what this process has come to is shown without a further call.
-        until("the sign", || site.signs().iter().any(|s| s.starts_with("ready"))).await;
-        assert!(ask(site.door, &["ENABLE s-0\n"]).await.starts_with("done"));
+        wait_until("the sign", || site.signs().iter().any(|s| s.starts_with("ready"))).await;
+        assert!(admin_command(site.door, &["ENABLE s-0\n"]).await.starts_with("done"));
         assert_eq!(second.ended(), None);
     });
 }
@@ -106,7 +106,7 @@
         let said = command(site.door, "DISABLE s-0\n").await;
         site.shim.fail_file_call(0, fault).unwrap();
         if said.is_empty() {
-            until("the end of the process", || running.ended().is_some()).await;
+            wait_until("the end of the process", || running.ended().is_some()).await;
         }
         let running = if running.ended().is_some() { site.start().await } else { running };
         if !said.starts_with("done") {
@@ -134,7 +134,7 @@
     let mut said = String::new();
     let Ok(mut stream) = async_io::Async::<std::net::TcpStream>::connect(door).await else { return said };
     if stream.write_all(line.as_bytes()).await.is_ok() {
-        within("an answer at the door", stream.read_to_string(&mut said)).await.ok();
+        with_timeout("an answer at the door", stream.read_to_string(&mut said)).await.ok();
     }
     said
 }
@@ -147,7 +147,7 @@
         let process = site.start().await;
         sleep_until(now() + 300_000).await;
         let before = site.shim.syncs().unwrap();
-        assert!(ask(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
+        assert!(admin_command(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
         assert!(site.shim.syncs().unwrap() >= before + 2, "{}", process.text());
     });
 }
--- a/node/tests/gossip.rs
+++ b/node/tests/gossip.rs
@@ -26,7 +26,7 @@
 
 impl Group {
     fn new(n: usize) -> Group {
-        let g = Group { folder: TempDir::new().unwrap(), at: addresses(n) };
+        let g = Group { folder: TempDir::new().unwrap(), at: free_addresses(n) };
         for i in 0..n {
             g.write(i, n);
         }
@@ -125,7 +125,7 @@
 }
 
 fn hubs(c: &[Cache]) -> Vec<String> {
-    let hub = |(i, c): (usize, &Cache)| server(&format!("h-{i}"), c.at, "parent", "active", 0);
+    let hub = |(i, c): (usize, &Cache)| server_entry(&format!("h-{i}"), c.addr, "parent", "active", 0);
     c.iter().enumerate().map(hub).collect()
 }
 
@@ -133,34 +133,35 @@
 #[test]
 fn four_processes_one_of_them_lying() {
     run(|ex| async move {
-        let (_, _, bulletin) = news(ex);
-        let caches: Vec<Cache> = (0..3).map(|_| cache(ex)).collect();
+        let (_, _, bulletin) = start_discovery(ex);
+        let caches: Vec<Cache> = (0..3).map(|_| start_cache(ex)).collect();
         let g = Group::new(4);
-        let proxies: Vec<Process> =
-            (0..3).map(|i| g.start(i, &configuration(addresses(1)[0], bulletin, &hubs(&caches)))).collect();
+        let proxies: Vec<Process> = (0..3)
+            .map(|i| g.start(i, &configuration(free_addresses(1)[0], bulletin, &hubs(&caches))))
+            .collect();
         let accused: Vec<Addr> = (0..3).map(|i| config::stand_in(&format!("h-{i}"))).collect();
         let liar = keep_lying(ex, Liar::new(&g, 3, &accused));
         for p in &proxies {
-            says(p, "live, 4 of 4 live").await;
+            wait_for_log(p, "live, 4 of 4 live").await;
         }
-        until("the liar's view", || liar.borrow().gossip.quorum().live == 4).await;
-        let before = counter(&proxies[0], "gossipReceived").await;
-        until("statements", || liar.borrow().gossip.counts.sent > 40).await;
+        wait_until("the liar's view", || liar.borrow().gossip.quorum().live == 4).await;
+        let before = read_counter(&proxies[0], "gossipReceived").await;
+        wait_until("statements", || liar.borrow().gossip.counts.sent > 40).await;
         let junk = UdpSocket::bind("127.0.0.1:0").unwrap();
         junk.send_to(&[0; 120], g.at[0]).unwrap();
         liar.borrow().socket.send_to(&[0x14; 85], g.at[0]).unwrap();
         liar.borrow().socket.send_to(&[0; 257], g.at[0]).unwrap();
         sleep_until(now() + 300_000).await;
-        assert!(counter(&proxies[0], "gossipReceived").await > before);
+        assert!(read_counter(&proxies[0], "gossipReceived").await > before);
         for name in ["gossipDroppedSource", "gossipDroppedKey", "gossipDroppedSize"] {
-            assert_eq!(counter(&proxies[0], name).await, 1, "{name}");
+            assert_eq!(read_counter(&proxies[0], name).await, 1, "{name}");
         }
         for p in &proxies {
-            assert_eq!(counter(p, "gossipDoubts").await, 0, "{}", p.text());
+            assert_eq!(read_counter(p, "gossipDoubts").await, 0, "{}", p.text());
         }
         // One ends by will, and the others know at once.
         proxies[2].term().unwrap();
-        says(&proxies[0], "peer n2 is left").await;
+        wait_for_log(&proxies[0], "peer n2 is left").await;
     });
 }
 
@@ -168,30 +169,31 @@
 #[test]
 fn two_witnesses_are_believed_and_the_hub_is_probed() {
     run(|ex| async move {
-        let (_, _, bulletin) = news(ex);
-        let caches: Vec<Cache> = (0..3).map(|_| cache(ex)).collect();
+        let (_, _, bulletin) = start_discovery(ex);
+        let caches: Vec<Cache> = (0..3).map(|_| start_cache(ex)).collect();
         let g = Group::new(4);
-        let json = configuration(addresses(1)[0], bulletin, &hubs(&caches))
+        let json = configuration(free_addresses(1)[0], bulletin, &hubs(&caches))
             .replace("\"cancel\"", "\"probes\":true,\"cancel\"");
         let p = g.start(0, &json);
         let accused = [config::stand_in("h-1")];
         let _two = [1, 2].map(|i| keep_lying(ex, Liar::new(&g, i, &accused)));
-        says(&p, "gossip: h-1 is held suspect, 2 witnesses").await;
-        let probed = || caches[1].seen.borrow().iter().any(|c| c[0] == "health");
-        until("the probe", probed).await;
-        assert_eq!(counter(&p, "gossipProbes").await, 1);
+        wait_for_log(&p, "gossip: h-1 is held suspect, 2 witnesses").await;
+        let probed = || caches[1].commands.borrow().iter().any(|c| c[0] == "health");
+        wait_until("the probe", probed).await;
+        assert_eq!(read_counter(&p, "gossipProbes").await, 1);
         // The stand-in never answers it: an own failure, which with the rumour makes a skip.
-        until("the skip", || p.text().contains("counters: ") && caches[1].seen.borrow().len() == 1).await;
+        wait_until("the skip", || p.text().contains("counters: ") && caches[1].commands.borrow().len() == 1)
+            .await;
         sleep_until(now() + 600_000).await;
-        assert_eq!(counter(&p, "gossipSkipsHelped").await, 1, "{}", p.text());
+        assert_eq!(read_counter(&p, "gossipSkipsHelped").await, 1, "{}", p.text());
         // A file without the witnesses: their word ends with them.
         g.write(0, 1);
         p.signal(Signal::HUP).unwrap();
-        says(&p, "reload: gossip has 1 peers with keys").await;
-        says(&p, "gossip: h-1 is no longer held suspect").await;
+        wait_for_log(&p, "reload: gossip has 1 peers with keys").await;
+        wait_for_log(&p, "gossip: h-1 is no longer held suspect").await;
         std::fs::write(g.file(0, "toml"), "[gossip]\nsecret = 1\n").unwrap();
         p.signal(Signal::HUP).unwrap();
-        says(&p, "reload: kept gossip's peers: ").await;
+        wait_for_log(&p, "reload: kept gossip's peers: ").await;
     });
 }
 
--- a/node/tests/interrupted_calls.rs
+++ b/node/tests/interrupted_calls.rs
@@ -21,27 +21,28 @@
     ];
     for kinds in every {
         run(|ex| async move {
-            let caches = [cache(ex), cache(ex)];
+            let caches = [start_cache(ex), start_cache(ex)];
             let body = vec![7u8; 40_000];
-            let whole = Act::Say("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", body.clone());
-            caches.iter().for_each(|c| *c.act.borrow_mut() = whole.clone());
-            let (_, _, bulletin) = news(ex);
-            let front = addresses(1)[0];
+            let whole =
+                CacheBehavior::Answer("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", body.clone());
+            caches.iter().for_each(|c| *c.behavior.borrow_mut() = whole.clone());
+            let (_, _, bulletin) = start_discovery(ex);
+            let front = free_addresses(1)[0];
             let folder = tempdir().unwrap();
             let file = folder.path().join("config.json");
-            let list = [0, 1].map(|i| server(&format!("s-{i}"), caches[i].at, "std", "active", 0));
+            let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
             std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
             let shim = Shim::new(7).unwrap();
             let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
             let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
-            until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
+            wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
             kinds.iter().for_each(|kind| shim.fail(*kind, ONE_IN_TEN).unwrap());
             for number in 1..=60u32 {
-                let mut client = Client::to(front).await;
+                let mut client = Client::connect(front).await;
                 for id in 1..=3 {
                     let text = format!("{:016x}", number * 10 + id);
                     client.send(&request(id, "media", &[("call", &text), ("row", &text)])).await;
-                    let answer = within("an answer", client.answer()).await;
+                    let answer = with_timeout("an answer", client.answer()).await;
                     assert_eq!(
                         answer.as_ref().map(|a| (a.0, a.1.clone())),
                         Some((id, None)),
@@ -60,16 +61,16 @@
             assert!(!process.text().contains("stop: "), "{}", process.text());
             // The log takes so many lines in a second.
             sleep(1_100).await;
-            let reloads = counter(&process, "reloads").await;
+            let reloads = read_counter(&process, "reloads").await;
             process.signal(Signal::HUP).unwrap();
             sleep(50).await;
             assert!(
-                counter(&process, "reloads").await > reloads,
+                read_counter(&process, "reloads").await > reloads,
                 "no reload is read any more:\n{}",
                 process.text()
             );
             process.term().unwrap();
-            until("the end", || process.ended().is_some()).await;
+            wait_until("the end", || process.ended().is_some()).await;
             assert_eq!(process.ended().unwrap().code(), Some(0));
         });
     }
@@ -79,28 +80,28 @@
 #[test]
 fn a_client_accepted_after_a_long_failure_has_time_to_ask() {
     run(|ex| async move {
-        let cache = cache(ex);
-        *cache.act.borrow_mut() = served();
-        let (_, _, bulletin) = news(ex);
-        let front = addresses(1)[0];
+        let cache = start_cache(ex);
+        *cache.behavior.borrow_mut() = served();
+        let (_, _, bulletin) = start_discovery(ex);
+        let front = free_addresses(1)[0];
         let folder = tempdir().unwrap();
         let file = folder.path().join("config.json");
-        let list = [server("s-0", cache.at, "std", "active", 0)];
+        let list = [server_entry("s-0", cache.addr, "std", "active", 0)];
         std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
         let shim = Shim::new(7).unwrap();
         let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
         let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
-        until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
+        wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
         // That connection is taken, so that the place made next is the client's.
         sleep(200).await;
         shim.fail(Failure::Accept, 1_000_000).unwrap();
-        let mut client = Client::to(front).await;
+        let mut client = Client::connect(front).await;
         // Longer than a client that says nothing is kept.
         sleep(2_500).await;
         shim.fail(Failure::Accept, 0).unwrap();
         sleep(200).await;
         client.send(&request(1, "media", &[])).await;
-        let answer = within("an answer", client.answer()).await;
+        let answer = with_timeout("an answer", client.answer()).await;
         assert_eq!(answer, Some((1, None, b"whole".to_vec())), "{}", process.text());
     });
 }
--- a/node/tests/process.rs
+++ b/node/tests/process.rs
@@ -29,7 +29,7 @@
 
 /// Waits for the end without blocking the executor that the stand-ins run on.
 async fn end(mut child: Child) -> Output {
-    until("the end", || child.try_wait().unwrap().is_some()).await;
+    wait_until("the end", || child.try_wait().unwrap().is_some()).await;
     child.wait_with_output().unwrap()
 }
 
@@ -68,25 +68,26 @@
 #[test]
 fn sigterm() {
     run(|ex| async move {
-        let c = cache(ex);
-        let (_, _, bulletin) = news(ex);
+        let c = start_cache(ex);
+        let (_, _, bulletin) = start_discovery(ex);
         let (l, front) = listen();
         drop(l);
-        let config = file(&configuration(front, bulletin, &[server("s-0", c.at, "std", "active", 0)]));
+        let config =
+            file(&configuration(front, bulletin, &[server_entry("s-0", c.addr, "std", "active", 0)]));
         let child = start(&config, Stdio::piped());
         let mut old = loop {
             match async_io::Async::<std::net::TcpStream>::connect(front).await {
-                Ok(_) => break Client::to(front).await,
+                Ok(_) => break Client::connect(front).await,
                 Err(_) => sleep_until(now() + 5_000).await,
             }
         };
         old.send(&request(1, "media", &[])).await;
-        until("the attempt", || !c.seen.borrow().is_empty()).await;
+        wait_until("the attempt", || !c.commands.borrow().is_empty()).await;
         kill(&child, "USR1");
         kill(&child, "TERM");
-        let call = c.seen.borrow()[0][1].clone();
-        *c.act.borrow_mut() = Act::Say("served", "version=ab,detail=HIT", b"late".to_vec());
-        let mut new = Client::to(front).await;
+        let call = c.commands.borrow()[0][1].clone();
+        *c.behavior.borrow_mut() = CacheBehavior::Answer("served", "version=ab,detail=HIT", b"late".to_vec());
+        let mut new = Client::connect(front).await;
         for id in 1..20 {
             let own = [("call", &*format!("{:016x}", 100 + id)), ("row", &format!("{id:016x}"))];
             new.send(&request(id, "media", &own)).await;
@@ -108,14 +109,14 @@
 #[test]
 fn a_full_log() {
     run(|ex| async move {
-        let (_, _, bulletin) = news(ex);
+        let (_, _, bulletin) = start_discovery(ex);
         let (l, front) = listen();
         drop(l);
-        let list = [server("s-0", front, "std", "active", 0)];
+        let list = [server_entry("s-0", front, "std", "active", 0)];
         let full = std::fs::File::options().write(true).open("/dev/full").unwrap();
         let config = file(&configuration(front, bulletin, &list));
         let child = start(&config, full);
-        until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
+        wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
         kill(&child, "TERM");
         assert_eq!(end(child).await.status.code(), Some(0));
     });
@@ -127,13 +128,13 @@
 fn sighup() {
     run(|ex| async move {
         let recall = |no| format!(r#"{{"no":{no},"recall":{{"lot":1,"issued":{no}}}}}"#);
-        let (old, _, old_at) = news(ex);
-        let (new, told, new_at) = news(ex);
+        let (old, _, old_at) = start_discovery(ex);
+        let (new, told, new_at) = start_discovery(ex);
         old.borrow_mut().push(recall(1));
         new.borrow_mut().extend([recall(1), recall(2)]);
         let (l, front) = listen();
         drop(l);
-        let at = |bulletin| configuration(front, bulletin, &[server("s-0", front, "std", "active", 0)]);
+        let at = |bulletin| configuration(front, bulletin, &[server_entry("s-0", front, "std", "active", 0)]);
         let (path, log) = (file(&at(old_at)), file(""));
         let child = start(&path, log.reopen().unwrap());
         let text = || std::fs::read_to_string(&log).unwrap();
@@ -146,17 +147,17 @@
                 }
                 shown
             };
-            until("the counters", shown).await;
+            wait_until("the counters", shown).await;
         };
         shows(" purges=1").await;
         std::fs::write(&path, "{").unwrap();
         kill(&child, "HUP");
-        until("the refusal", || text().contains("reload: kept the old configuration: ")).await;
+        wait_until("the refusal", || text().contains("reload: kept the old configuration: ")).await;
         std::fs::write(&path, at(new_at).replace("\"sockets\":1024", "\"sockets\":512")).unwrap();
         kill(&child, "HUP");
         let line =
             format!("reload: bulletin moved to {new_at}, last event 1; only a restart changes limits\n");
-        until("the reload", || text().contains(&line)).await;
+        wait_until("the reload", || text().contains(&line)).await;
         shows(" purges=2").await;
         new.borrow_mut().push(recall(3));
         told.notify();
--- a/node/tests/restarts.rs
+++ b/node/tests/restarts.rs
@@ -75,8 +75,8 @@
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
     run(|ex| async move {
         let (l, at) = listen();
-        let fronts = addresses(PROCESSES);
-        let one = server("s-0", fronts[0], "std", "active", 0);
+        let fronts = free_addresses(PROCESSES);
+        let one = server_entry("s-0", fronts[0], "std", "active", 0);
         let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{one}]}}}}"#);
         let calls = Rc::new(RefCell::new(0));
         ex.spawn(slow_bulletin(ex, l, event, calls.clone())).detach();
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -5,8 +5,8 @@
 use threadward::net::{now, sleep_until};
 use threadward_core::Counter;
 
-fn ok() -> Act {
-    Act::Say("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec())
+fn ok() -> CacheBehavior {
+    CacheBehavior::Answer("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec())
 }
 
 fn cancel(id: u8) -> Vec<u8> {
@@ -19,38 +19,38 @@
 /// Rule 1: one final answer, whatever the cache does; none after a cancel, and none that comes late.
 #[rstest]
 #[case::served(ok(), None, b"whole")]
-#[case::broken(Act::Break, Some("Full"), b"")]
-#[case::crashed(Act::Say("crashed", "-", vec![]), Some("Full"), b"")]
-#[case::lacking(Act::Say("not_here", "detail=UP_MISS", vec![]), Some("Full"), b"")]
-#[case::silent(Act::Silent, Some("Full"), b"")]
-#[case::nonsense(Act::Say("what", "-", vec![]), Some("Full"), b"")]
-#[case::untagged(Act::Say("served", "detail=MISS_ORIGIN", b"whole".to_vec()), None, b"whole")]
-#[case::unasked(Act::Say("still_good", "version=ab,detail=HIT", vec![]), Some("Full"), b"")]
-fn one_final_answer(#[case] act: Act, #[case] word: Option<&str>, #[case] body: &[u8]) {
+#[case::broken(CacheBehavior::Close, Some("Full"), b"")]
+#[case::crashed(CacheBehavior::Answer("crashed", "-", vec![]), Some("Full"), b"")]
+#[case::lacking(CacheBehavior::Answer("not_here", "detail=UP_MISS", vec![]), Some("Full"), b"")]
+#[case::silent(CacheBehavior::Silent, Some("Full"), b"")]
+#[case::nonsense(CacheBehavior::Answer("what", "-", vec![]), Some("Full"), b"")]
+#[case::untagged(CacheBehavior::Answer("served", "detail=MISS_ORIGIN", b"whole".to_vec()), None, b"whole")]
+#[case::unasked(CacheBehavior::Answer("still_good", "version=ab,detail=HIT", vec![]), Some("Full"), b"")]
+fn one_final_answer(#[case] act: CacheBehavior, #[case] word: Option<&str>, #[case] body: &[u8]) {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(act);
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(act);
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[("ttl", "150")])).await;
         assert_eq!(c.answer().await, Some((1, word.map(str::to_owned), body.to_vec())));
         // Whatever else was owed for it would stand before the next answer.
-        w.all_do(ok());
+        w.set_behavior(ok());
         c.send(&request(2, "nothing", &[])).await;
         assert_eq!(c.answer().await.unwrap().0, 2);
-        until("all requests closed", || w.node.plan(|p, _| p.open_requests()) == 0).await;
+        wait_until("all requests closed", || w.node.plan(|p, _| p.open_requests()) == 0).await;
     });
 }
 
 #[test]
 fn nothing_is_answered_after_a_cancel() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
-        until("the attempt", || w.sent().len() == 1).await;
+        wait_until("the attempt", || w.received_requests().len() == 1).await;
         c.send(&cancel(1)).await;
-        let seen = &w.caches[0].seen;
-        until("the cancel at the cache", || seen.borrow().iter().any(|p| p[0] == "cancel")).await;
+        let seen = &w.caches[0].commands;
+        wait_until("the cancel at the cache", || seen.borrow().iter().any(|p| p[0] == "cancel")).await;
         c.send(&request(2, "nothing", &[])).await;
         assert_eq!(c.answer().await.unwrap().0, 2);
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Left)), 1);
@@ -59,16 +59,16 @@
 
 /// Rule 2: what may have run does not go out again where the class forbids it.
 #[rstest]
-#[case::may_have_run(Act::Break, 1, "Error")]
-#[case::never_ran(Act::Say("overload", "-", vec![]), 2, "Full")]
-fn no_duplicated_effect(#[case] act: Act, #[case] least: usize, #[case] word: &str) {
+#[case::may_have_run(CacheBehavior::Close, 1, "Error")]
+#[case::never_ran(CacheBehavior::Answer("overload", "-", vec![]), 2, "Full")]
+fn no_duplicated_effect(#[case] act: CacheBehavior, #[case] least: usize, #[case] word: &str) {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(act);
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(act);
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "booking", &[("dedupe", "5c0f6e1a")])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some(word));
-        let sent = w.sent();
+        let sent = w.received_requests();
         assert!(sent.len() >= least && (least > 1 || sent.len() == 1), "{sent:?}");
         assert!(sent.iter().all(|p| p[2].contains("uniq=5c0f6e1a")));
     });
@@ -80,16 +80,16 @@
 #[case::gone("left")]
 fn safe_drain(#[case] state: &str) {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(ok());
-        let left = server("s-0", w.caches[0].at, "std", state, 0);
-        w.tell(&format!(r#""roster":{{"version":2,"full":false,"servers":[{left}]}}"#)).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(ok());
+        let left = server_entry("s-0", w.caches[0].addr, "std", state, 0);
+        w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{left}]}}"#)).await;
+        let mut c = Client::connect(w.front).await;
         for id in 1..30 {
             c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
             assert_eq!(c.answer().await.unwrap().1, None);
         }
-        assert_eq!((w.caches[0].seen.borrow().len(), w.caches[1].seen.borrow().len()), (0, 29));
+        assert_eq!((w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len()), (0, 29));
     });
 }
 
@@ -100,16 +100,16 @@
 #[case::instead("s-new")]
 fn safe_fail_back(#[case] id: &str) {
     run(|ex| async move {
-        let w = world(ex, 2).await;
-        w.all_do(ok());
-        let cold = server(id, w.caches[0].at, "std", "active", unix_ms());
-        w.tell(&format!(r#""roster":{{"version":2,"full":false,"servers":[{cold}]}}"#)).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(ok());
+        let cold = server_entry(id, w.caches[0].addr, "std", "active", unix_ms());
+        w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{cold}]}}"#)).await;
+        let mut c = Client::connect(w.front).await;
         for id in 1..100 {
             c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
             c.answer().await.unwrap();
         }
-        let (cold, warm) = (w.caches[0].seen.borrow().len(), w.caches[1].seen.borrow().len());
+        let (cold, warm) = (w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len());
         assert!(cold * 3 < warm, "{cold} to the cold one, {warm} to the warm one");
     });
 }
@@ -121,14 +121,14 @@
 #[case::another(r#""lot":18"#.to_owned(), false)]
 fn no_purged_copy(#[case] what: String, #[case] hit: bool) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let issued = unix_ms();
-        w.tell(&format!(r#""recall":{{{what},"issued":{issued}}}"#)).await;
-        let mut c = Client::to(w.front).await;
+        w.publish_event(&format!(r#""recall":{{{what},"issued":{issued}}}"#)).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         c.answer().await.unwrap();
-        let sent = w.sent().remove(0);
+        let sent = w.received_requests().remove(0);
         let newer: Option<u64> = threadward::wire::field(&sent[2], "newer").map(|n| n.parse().unwrap());
         assert_eq!(newer.is_some(), hit, "{sent:?}");
         assert!(newer.is_none_or(|n| n <= unix_ms() - issued + 1));
@@ -146,14 +146,14 @@
 #[case("unknown", &[])]
 fn unusable_fields(#[case] class: &str, #[case] more: &[(&str, &str)]) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, class, more)).await;
         assert_eq!(c.answer().await, Some((1, Some("Error".into()), vec![])));
         c.send(&request(2, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
-        assert_eq!(w.sent().len(), 1);
+        assert_eq!(w.received_requests().len(), 1);
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Unusable)), 1);
     });
 }
@@ -167,11 +167,11 @@
 #[case::id_again([request(1, "media", &[]), request(1, "media", &[])].concat())]
 fn malformed_frames(#[case] bytes: Vec<u8>) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let (mut bad, mut good) = (Client::to(w.front).await, Client::to(w.front).await);
+        let w = start_testbed(ex, 1).await;
+        let (mut bad, mut good) = (Client::connect(w.front).await, Client::connect(w.front).await);
         bad.send(&bytes).await;
         while bad.answer().await.is_some() {}
-        w.all_do(ok());
+        w.set_behavior(ok());
         good.send(&request(1, "media", &[])).await;
         assert_eq!(good.answer().await.unwrap().1, None);
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Malformed)), 1);
@@ -185,12 +185,12 @@
 #[case::silent("hush")]
 fn the_bulletin_is_read_on_after_a_loss(#[case] how: &str) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
+        let w = start_testbed(ex, 1).await;
         for issued in [1, 2] {
-            w.tell(&format!(r#""recall":{{"lot":1,"issued":{issued}}}"#)).await;
-            w.hang_up(how);
+            w.publish_event(&format!(r#""recall":{{"lot":1,"issued":{issued}}}"#)).await;
+            w.end_discovery_connection(how);
         }
-        w.tell(r#""recall":{"lot":1,"issued":3}"#).await;
+        w.publish_event(r#""recall":{"lot":1,"issued":3}"#).await;
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!((count(Counter::Purges), count(Counter::DiscoveryLosses)), (3, 2));
     });
@@ -200,10 +200,10 @@
 #[test]
 fn events_apply_in_order() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.hold_back(r#""recall":{"lot":1,"issued":1}"#);
-        w.tell(r#""recall":{"lot":1,"issued":2}"#).await;
-        until("both", || w.node.plan(|p, _| p.counters.get(Counter::Purges)) == 2).await;
+        let w = start_testbed(ex, 1).await;
+        w.push_withheld_event(r#""recall":{"lot":1,"issued":1}"#);
+        w.publish_event(r#""recall":{"lot":1,"issued":2}"#).await;
+        wait_until("both", || w.node.plan(|p, _| p.counters.get(Counter::Purges)) == 2).await;
         assert_eq!(w.node.last_event.get(), 2);
     });
 }
@@ -215,17 +215,17 @@
 #[case::of_a_state_unknown(r#""roster":{"version":2,"full":true,"servers":[{"id":"s-0","state":"asleep"}]}"#)]
 fn a_bulletin_that_tells_what_cannot_be_used(#[case] bad: &str) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
-        let no = w.news.borrow().len() + 1;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
+        let no = w.discovery_events.borrow().len() + 1;
         let event = bad.strip_prefix("raw:").map_or(format!(r#"{{"no":{no},{bad}}}"#), str::to_owned);
-        w.news.borrow_mut().push(event);
-        w.tell(r#""recall":{"lot":1,"issued":3}"#).await;
+        w.discovery_events.borrow_mut().push(event);
+        w.publish_event(r#""recall":{"lot":1,"issued":3}"#).await;
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!(count(Counter::Purges), 1, "what stands behind it is heard");
         assert!(count(Counter::Malformed) >= 1, "it is counted");
         assert!(count(Counter::DiscoveryLosses) <= 2, "and asked for again a bounded number of times");
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None, "the cache of the last good list serves");
     });
@@ -235,20 +235,20 @@
 #[test]
 fn a_very_long_list() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = |i: usize| ([127, 1, (i >> 8) as u8, i as u8], 9).into();
         let many = |from: usize, n: usize| {
             let all: Vec<String> = (from..from + n)
-                .map(|i| server(&format!("x-{i}"), at(i), "unheard-of", "active", 0))
+                .map(|i| server_entry(&format!("x-{i}"), at(i), "unheard-of", "active", 0))
                 .collect();
             format!(r#""roster":{{"version":2,"full":false,"servers":[{}]}}"#, all.join(","))
         };
-        w.tell(&many(0, 10_000)).await;
-        w.news.borrow_mut().push(format!(r#"{{"no":2,{}}}"#, many(0, 20_001)));
-        w.tell(r#""recall":{"lot":1,"issued":3}"#).await;
+        w.publish_event(&many(0, 10_000)).await;
+        w.discovery_events.borrow_mut().push(format!(r#"{{"no":2,{}}}"#, many(0, 20_001)));
+        w.publish_event(r#""recall":{"lot":1,"issued":3}"#).await;
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Malformed)), 1);
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
     });
@@ -260,15 +260,17 @@
 #[case::gone_last(true)]
 fn reused_addresses(#[case] turn: bool) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
-        let at = w.caches[0].at;
-        let mut both = [server("s-0", at, "std", "left", 0), server("s-new", at, "std", "active", 0)];
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
+        let at = w.caches[0].addr;
+        let mut both =
+            [server_entry("s-0", at, "std", "left", 0), server_entry("s-new", at, "std", "active", 0)];
         if turn {
             both.reverse();
         }
-        w.tell(&format!(r#""roster":{{"version":2,"full":false,"servers":[{}]}}"#, both.join(","))).await;
-        let mut c = Client::to(w.front).await;
+        w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{}]}}"#, both.join(",")))
+            .await;
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
     });
@@ -278,22 +280,23 @@
 #[test]
 fn a_client_that_does_not_read() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(Act::Say("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]));
-        let c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(CacheBehavior::Answer("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]));
+        let c = Client::connect(w.front).await;
         let malformed = || w.node.plan(|p, _| p.counters.get(Counter::Malformed));
         let mut id = 0;
         while malformed() == 0 {
             id += 1;
             assert!(id < 500, "never closed");
             c.send(&request(id, "media", &[])).await;
-            until("its answer", || {
-                w.node.plan(|p, _| p.open_requests()) == 0 && w.sent().len() == id as usize || malformed() > 0
+            wait_until("its answer", || {
+                w.node.plan(|p, _| p.open_requests()) == 0 && w.received_requests().len() == id as usize
+                    || malformed() > 0
             })
             .await;
             assert!(w.node.unwritten_bytes.get() < 70 * 240_100);
         }
-        until("its memory", || w.node.unwritten_bytes.get() == 0).await;
+        wait_until("its memory", || w.node.unwritten_bytes.get() == 0).await;
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Malformed)), 1);
     });
 }
@@ -306,8 +309,8 @@
 #[case::taken_back([request(1, "media", &[]), cancel(1)].concat())]
 fn a_client_that_never_asks_is_closed(#[case] bytes: Vec<u8>) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let (mut bad, from) = (Client::to(w.front).await, now());
+        let w = start_testbed(ex, 1).await;
+        let (mut bad, from) = (Client::connect(w.front).await, now());
         bad.send(&bytes).await;
         assert_eq!(bad.answer().await, None);
         assert!((1_000_000..3_000_000).contains(&(now() - from)));
@@ -320,25 +323,25 @@
 #[test]
 fn silent_clients_make_room() {
     run(|ex| async move {
-        let w = small_world(ex, 1, 64).await;
-        w.all_do(ok());
+        let w = start_testbed_with_sockets(ex, 1, 64).await;
+        w.set_behavior(ok());
         let (mut silent, mut idle) = (Vec::new(), Vec::new());
         for _ in 0..5 {
-            silent.push(Client::to(w.front).await);
+            silent.push(Client::connect(w.front).await);
         }
         sleep_until(now() + 550_000).await;
         for id in 1..=20 {
-            let mut c = Client::to(w.front).await;
+            let mut c = Client::connect(w.front).await;
             c.send(&request(id, "media", &[])).await;
             assert_eq!(c.answer().await.unwrap().1, None);
             idle.push(c);
         }
-        let mut new = Client::to(w.front).await;
-        until("its place", || w.node.clients() == 26).await;
+        let mut new = Client::connect(w.front).await;
+        wait_until("its place", || w.node.clients() == 26).await;
         for _ in 0..16 {
-            silent.push(Client::to(w.front).await);
+            silent.push(Client::connect(w.front).await);
         }
-        until("the others", || w.node.plan(|p, _| p.counters.get(Counter::Accepted)) == 42).await;
+        wait_until("the others", || w.node.plan(|p, _| p.counters.get(Counter::Accepted)) == 42).await;
         new.send(&request(31, "media", &[])).await;
         assert_eq!(new.answer().await.unwrap().1, None);
         let evicted = w.node.plan(|p, _| p.counters.get(Counter::Evicted));
@@ -352,16 +355,16 @@
 #[test]
 fn a_slow_request_is_heard_out() {
     run(|ex| async move {
-        let w = small_world(ex, 1, 48).await;
-        w.all_do(ok());
-        let mut slow = Client::to(w.front).await;
+        let w = start_testbed_with_sockets(ex, 1, 48).await;
+        w.set_behavior(ok());
+        let mut slow = Client::connect(w.front).await;
         let frame = request(1, "media", &[]);
         let mut crowd = Vec::new();
         for piece in frame.chunks(frame.len() / 8) {
             slow.send(piece).await;
             sleep_until(now() + 320_000).await;
             for half in [false, true, true, false] {
-                let c = Client::to(w.front).await;
+                let c = Client::connect(w.front).await;
                 if half {
                     c.send(&frame[..20]).await;
                 }
@@ -370,12 +373,12 @@
         }
         assert_eq!(slow.answer().await, Some((1, None, b"whole".to_vec())));
         assert!(w.node.plan(|p, _| p.counters.get(Counter::Evicted)) > 0, "no place was asked for");
-        w.all_do(Act::Silent);
+        w.set_behavior(CacheBehavior::Silent);
         slow.send(&request(2, "media", &[])).await;
         slow.send(&frame[..20]).await;
-        until("the attempt", || w.sent().len() == 2).await;
+        wait_until("the attempt", || w.received_requests().len() == 2).await;
         sleep_until(now() + 1_000_000).await;
-        let call = w.sent()[1][1].clone();
+        let call = w.received_requests()[1][1].clone();
         w.caches[0].reply(&call, b"late").await;
         assert_eq!(slow.answer().await, Some((2, None, b"late".to_vec())));
     });
@@ -385,8 +388,8 @@
 #[test]
 fn unusable_again_and_again() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        let mut c = Client::connect(w.front).await;
         for id in 1..=8 {
             c.send(&request(id, "nothing", &[])).await;
             assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Error"));
@@ -400,17 +403,17 @@
 #[test]
 fn the_id_of_an_open_request() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let (mut first, mut second) = (Client::to(w.front).await, Client::to(w.front).await);
+        let w = start_testbed(ex, 1).await;
+        let (mut first, mut second) = (Client::connect(w.front).await, Client::connect(w.front).await);
         first.send(&request(1, "media", &[])).await;
-        until("the attempt", || w.sent().len() == 1).await;
+        wait_until("the attempt", || w.received_requests().len() == 1).await;
         let other = [("call", "0000000000000001"), ("row", "0000000000000abc")];
         second.send(&request(1, "media", &other)).await;
         assert_eq!(second.answer().await.unwrap().1.as_deref(), Some("Error"));
         w.caches[0].reply("0000000000000001", b"first").await;
         assert_eq!(first.answer().await, Some((1, None, b"first".to_vec())));
         second.send(&request(2, "media", &other)).await;
-        until("the id is free again", || w.sent().len() == 2).await;
+        wait_until("the id is free again", || w.received_requests().len() == 2).await;
     });
 }
 
@@ -419,23 +422,23 @@
 #[test]
 fn surplus_answers() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        let mut c = Client::connect(w.front).await;
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         for id in 1..3 {
             c.send(&request(id, "media", &[])).await;
-            until("the attempt", || w.sent().len() == id as usize).await;
+            wait_until("the attempt", || w.received_requests().len() == id as usize).await;
             for call in ["ffffffffffffffff", &format!("{id:016x}")] {
                 w.caches[0].reply(call, b"whole").await;
             }
             assert_eq!(c.answer().await, Some((id, None, b"whole".to_vec())));
         }
-        until("the unknown ones", || count(Counter::LateEnds) == 2).await;
+        wait_until("the unknown ones", || count(Counter::LateEnds) == 2).await;
         assert_eq!(count(Counter::Opened), 1, "the connection stays");
         w.caches[0].reply("0000000000000002", b"whole").await;
-        until("the second copy", || count(Counter::LateEnds) == 3).await;
+        wait_until("the second copy", || count(Counter::LateEnds) == 3).await;
         c.send(&request(3, "media", &[])).await;
-        until("the attempt", || w.sent().len() == 3).await;
+        wait_until("the attempt", || w.received_requests().len() == 3).await;
         assert_eq!(count(Counter::Opened), 2, "not on a connection that said what nobody had asked");
     });
 }
@@ -444,12 +447,12 @@
 #[test]
 fn a_refused_further_connection() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
-        w.caches[0].full.set(true);
+        w.caches[0].refuses_connections.set(true);
         sleep_until(now() + 50_000).await;
         c.send(&(2..12).flat_map(|id| request(id, "media", &[])).collect::<Vec<u8>>()).await;
         for _ in 2..12 {
@@ -464,14 +467,17 @@
 #[test]
 fn an_answer_that_stops_short() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(Act::Stall);
-        let (mut c, from) = (Client::to(w.front).await, now());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(CacheBehavior::Stall);
+        let (mut c, from) = (Client::connect(w.front).await, now());
         c.send(&request(1, "media", &[("ttl", "6000")])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
         assert!(now() - from < 5_000_000);
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
-        assert_eq!((w.sent().len(), count(Counter::Stalled), count(Counter::EndReset)), (1, 1, 1));
+        assert_eq!(
+            (w.received_requests().len(), count(Counter::Stalled), count(Counter::EndReset)),
+            (1, 1, 1)
+        );
     });
 }
 
@@ -479,12 +485,12 @@
 #[test]
 fn a_stalled_connection_is_left() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(Act::Stall);
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(CacheBehavior::Stall);
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[("ttl", "500")])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
-        w.all_do(ok());
+        w.set_behavior(ok());
         c.send(&request(2, "media", &[("ttl", "500")])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Opened)), 2);
@@ -500,18 +506,20 @@
             json.replace("inline", "on_probe").replace(r#""cancel""#, r#""probes":true,"cancel""#)
         };
         for (on, most) in [(true, 6), (false, 0)] {
-            let w = if on { world_with(ex, 2, probed).await } else { world(ex, 2).await };
-            w.all_do(ok());
-            let mut c = Client::to(w.front).await;
+            let w =
+                if on { start_testbed_with_config(ex, 2, probed).await } else { start_testbed(ex, 2).await };
+            w.set_behavior(ok());
+            let mut c = Client::connect(w.front).await;
             for id in 1..=200 {
                 c.send(&request(id, "media", &[])).await;
                 assert_eq!(c.answer().await, Some((id, None, b"whole".to_vec())));
             }
             let count = |c| w.node.plan(|p, _| p.counters.get(c));
-            let asked =
-                || w.caches.iter().flat_map(|c| c.seen.borrow().clone()).filter(|p| p[0] == "gauges").count();
+            let asked = || {
+                w.caches.iter().flat_map(|c| c.commands.borrow().clone()).filter(|p| p[0] == "gauges").count()
+            };
             if on {
-                until("a probe", || asked() >= 1).await;
+                wait_until("a probe", || asked() >= 1).await;
             }
             assert!(asked() <= most, "{} probes of 200 requests", asked());
             assert_eq!((count(Counter::Malformed), count(Counter::Broken)), (0, 0));
--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -112,9 +112,9 @@
 }
 
 /// Two requests, one of them after a purge and a list with times that cannot be: each has its one answer.
-async fn answers(w: &World, name: &str) -> Vec<Option<String>> {
-    let mut client = Client::to(w.front).await;
-    let (mut got, at) = (Vec::new(), w.caches[0].at);
+async fn answers(w: &Testbed, name: &str) -> Vec<Option<String>> {
+    let mut client = Client::connect(w.front).await;
+    let (mut got, at) = (Vec::new(), w.caches[0].addr);
     for id in [1, 2] {
         let fields = [
             ("ttl", if w.node.longest() < 2_000_000 { "1" } else { "1500" }),
@@ -127,9 +127,9 @@
         assert_eq!(of, id);
         got.push(word);
         if id == 1 {
-            w.tell(r#""recall":{"item":"7f3a9c21e0b4d655","issued":18446744073709551615}"#).await;
-            let servers = server("s-0", at, "std", "active", u64::MAX);
-            w.tell(&format!(r#""roster":{{"version":2,"full":false,"servers":[{servers}]}}"#)).await;
+            w.publish_event(r#""recall":{"item":"7f3a9c21e0b4d655","issued":18446744073709551615}"#).await;
+            let servers = server_entry("s-0", at, "std", "active", u64::MAX);
+            w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{servers}]}}"#)).await;
         }
     }
     assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
@@ -152,8 +152,8 @@
             let name = read.unwrap_or_else(|e| panic!("{case}: {e}")).names.classes[0].clone();
             run(|ex| async move {
                 println!("{case}");
-                let w = world_with(ex, 2, |json| with(&json, path, &value)).await;
-                w.all_do(served());
+                let w = start_testbed_with_config(ex, 2, |json| with(&json, path, &value)).await;
+                w.set_behavior(served());
                 let got = answers(&w, &name).await;
                 assert!(matches!(comes, Answered) || got[0].is_none(), "{case}: {got:?}");
             });
@@ -166,14 +166,15 @@
 fn a_silent_cache_is_waited_for_without_spinning() {
     for aim in [json!(null), json!(0), json!(1)] {
         run(|ex| async move {
-            let w = world_with(ex, 1, |json| with(&json, "/settings/classes/1/aim", &aim)).await;
-            let mut client = Client::to(w.front).await;
+            let w =
+                start_testbed_with_config(ex, 1, |json| with(&json, "/settings/classes/1/aim", &aim)).await;
+            let mut client = Client::connect(w.front).await;
             let used = || {
                 let t = clock_gettime(ClockId::ThreadCPUTime);
                 t.tv_sec * 1_000_000 + t.tv_nsec / 1_000
             };
             client.send(&request(1, "booking", &[("ttl", "1000")])).await;
-            until("the attempt", || !w.sent().is_empty()).await;
+            wait_until("the attempt", || !w.received_requests().is_empty()).await;
             let before = used();
             client.answer().await.unwrap();
             let spent = used() - before;
@@ -186,16 +187,16 @@
 #[test]
 fn a_keyed_request_is_repeated_within_a_window_of_any_length() {
     run(|ex| async move {
-        let w = world_with(ex, 3, |json| {
+        let w = start_testbed_with_config(ex, 3, |json| {
             let json = with(&json, "/settings/classes/0/dedup_window", &json!(HUGE));
             with(&json, "/settings/classes/0/effect", &json!("dedup"))
         })
         .await;
-        w.all_do(Act::Break);
-        let mut client = Client::to(w.front).await;
+        w.set_behavior(CacheBehavior::Close);
+        let mut client = Client::connect(w.front).await;
         client.send(&request(1, "media", &[("dedupe", "k")])).await;
         assert!(client.answer().await.is_some());
-        assert!(w.sent().len() > 1, "{:?}", w.sent());
+        assert!(w.received_requests().len() > 1, "{:?}", w.received_requests());
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
     });
 }
@@ -204,7 +205,8 @@
 #[test]
 fn a_connection_is_held_for_its_first_use_however_short_the_settings_have_it() {
     run(|ex| async move {
-        let w = world_with(ex, 1, |json| with(&json, "/settings/limits/keepalive", &json!(0))).await;
+        let w = start_testbed_with_config(ex, 1, |json| with(&json, "/settings/limits/keepalive", &json!(0)))
+            .await;
         let probed = w.node.pool.probe(config::stand_in("s-0"), "gauges").await;
         assert_eq!(probed.map(|(how, _)| how), Some(Outcome::Error), "the cache says that it is not well");
     });
--- a/node/tests/signed.rs
+++ b/node/tests/signed.rs
@@ -66,14 +66,14 @@
 }
 
 /// One signed front over a world. Its clock runs with the system's, off by `drift`, and it started a minute ago.
-fn front(w: &World, drift: Rc<Cell<i64>>, register: usize) -> SocketAddr {
+fn front(w: &Testbed, drift: Rc<Cell<i64>>, register: usize) -> SocketAddr {
     let (l, at) = listen();
     let s = settings("n0", at, &[("n0", at)], register);
     front_of(w, drift, s, l);
     at
 }
 
-fn front_of(w: &World, drift: Rc<Cell<i64>>, s: Settings, l: Rc<async_io::Async<std::net::TcpListener>>) {
+fn front_of(w: &Testbed, drift: Rc<Cell<i64>>, s: Settings, l: Rc<async_io::Async<std::net::TcpListener>>) {
     let (d, off) = (drift.clone(), drift.get());
     drift.set(off - 60_000_000);
     let f = Front::new(w.node.clone(), s, Box::new(move || now().saturating_add_signed(d.get())));
@@ -81,29 +81,33 @@
     w.node.spawn("signed", signed::serve(f, l));
 }
 
-fn ok() -> Act {
-    Act::Say("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec())
+fn ok() -> CacheBehavior {
+    CacheBehavior::Answer("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", b"whole".to_vec())
 }
 
 #[test]
 fn one_request_is_served_whole() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = front(&w, Rc::default(), 10);
-        let mut c = Client::to(at).await;
+        let mut c = Client::connect(at).await;
         c.send(&get(&link(PATH, now(), "a"))).await;
         let (status, head, body) = c.http().await.unwrap();
         assert_eq!((status, body.as_slice()), (200, &b"whole"[..]));
         assert!(head.contains("ETag: \"4be0c1927d55a6f3\"\r\n") && head.contains("no-store"), "{head}");
-        let sent = w.sent().remove(0);
+        let sent = w.received_requests().remove(0);
         assert!(sent[2].starts_with("queue=media,path=7f3a9c21e0b4d655,blk=3,"), "{sent:?}");
         // The same connection, and a copy that the client holds already.
-        w.all_do(Act::Say("still_good", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", vec![]));
+        w.set_behavior(CacheBehavior::Answer(
+            "still_good",
+            "version=4be0c1927d55a6f3,stamp=1,detail=HIT",
+            vec![],
+        ));
         let held = "GET {} HTTP/1.1\r\nHost: x\r\nIf-None-Match: \"4be0c1927d55a6f3\"\r\n\r\n";
         c.send(held.replace("{}", &link(PATH, now(), "b")).as_bytes()).await;
         assert_eq!(c.http().await.unwrap().0, 304);
-        assert!(w.sent()[1][2].contains("holds=4be0c1927d55a6f3"));
+        assert!(w.received_requests()[1][2].contains("holds=4be0c1927d55a6f3"));
     });
 }
 
@@ -145,10 +149,10 @@
 fn refused(target: &str, status: u16) {
     let target = target.to_owned();
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = front(&w, Rc::default(), 10);
-        let mut c = Client::to(at).await;
+        let mut c = Client::connect(at).await;
         c.send(&[get(&target), get(&link(PATH, now(), "good"))].concat()).await;
         let (got, _, body) = c.http().await.unwrap();
         assert_eq!((got, body.len()), (status, 0));
@@ -157,7 +161,7 @@
         } else {
             // One answer for it: the next on the connection is the good link's.
             assert_eq!(c.http().await.unwrap().0, 200);
-            assert_eq!(w.sent().len(), 1);
+            assert_eq!(w.received_requests().len(), 1);
         }
     });
 }
@@ -166,20 +170,20 @@
 #[test]
 fn tampered_tokens_are_refused_and_burn_nothing() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = front(&w, Rc::default(), 10);
         let whole = link(PATH, now(), "a");
         let from = whole.find('=').unwrap() + 1;
         for i in (from..whole.len()).step_by(7) {
             let mut bytes = whole.clone().into_bytes();
             bytes[i] = if bytes[i] == b'A' { b'B' } else { b'A' };
-            let mut c = Client::to(at).await;
+            let mut c = Client::connect(at).await;
             c.send(&get(&String::from_utf8(bytes).unwrap())).await;
             assert_eq!(c.http().await.unwrap().0, 403, "at {i}");
         }
-        assert!(w.sent().is_empty());
-        let mut c = Client::to(at).await;
+        assert!(w.received_requests().is_empty());
+        let mut c = Client::connect(at).await;
         c.send(&get(&whole)).await;
         assert_eq!(c.http().await.unwrap().0, 200);
     });
@@ -188,16 +192,16 @@
 #[test]
 fn a_token_is_redeemed_once_and_a_full_register_fails_closed() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = front(&w, Rc::default(), 2);
-        let mut c = Client::to(at).await;
+        let mut c = Client::connect(at).await;
         let (a, b, d) = (link(PATH, now(), "a"), link(PATH, now(), "b"), link(PATH, now(), "d"));
         for (target, status) in [(&a, 200), (&a, 403), (&b, 200), (&a, 403), (&d, 503), (&b, 403)] {
             c.send(&get(target)).await;
             assert_eq!(c.http().await.unwrap().0, status);
         }
-        assert_eq!(w.sent().len(), 2);
+        assert_eq!(w.received_requests().len(), 2);
         let count = |c| w.node.plan(|p, _| p.counters.get(c));
         assert_eq!((count(Counter::LinksReplayed), count(Counter::LinksRegisterFull)), (3, 1));
     });
@@ -207,9 +211,9 @@
 #[test]
 fn replay_at_another_proxy() {
     run(|ex| async move {
-        let (w, v) = (world(ex, 1).await, world(ex, 1).await);
-        w.all_do(ok());
-        v.all_do(ok());
+        let (w, v) = (start_testbed(ex, 1).await, start_testbed(ex, 1).await);
+        w.set_behavior(ok());
+        v.set_behavior(ok());
         let ((l0, a0), (l1, a1)) = (listen(), listen());
         let tier = [("n0", a0), ("n1", a1)];
         front_of(&w, Rc::default(), settings("n0", a0, &tier, 30), l0);
@@ -217,7 +221,7 @@
         let mut homes = [0, 0];
         for i in 0..20 {
             let target = link(PATH, now(), &format!("j{i}"));
-            let (mut c0, mut c1) = (Client::to(a0).await, Client::to(a1).await);
+            let (mut c0, mut c1) = (Client::connect(a0).await, Client::connect(a1).await);
             c0.send(&get(&target)).await;
             c1.send(&get(&target)).await;
             let (r0, r1) = (c0.http().await.unwrap(), c1.http().await.unwrap());
@@ -227,32 +231,32 @@
             let to = format!("Location: http://{}{target}\r\n", [a0, a1][home]);
             assert!(other.1.contains(&to), "{}", other.1);
             // Followed, it is a replay.
-            let mut again = Client::to([a0, a1][home]).await;
+            let mut again = Client::connect([a0, a1][home]).await;
             again.send(&get(&target)).await;
             assert_eq!(again.http().await.unwrap().0, 403);
         }
-        assert_eq!(w.sent().len() + v.sent().len(), 20);
+        assert_eq!(w.received_requests().len() + v.received_requests().len(), 20);
         assert!(homes.iter().all(|n| *n > 0), "{homes:?}");
     });
 }
 
 /// The link ends while a cache is at work: one refusal, not a byte, and the attempt is called off.
 #[rstest]
-#[case::silent(Act::Silent)]
+#[case::silent(CacheBehavior::Silent)]
 #[case::answers_late(ok())]
-fn expiry_during_a_fill(#[case] late: Act) {
+fn expiry_during_a_fill(#[case] late: CacheBehavior) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
+        let w = start_testbed(ex, 1).await;
         let drift = Rc::new(Cell::new(0));
         let at = front(&w, drift.clone(), 10);
-        let answers = !matches!(late, Act::Silent);
+        let answers = !matches!(late, CacheBehavior::Silent);
         let left = if answers { 60.0 } else { 0.3 };
         let (iat, exp) = (t(0.0), t(SKEW + left));
         let token = sign(HEAD, &claims(PATH, iat, exp, "a"), KEY);
-        let mut c = Client::to(at).await;
+        let mut c = Client::connect(at).await;
         c.send(&get(&format!("{PATH}?URISigningPackage={token}"))).await;
-        let seen = w.caches[0].seen.clone();
-        until("the attempt", || !seen.borrow().is_empty()).await;
+        let seen = w.caches[0].commands.clone();
+        wait_until("the attempt", || !seen.borrow().is_empty()).await;
         if answers {
             // The clock moves past the end before the cache answers; another client's request makes it answer.
             drift.set(drift.get() + 61_000_000);
@@ -263,7 +267,7 @@
         assert_eq!((status, body.len()), (403, 0));
         assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::LinksExpired)), 1);
         assert!(answers || now() as f64 / 1e6 <= exp - SKEW + 0.1);
-        until("the call-off", || answers || seen.borrow().iter().any(|p| p[0] == "cancel")).await;
+        wait_until("the call-off", || answers || seen.borrow().iter().any(|p| p[0] == "cancel")).await;
         // The client gets no second answer: the next is that of its next request.
         c.send(&get(PATH)).await;
         assert_eq!(c.http().await.unwrap().0, 401);
@@ -278,44 +282,45 @@
 #[case::fast_before_the_end(1.9, 5.0, 200)]
 fn skewed_clocks(#[case] drift: f64, #[case] left: f64, #[case] status: u16) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = front(&w, Rc::new(Cell::new((drift * 1e6) as i64)), 10);
         let token = sign(HEAD, &claims(PATH, t(-10.0), t(left), "a"), KEY);
-        let mut c = Client::to(at).await;
+        let mut c = Client::connect(at).await;
         c.send(&get(&format!("{PATH}?URISigningPackage={token}"))).await;
         assert_eq!(c.http().await.unwrap().0, status);
-        assert_eq!(w.sent().len(), usize::from(status == 200));
+        assert_eq!(w.received_requests().len(), usize::from(status == 200));
     });
 }
 
 #[test]
 fn a_purge_holds_for_links_too() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let at = front(&w, Rc::default(), 10);
         let issued = now() / 1000;
-        w.tell(&format!(r#""recall":{{"item":"{OBJECT}","issued":{issued}}}"#)).await;
-        let mut c = Client::to(at).await;
+        w.publish_event(&format!(r#""recall":{{"item":"{OBJECT}","issued":{issued}}}"#)).await;
+        let mut c = Client::connect(at).await;
         c.send(&get(&link(PATH, now(), "a"))).await;
         assert_eq!(c.http().await.unwrap().0, 200);
-        let newer = threadward::wire::field(&w.sent()[0][2], "newer").map(|n| n.parse::<u64>().unwrap());
+        let newer =
+            threadward::wire::field(&w.received_requests()[0][2], "newer").map(|n| n.parse::<u64>().unwrap());
         assert!(newer.is_some_and(|n| n <= now() / 1000 - issued + 1));
     });
 }
 
 /// What the caches do shows as one status each; a refused link works again, a failed one does not.
 #[rstest]
-#[case::refused(Act::Say("overload", "-", vec![]), "GET", PATH, 503, 200)]
-#[case::failed(Act::Break, "POST", "/booking/17/7f3a9c21e0b4d655/0", 502, 403)]
-#[case::deadline(Act::Silent, "GET", "/quick/17/7f3a9c21e0b4d655/0", 504, 403)]
+#[case::refused(CacheBehavior::Answer("overload", "-", vec![]), "GET", PATH, 503, 200)]
+#[case::failed(CacheBehavior::Close, "POST", "/booking/17/7f3a9c21e0b4d655/0", 502, 403)]
+#[case::deadline(CacheBehavior::Silent, "GET", "/quick/17/7f3a9c21e0b4d655/0", 504, 403)]
 #[case::write(ok(), "POST", "/booking/17/7f3a9c21e0b4d655/0", 200, 403)]
 #[case::unknown_class(ok(), "GET", "/nothing/17/7f3a9c21e0b4d655/0", 404, 404)]
 #[case::bad_path(ok(), "GET", "/media/017/7f3a9c21e0b4d655/0", 400, 400)]
 #[case::bad_method(ok(), "DELETE", PATH, 405, 405)]
 fn statuses(
-    #[case] act: Act,
+    #[case] act: CacheBehavior,
     #[case] method: &str,
     #[case] path: &str,
     #[case] first: u16,
@@ -323,12 +328,12 @@
 ) {
     let (method, path) = (method.to_owned(), path.to_owned());
     run(|ex| async move {
-        let w = world(ex, 1).await;
+        let w = start_testbed(ex, 1).await;
         let at = front(&w, Rc::default(), 10);
         let target = link(&path, now(), "a");
         for (act, status) in [(act, first), (ok(), again)] {
-            w.all_do(act);
-            let mut c = Client::to(at).await;
+            w.set_behavior(act);
+            let mut c = Client::connect(at).await;
             let (extra, body) = match method.as_str() {
                 "POST" => ("Content-Length: 2\r\nIdempotency-Key: \"k-1\"\r\n", "{}"),
                 _ => ("", ""),
@@ -339,20 +344,23 @@
             assert_eq!(got, status);
             assert_eq!(got == 503, head.contains("Retry-After: "));
         }
-        assert!(method != "POST" || w.sent().iter().all(|p| p[2].contains("uniq=k-1") && p[3] == "{}"));
+        assert!(
+            method != "POST"
+                || w.received_requests().iter().all(|p| p[2].contains("uniq=k-1") && p[3] == "{}")
+        );
     });
 }
 
 #[test]
 fn a_write_needs_its_key() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
+        let w = start_testbed(ex, 1).await;
         let at = front(&w, Rc::default(), 10);
         let target = link("/booking/17/7f3a9c21e0b4d655/0", now(), "a");
-        let mut c = Client::to(at).await;
+        let mut c = Client::connect(at).await;
         c.send(format!("POST {target} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes()).await;
         assert_eq!(c.http().await.unwrap().0, 400);
-        assert!(w.sent().is_empty());
+        assert!(w.received_requests().is_empty());
     });
 }
 
@@ -374,13 +382,13 @@
 #[test]
 fn a_manager_walks_the_counters() {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(ok());
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(ok());
         let udp = || async_io::Async::<std::net::UdpSocket>::bind(([127, 0, 0, 1], 0)).unwrap();
         let (agent, manager) = (udp(), udp());
         let at = agent.get_ref().local_addr().unwrap();
         w.node.spawn("agent", snmp::serve(w.node.clone(), Rc::new(agent), "depot".into()));
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         for id in 1..=300 {
             c.send(&request(id, "media", &[])).await;
             c.answer().await.unwrap();
--- a/node/tests/soak/clients.rs
+++ b/node/tests/soak/clients.rs
@@ -95,7 +95,7 @@
         let Ok(stream) = Async::<TcpStream>::connect(self.proxy.front).or(late).await else { return };
         // A small write that the system holds back would only look as if it had been sent.
         stream.get_ref().set_nodelay(true).ok();
-        let (mut client, connected) = (Client::on(stream), now());
+        let (mut client, connected) = (Client::from_stream(stream), now());
         let (mut open, mut answered, mut id) = (BTreeMap::new(), BTreeMap::new(), 0);
         for turn in 0..lots.u32(1..5) {
             if !self.proxy.takes_requests() {
--- a/node/tests/soak/proxies.rs
+++ b/node/tests/soak/proxies.rs
@@ -1,6 +1,6 @@
 //! The processes under test, and what befalls them: restarts, kills, reloads, steps of the wall clock, system calls that
 //! fail for a moment, and operators' commands while files cannot be written.
-use crate::common::{addresses, ask, configuration};
+use crate::common::{admin_command, configuration, free_addresses};
 use crate::oracle::Rule;
 use crate::servers::{World, SERVERS};
 use crate::{dice, pause, MILLISECOND, SECOND};
@@ -171,7 +171,7 @@
         if TcpStream::connect(admin).is_err() {
             return false;
         }
-        ask(admin, &[line]).or(late).await.starts_with("done")
+        admin_command(admin, &[line]).or(late).await.starts_with("done")
     }
 
     /// Takes a server out while files fail, and calls it back after a while.
@@ -236,7 +236,7 @@
 
 impl Fleet {
     pub async fn start(world: Rc<World>, count: usize, seed: u64) -> Fleet {
-        let at = addresses(3 * count);
+        let at = free_addresses(3 * count);
         let proxy = |number: usize| {
             Rc::new(Proxy {
                 number,
--- a/node/tests/soak/servers.rs
+++ b/node/tests/soak/servers.rs
@@ -1,6 +1,6 @@
 //! Stand-in cache servers that answer, refuse, fail, fall silent, break connections and drain, and discovery with one
 //! address for each proxy, so that what a proxy was told is known to the moment.
-use crate::common::{listen, server};
+use crate::common::{listen, server_entry};
 use crate::oracle::Oracle;
 use crate::{dice, pause, MILLISECOND, SECOND};
 use async_executor::LocalExecutor;
@@ -112,10 +112,10 @@
     /// The list as it stands, and the number of its last event.
     pub fn list(&self) -> (u64, Vec<String>) {
         let state = |s: &Server| if s.draining.get().is_some() { "leaving" } else { "active" };
-        let entry = |(n, s): (usize, &Rc<Server>)| server(&format!("s-{n}"), s.at, "std", state(s), 0);
+        let entry = |(n, s): (usize, &Rc<Server>)| server_entry(&format!("s-{n}"), s.at, "std", state(s), 0);
         let mut list: Vec<String> = self.servers.iter().enumerate().map(entry).collect();
         // What is passed on is filled from the origin, which only cache servers ask.
-        list.push(server("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
+        list.push(server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
         (self.events.borrow().len() as u64, list)
     }
 
@@ -209,8 +209,9 @@
                     let _trouble = world.oracle.begin_trouble();
                     // The first stays well and in use, so that something can be served.
                     if number > 0 && lots.u8(0..4) == 0 {
-                        let entry =
-                            |state| crate::common::server(&format!("s-{number}"), server.at, "std", state, 0);
+                        let entry = |state| {
+                            crate::common::server_entry(&format!("s-{number}"), server.at, "std", state, 0)
+                        };
                         let list =
                             |e: String| format!(r#""roster":{{"version":2,"full":false,"servers":[{e}]}}"#);
                         server.draining.set(Some(now()));
