--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -65,23 +65,24 @@
 fn a_silent_watch_is_called_anew_before_what_it_missed_counts_as_told() {
     run(|ex| async move {
         let (l, at) = listen();
-        let w = world_with(ex, 2, |json| with(&json, "/bulletin", at.to_string().into())).await;
-        w.all_do(served());
-        let drain = server("s-0", w.caches[0].at, "std", "leaving", 0);
+        let w =
+            start_testbed_with_config(ex, 2, |json| with(&json, "/bulletin", at.to_string().into())).await;
+        w.set_behavior(served());
+        let drain = server_entry("s-0", w.caches[0].addr, "std", "leaving", 0);
         let event = format!(r#"{{"no":1,"roster":{{"version":2,"full":false,"servers":[{drain}]}}}}"#);
         let (calls, mute) = (Calls::default(), Rc::new(RefCell::new(0)));
         ex.spawn(falls_silent(l, event, calls.clone(), mute.clone())).detach();
-        until("the silence", || *mute.borrow() > 0).await;
+        wait_until("the silence", || *mute.borrow() > 0).await;
         assert_eq!(calls.borrow().len(), 1, "a watch with comments was left");
-        until("the drain", || w.node.last_event.get() == 1).await;
+        wait_until("the drain", || w.node.last_event.get() == 1).await;
         assert!(now() < *mute.borrow() + 7 * S, "called anew too late: {:?}", calls.borrow());
         assert!(calls.borrow().iter().all(|c| c.1 == 0) && calls.borrow().len() == 3);
-        let mut c = Client::to(w.front).await;
+        let mut c = Client::connect(w.front).await;
         for id in 1..30 {
             c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
             assert_eq!(c.answer().await.unwrap().1, None);
         }
-        assert_eq!((w.caches[0].seen.borrow().len(), w.caches[1].seen.borrow().len()), (0, 29));
+        assert_eq!((w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len()), (0, 29));
     });
 }
 
@@ -90,7 +91,10 @@
 #[test]
 fn what_waits_unwritten_follows_the_graces_of_the_settings() {
     run(|ex| async move {
-        let w = world_with(ex, 2, |j| with(&j, "/settings/family_info/purge_slack", json!(50_000))).await;
+        let w = start_testbed_with_config(ex, 2, |j| {
+            with(&j, "/settings/family_info/purge_slack", json!(50_000))
+        })
+        .await;
         let ask = ClientRequest {
             call_id: "00".into(),
             object_name: OBJECT.into(),
@@ -104,9 +108,9 @@
         std::thread::sleep(std::time::Duration::from_millis(120));
         let (issued, at) = (UnixTime::default(), now());
         bulletin::apply(&w.node, config::Bulletin::Recall { issued, object: None, group: 17 }, false);
-        until("an attempt", || !w.sent().is_empty()).await;
-        let newer = w.sent()[0][2].split(',').any(|f| f.starts_with("newer="));
-        assert!(newer, "sent {} us after the purge: {:?}", now() - at, w.sent());
+        wait_until("an attempt", || !w.received_requests().is_empty()).await;
+        let newer = w.received_requests()[0][2].split(',').any(|f| f.starts_with("newer="));
+        assert!(newer, "sent {} us after the purge: {:?}", now() - at, w.received_requests());
     });
 }
 
@@ -116,14 +120,18 @@
 #[case::another("00000000000000ff", Some("Full"))]
 fn a_copy_is_current_only_by_a_caches_word(#[case] held: &str, #[case] word: Option<&str>) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(Act::Say("still_good", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", vec![]));
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(CacheBehavior::Answer(
+            "still_good",
+            "version=4be0c1927d55a6f3,stamp=1,detail=HIT",
+            vec![],
+        ));
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[("etag", held)])).await;
         assert_eq!(c.answer().await, Some((1, word.map(str::to_owned), vec![])));
         let unchanged = w.node.plan(|p, _| p.counters.get(Counter::Unchanged));
         assert_eq!(
-            (unchanged == 1, w.sent()[0][2].contains(&format!("holds={held}"))),
+            (unchanged == 1, w.received_requests()[0][2].contains(&format!("holds={held}"))),
             (word.is_none(), true)
         );
     });
@@ -136,12 +144,13 @@
 #[case::told_to_end(None, true, false)]
 fn alive(#[case] emptied: Option<&str>, #[case] stopping: bool, #[case] yes: bool) {
     run(|ex| async move {
-        let w = world_with(ex, 1, |j| emptied.map_or(j.clone(), |at| with(&j, at, json!([])))).await;
+        let w = start_testbed_with_config(ex, 1, |j| emptied.map_or(j.clone(), |at| with(&j, at, json!([]))))
+            .await;
         w.node.stopping.set(stopping.then(now));
         let mut frame = vec![0x94, 0x00, 0x07];
         put_text(&mut frame, "alive");
         frame.extend([0x91, 0x80]);
-        let c = Client::to(w.front).await;
+        let c = Client::connect(w.front).await;
         c.send(&frame).await;
         let mut said = [0; 11];
         (&c.stream).read_exact(&mut said).await.unwrap();
@@ -160,15 +169,15 @@
     #[case] sent: usize,
 ) {
     run(|ex| async move {
-        let w = world(ex, 1).await;
-        w.all_do(served());
-        let mut c = Client::to(w.front).await;
+        let w = start_testbed(ex, 1).await;
+        w.set_behavior(served());
+        let mut c = Client::connect(w.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
         w.node.stopping.set(Some(now() - after));
         c.send(&request(2, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), word);
-        assert_eq!(w.sent().len(), 1 + sent);
+        assert_eq!(w.received_requests().len(), 1 + sent);
     });
 }
 
@@ -183,9 +192,9 @@
             let json = with(&json, "/settings/classes/0/hard_limit", longest.into());
             with(&json, "/settings/classes/1/hard_limit", json!(900_000))
         };
-        let w = world_with(ex, 1, deadlines).await;
+        let w = start_testbed_with_config(ex, 1, deadlines).await;
         let ttl = (longest / 1000).to_string();
-        let (mut c, ordered) = (Client::to(w.front).await, now() - 800_000);
+        let (mut c, ordered) = (Client::connect(w.front).await, now() - 800_000);
         w.node.stopping.set(Some(ordered));
         c.send(&request(1, "media", &[("ttl", &ttl)])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
@@ -203,18 +212,19 @@
     let deploy = include_str!("../../deploy/balancer.toml").parse::<toml::Table>().unwrap();
     assert_eq!(deploy["run"].as_str(), Some("exec target/release/threadward"));
     run(|ex| async move {
-        let c = cache(ex);
-        *c.act.borrow_mut() = served();
-        let (_, _, at) = news(ex);
+        let c = start_cache(ex);
+        *c.behavior.borrow_mut() = served();
+        let (_, _, at) = start_discovery(ex);
         let (l, front) = listen();
         drop(l);
         let path = std::env::temp_dir().join(format!("threadward-standing-{}.json", std::process::id()));
-        std::fs::write(&path, configuration(front, at, &[server("s-0", c.at, "std", "active", 0)])).unwrap();
+        std::fs::write(&path, configuration(front, at, &[server_entry("s-0", c.addr, "std", "active", 0)]))
+            .unwrap();
         let mut child = Command::new(program).env("LB_CONFIG", &path).stderr(Stdio::null()).spawn().unwrap();
         while Async::<std::net::TcpStream>::connect(front).await.is_err() {
             sleep_until(now() + 5_000).await;
         }
-        let mut open = Client::to(front).await;
+        let mut open = Client::connect(front).await;
         open.send(&request(1, "media", &[])).await;
         assert_eq!(open.answer().await.unwrap().1, None);
         let killed = Command::new("sh").args(["-c", &format!("kill -TERM {}", child.id())]).status();
@@ -227,14 +237,14 @@
             assert_eq!(open.answer().await, Some((id, None, b"whole".to_vec())));
             sleep_until(now() + 20_000).await;
         }
-        *c.act.borrow_mut() = Act::Silent;
+        *c.behavior.borrow_mut() = CacheBehavior::Silent;
         open.send(&request(id + 1, "media", &[])).await;
-        until("the last one", || c.seen.borrow().len() == id as usize + 1).await;
+        wait_until("the last one", || c.commands.borrow().len() == id as usize + 1).await;
         sleep_until(ordered + 1_200_000).await;
-        let call = c.seen.borrow().last().unwrap()[1].clone();
+        let call = c.commands.borrow().last().unwrap()[1].clone();
         c.reply(&call, b"last").await;
         assert_eq!(open.answer().await, Some((id + 1, None, b"last".to_vec())));
-        until("the end", || child.try_wait().unwrap().is_some()).await;
+        wait_until("the end", || child.try_wait().unwrap().is_some()).await;
         assert!(child.wait().unwrap().success());
         assert!(now() < ordered + 3_700_000, "the kill would have come first");
     });
--- a/node/tests/unreachable.rs
+++ b/node/tests/unreachable.rs
@@ -17,21 +17,21 @@
         let unreachable = SocketAddr::from(NO_WAY);
         let failed = std::net::TcpStream::connect(unreachable).unwrap_err();
         assert_eq!(failed.kind(), std::io::ErrorKind::NetworkUnreachable);
-        let w = world(ex, 2).await;
-        w.all_do(served());
+        let w = start_testbed(ex, 2).await;
+        w.set_behavior(served());
         let entries: Vec<String> =
-            lost.split(',').map(|id| server(id, unreachable, "std", "active", 0)).collect();
+            lost.split(',').map(|id| server_entry(id, unreachable, "std", "active", 0)).collect();
         // One address for two servers would displace the first.
         for (n, entry) in entries.iter().enumerate() {
             let entry = entry.replace(":9\"", &format!(":{}\"", 9 + n));
-            w.tell(&format!(r#""roster":{{"version":2,"full":false,"servers":[{entry}]}}"#)).await;
+            w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{entry}]}}"#)).await;
         }
-        let mut client = Client::to(w.front).await;
+        let mut client = Client::connect(w.front).await;
         let mut served = 0;
         for id in 1..=20 {
             let row = format!("{id:016x}");
             client.send(&request(id, "media", &[("row", &row), ("ttl", "600")])).await;
-            served += usize::from(within("an answer", client.answer()).await.unwrap().1.is_none());
+            served += usize::from(with_timeout("an answer", client.answer()).await.unwrap().1.is_none());
             if lost.contains(',') {
                 break;
             }
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -18,7 +18,7 @@
     /// The first of them, which all requests go to where there is one.
     cache: Cache,
     others: Vec<Cache>,
-    news: News,
+    news: DiscoveryEvents,
     told: Rc<Wake>,
     front: SocketAddr,
     shim: Shim,
@@ -41,14 +41,15 @@
     step: i64,
     first_started_ms: u64,
 ) -> Site {
-    let mut all: Vec<Cache> = (0..caches).map(|_| cache(ex)).collect();
-    all.iter().for_each(|c| *c.act.borrow_mut() = served());
+    let mut all: Vec<Cache> = (0..caches).map(|_| start_cache(ex)).collect();
+    all.iter().for_each(|c| *c.behavior.borrow_mut() = served());
     let started = |n: usize| if n == 0 { first_started_ms } else { 0 };
-    let entry = |(n, c): (usize, &Cache)| server(&format!("s-{n}"), c.at, "std", "active", started(n));
+    let entry =
+        |(n, c): (usize, &Cache)| server_entry(&format!("s-{n}"), c.addr, "std", "active", started(n));
     let list: Vec<String> = all.iter().enumerate().map(entry).collect();
     let cache = all.remove(0);
-    let (news, told, bulletin) = news(ex);
-    let front = addresses(1)[0];
+    let (news, told, bulletin) = start_discovery(ex);
+    let front = free_addresses(1)[0];
     let folder = tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
@@ -56,7 +57,7 @@
     shim.step_wall_clock(step).unwrap();
     let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
     let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
-    until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
+    wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
     Site { cache, others: all, news, told, front, shim, process, _folder: folder }
 }
 
@@ -66,10 +67,10 @@
         let mut longest = 0;
         for number in from..from + count {
             let at = now();
-            let mut client = Client::to(self.front).await;
+            let mut client = Client::connect(self.front).await;
             let text = format!("{number:016x}");
             client.send(&request(1, "media", &[("call", &text), ("row", &text)])).await;
-            assert_eq!(within("an answer", client.answer()).await, Some((1, None, b"whole".to_vec())));
+            assert_eq!(with_timeout("an answer", client.answer()).await, Some((1, None, b"whole".to_vec())));
             longest = longest.max(now() - at);
         }
         longest
@@ -78,7 +79,7 @@
     async fn ends(&self) {
         let at = now();
         self.process.term().unwrap();
-        until("the end", || self.process.ended().is_some()).await;
+        wait_until("the end", || self.process.ended().is_some()).await;
         assert!(now() - at < 3_700_000, "ended {} us after SIGTERM", now() - at);
         assert_eq!(self.process.ended().unwrap().code(), Some(0));
     }
@@ -97,15 +98,15 @@
     site.shim.step_wall_clock(step).unwrap();
     assert!(site.serves(100, 20).await < 1_000_000);
     // A request is under way, one that the cache never answers, and its client hears of it within its time.
-    *site.cache.act.borrow_mut() = Act::Silent;
-    let mut client = Client::to(site.front).await;
+    *site.cache.behavior.borrow_mut() = CacheBehavior::Silent;
+    let mut client = Client::connect(site.front).await;
     let at = now();
     client.send(&request(1, "quick", &[("ttl", "150")])).await;
     sleep_until(now() + 20_000).await;
     site.shim.step_wall_clock(0).unwrap();
-    assert!(within("an answer", client.answer()).await.is_some_and(|(_, word, _)| word.is_some()));
+    assert!(with_timeout("an answer", client.answer()).await.is_some_and(|(_, word, _)| word.is_some()));
     assert!(now() - at < 500_000, "answered after {} us", now() - at);
-    *site.cache.act.borrow_mut() = served();
+    *site.cache.behavior.borrow_mut() = served();
     site.serves(200, 20).await;
     // The watch is neither taken for silent nor kept when it is.
     assert!(!site.process.text().contains("connection lost"), "{}", site.process.text());
@@ -131,7 +132,7 @@
     sleep_until(at + 300_000).await;
     site.serves(50, 1).await;
     let most = (now() - at) / 1000 + 1;
-    let seen = site.cache.seen.borrow();
+    let seen = site.cache.commands.borrow();
     let newer = threadward::wire::field(&seen.last().unwrap()[2], "newer").map(|t| t.parse::<u64>().unwrap());
     assert!(newer.is_some_and(|n| (1..=most).contains(&n)), "{newer:?}, {most} at most");
 }
@@ -153,7 +154,7 @@
     site.shim.step_wall_clock(step).unwrap();
     site.news.borrow_mut().push(format!(r#"{{"no":2,"recall":{{"lot":17,"issued":{}}}}}"#, unix_ms()));
     let (at, mut number) = (now(), 10);
-    let asked = || site.cache.seen.borrow().last().is_some_and(|parts| parts[2].contains("newer="));
+    let asked = || site.cache.commands.borrow().last().is_some_and(|parts| parts[2].contains("newer="));
     while !asked() {
         assert!(now() < at + 4_000_000, "the purge was not heard: {}", site.process.text());
         site.serves(number, 1).await;
@@ -173,12 +174,12 @@
 
 async fn slow_start(ex: &'static LocalExecutor<'static>, step: i64) {
     let site = site_with(ex, 2).await;
-    let shares = || [site.cache.seen.borrow().len(), site.others[0].seen.borrow().len()];
+    let shares = || [site.cache.commands.borrow().len(), site.others[0].commands.borrow().len()];
     site.shim.step_wall_clock(step).unwrap();
     site.serves(1, 60).await;
     let warm = shares();
     assert!(warm.iter().all(|n| *n > 10), "a step made a warm server cold: {warm:?}");
-    let cold = server("s-0", site.cache.at, "std", "active", unix_ms());
+    let cold = server_entry("s-0", site.cache.addr, "std", "active", unix_ms());
     let list = format!(r#"{{"no":1,"roster":{{"version":2,"full":false,"servers":[{cold}]}}}}"#);
     site.news.borrow_mut().push(list);
     site.told.notify();
@@ -196,7 +197,7 @@
     run(|ex| async move {
         let site = site_started(ex, 2, HOUR, unix_ms() - 500).await;
         site.serves(1, 100).await;
-        let (cold, warm) = (site.cache.seen.borrow().len(), site.others[0].seen.borrow().len());
+        let (cold, warm) = (site.cache.commands.borrow().len(), site.others[0].commands.borrow().len());
         assert!(cold * 3 < warm, "{cold} to the cold one, {warm} to the warm one");
     });
 }
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -116,7 +116,7 @@
     relay: Relay,
     town: Rc<Town>,
     fronts: Vec<SocketAddr>,
-    news: Vec<(News, Rc<Signal>)>,
+    news: Vec<(DiscoveryEvents, Rc<Signal>)>,
     hubs: Vec<(&'static str, SocketAddr)>,
     liar: Liar,
     asked: Rc<Asked>,
@@ -129,8 +129,8 @@
     async fn start(ex: Ex, stands: [usize; PROXIES]) -> Fleet {
         let (folder, town) = (TempDir::new().unwrap(), Rc::new(Town::default()));
         let file = |name: String| folder.path().join(name);
-        let (relay, fronts) = (Relay::new(7, CACHES + 1).unwrap(), addresses(PROXIES));
-        let (own, talk) = (addresses(CACHES + 1), addresses(PROXIES + 1));
+        let (relay, fronts) = (Relay::new(7, CACHES + 1).unwrap(), free_addresses(PROXIES));
+        let (own, talk) = (free_addresses(CACHES + 1), free_addresses(PROXIES + 1));
         let at = relay.udp(&own).unwrap();
         let ids = ["n-0", "n-1", "s-0", "s-1", "e-0", "e-1", "w-0", "w-1", "origin"];
         let members: Vec<_> = ids.iter().map(|id| (*id, member(ex, &town, id))).collect();
@@ -146,11 +146,11 @@
         for p in 0..PROXIES {
             let listed = |(id, at): &(&str, SocketAddr)| match &id[..1] {
                 "n" | "s" => listed(id, *at, 0),
-                "o" => server(id, *at, "origin", "active", 0),
+                "o" => server_entry(id, *at, "origin", "active", 0),
                 _ => listed(id, relay.tcp(p, CACHES, *at).unwrap(), 0),
             };
             let servers: Vec<String> = members.iter().map(listed).collect();
-            let (news, signal, bulletin) = news(ex);
+            let (news, signal, bulletin) = start_discovery(ex);
             told.push((news, signal));
             let west = stands.iter().filter(|s| **s == WEST).count();
             let (zone, counts) = (stands[p], [0, 0, PROXIES - west, west]);
@@ -193,7 +193,7 @@
         };
         self.proxies = (0..PROXIES).map(start).collect();
         for p in &self.proxies {
-            says(p, "start: zones are left and taken back by all proxies together").await;
+            wait_for_log(p, "start: zones are left and taken back by all proxies together").await;
         }
         let asked = Rc::new(Asked::default());
         for p in 0..PROXIES {
@@ -278,7 +278,7 @@
     let zone = ZONES.iter().find(|z| z[..1] == id[..1]).unwrap();
     let kind = if ["north", "south"].contains(zone) { "parent" } else { "std" };
     let of = if kind == "std" { "east" } else { "hub" };
-    server(id, at, kind, "active", started_ms)
+    server_entry(id, at, kind, "active", started_ms)
         .replace(&format!("\"zone\":\"{of}\""), &format!("\"zone\":\"{zone}\""))
 }
 
@@ -286,7 +286,7 @@
 fn client(ex: Ex, front: SocketAddr, p: usize, k: u32, asked: Rc<Asked>) {
     asked.clients.set(asked.clients.get() + 1);
     ex.spawn(async move {
-        let mut c = Client::to(front).await;
+        let mut c = Client::connect(front).await;
         let mut id = k * 1_000_000;
         while !asked.over.get() {
             id += 1;
@@ -499,11 +499,11 @@
         for (p, before) in before.iter().enumerate() {
             let said = &f.proxies[p];
             for name in ["zoneForged", "zoneMalformed"] {
-                assert_eq!(counter(said, name).await, 1, "{name} of {p}");
+                assert_eq!(read_counter(said, name).await, 1, "{name} of {p}");
             }
-            assert!(counter(said, "zoneUnvouched").await > 0, "{}", said.text());
+            assert!(read_counter(said, "zoneUnvouched").await > 0, "{}", said.text());
             // Who has no vote is asked to take nothing.
-            assert!(p == PROXIES - 1 || counter(said, "zoneOld").await >= 60, "{}", said.text());
+            assert!(p == PROXIES - 1 || read_counter(said, "zoneOld").await >= 60, "{}", said.text());
             assert_eq!(&f.moves(p), before, "a liar moved a zone");
         }
 
@@ -511,7 +511,7 @@
         f.one_says("is left").await;
         // The other is kept once enough see it fail: they skip it first, and try it again.
         let end = now() + 40_000_000;
-        while counter(&f.proxies[f.decides().unwrap_or(0)], "zoneKept").await == 0 {
+        while read_counter(&f.proxies[f.decides().unwrap_or(0)], "zoneKept").await == 0 {
             assert!(now() < end, "never kept: {:?}", f.moves(0));
             wait(100).await;
         }
