--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -107,8 +107,10 @@
         // No task has its turn meanwhile: the attempt stands in the queue of a connection that is not up.
         std::thread::sleep(std::time::Duration::from_millis(120));
         let (issued, at) = (UnixTime::default(), now());
-bulletin::apply ( & w . node , config::DiscoveryEvent::Purge { issued , object : None , group : 17 } , false ) ; wait_until ( "an attempt" , || ! w . received_requests ( ) . is_empty ( ) ) . await ; let newer = w . received_requests ( ) [ 0 ] [ 2 ] . split ( ' , ' ) . any ( | f | f . starts_with ( "newer=" ) ) ; assert!( newer , "sent {} us after the purge: {:?}" , now ( ) - at , w . received_requests ( ) ) ;
-
+        bulletin::apply(&w.node, config::DiscoveryEvent::Purge { issued, object: None, group: 17 }, false);
+        wait_until("an attempt", || !w.received_requests().is_empty()).await;
+        let newer = w.received_requests()[0][2].split(',').any(|f| f.starts_with("newer="));
+        assert!(newer, "sent {} us after the purge: {:?}", now() - at, w.received_requests());
     });
 }
 
