--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -46,7 +46,6 @@
         ["DISABLE" | "ENABLE", id] if !crate::wire::is_plain_text(id, 128) => Err("unknown cache server"),
         ["DISABLE", id] => Ok(AdminCommand::Disable(id)),
         ["ENABLE", id] => Ok(AdminCommand::Enable(id)),
-
         ["READY" | "DISABLE" | "ENABLE", ..] => Err("too many words"),
         _ => Err("unknown call: READY, DISABLE ID or ENABLE ID"),
     }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -23,7 +23,7 @@
     let result = match cli::parse(std::env::args_os()) {
         Ok(Invocation::Run(file)) => start(file).map_err(|e| with_program_name(format!("cannot start: {e}"))),
         Ok(Invocation::CreateKey(path)) => {
-            gossip::make_key(&path).and_then(|key| print_line(&key)).map_err(with_program_name)
+            gossip::create_key_file(&path).and_then(|key| print_line(&key)).map_err(with_program_name)
         }
         Ok(Invocation::Print(text)) => print_line(text.trim_end()).map_err(with_program_name),
         // The message begins with the file and the line in it, where editors look for them.
@@ -131,16 +131,16 @@
         let (n, socket) = (node.clone(), Rc::new(socket));
         node.spawn_restarting("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
     }
-    let gossip_tasks = match fronts.gossip {
-        Some(s) => Some(gossip::Talk::new(node.clone(), s)?),
+    let gossip_client = match fronts.gossip {
+        Some(s) => Some(gossip::GossipClient::new(node.clone(), s)?),
         None => None,
     };
-    if let Some(gossip_tasks) = &gossip_tasks {
+    if let Some(gossip_client) = &gossip_client {
         net::log("start: gossip between proxies is on");
-        let t = gossip_tasks.clone();
+        let t = gossip_client.clone();
         node.spawn_restarting("gossip in", move || gossip::receive(t.clone()));
-        let t = gossip_tasks.clone();
-        node.spawn_restarting("gossip", move || gossip::attend(t.clone()));
+        let t = gossip_client.clone();
+        node.spawn_restarting("gossip", move || gossip::run_timers(t.clone()));
     }
     let client = fronts.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
     if let Some(client) = &client {
@@ -148,14 +148,14 @@
         let socket = client.socket();
         node.spawn_restarting("budgets in", move || control_socket::receive(socket.clone()));
         let c = client.clone();
-        node.spawn_restarting("budgets", move || budgets::attend(c.clone()));
+        node.spawn_restarting("budgets", move || budgets::run_timers(c.clone()));
     }
-    let mut zone_tasks = None;
+    let mut zone_client = None;
     if let Some((z, client)) = fronts.zones.zip(client.as_ref()) {
-        let f = zones::Fleet::new(node.clone(), client.clone(), z)?;
+        let f = zones::ZoneClient::new(node.clone(), client.clone(), z)?;
         net::log("start: zones are left and taken back by all proxies together");
-        zone_tasks = Some(f.clone());
-        node.spawn_restarting("zones", move || zones::attend(f.clone()));
+        zone_client = Some(f.clone());
+        node.spawn_restarting("zones", move || zones::run_timers(f.clone()));
     }
     let n = node.clone();
     node.spawn("counters", async move {
@@ -164,7 +164,7 @@
             net::log(&format!("counters: {}", n.counters_line()));
         }
     });
-    let (n, t) = (node.clone(), gossip_tasks.clone());
+    let (n, t) = (node.clone(), gossip_client.clone());
     node.spawn("reload", async move {
         loop {
             next_signal(&reload_signals).await;
@@ -176,7 +176,7 @@
             let Some((t, file)) = t.as_ref().zip(file.as_ref()) else { continue };
             net::log(&match operators::read(file, &n.config.name) {
                 Ok(operators::OperatorConfig { gossip: Some(s), zones, .. }) => {
-                    zone_tasks.iter().zip(zones).for_each(|(f, z)| f.reload(z));
+                    zone_client.iter().zip(zones).for_each(|(f, z)| f.reload(z));
                     format!("reload: {}", t.reload(s))
                 }
                 Ok(_) => "reload: kept gossip: only a restart turns it off".to_owned(),
@@ -188,7 +188,7 @@
         next_signal(&stop_signals).await;
         node.stopping.set(Some(now()));
         shift.iter().for_each(|s| s.refresh());
-        gossip_tasks.iter().for_each(gossip::Talk::leave);
+        gossip_client.iter().for_each(gossip::GossipClient::leave);
         client.iter().for_each(|c| c.leave());
         net::log(&format!("stop: SIGTERM, {} requests open", node.plan(|p, _| p.open_requests())));
         node.wait_until_drained().await;
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,14 +1,9 @@
 //! The node, which connects the planner with the front ends and the pool of cache connections, and limits the
-
 //! connections of clients.
-
 //!
-
 //! All calls into the planner go through [`Node::plan`], whose borrow ends before the next await; a task runs
-
 //! the planner's timers.
 use crate::caches::{CachePool, PoolOwner, PoolTransport};
-
 use crate::calls;
 use crate::config::Config;
 use crate::net::{self, log, now, sleep_until, Signal};
@@ -307,7 +302,6 @@
         };
         let planner =
             Planner::new(config.settings.clone(), config.seed, limits, Box::new(PoolTransport(pool.clone())));
-
         let node = Rc::new(Node {
             discovery_addr: Cell::new(config.discovery_addr),
             discovery_moved: Signal::default(),
@@ -348,7 +342,6 @@
     }
 
     /// Returns the bytes of memory that answers hold: those waiting to be written to clients and those still
-
     /// arriving from caches.
     pub fn held_bytes(&self) -> usize {
         self.unwritten_bytes.get() + self.pool.buffered_bytes.get()
@@ -370,7 +363,6 @@
     }
 
     /// Sets the number of processes that share the limits, including this one. Clients beyond the new limit
-
     /// are evicted if no answer is due to them.
     pub fn set_process_count(&self, processes: usize) {
         self.process_count.set(processes);
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 const LIMIT: usize = 96;
 
@@ -20,18 +20,19 @@
 #[test]
 fn the_bulletin_is_reached_however_many_clients_come() {
     run(|ex| async move {
-        let c = cache(ex);
-        *c.act.borrow_mut() = served();
-        let at = addresses(2);
+        let c = start_cache(ex);
+        *c.behavior.borrow_mut() = served();
+        let at = free_addresses(2);
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
         let json = configuration(at[0], at[1], &[]);
         let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{LIMIT}"));
         std::fs::write(&path, json).unwrap();
         let limited = format!("ulimit -n {LIMIT}; exec \"$0\"");
-        let start = Start::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
+        let start =
+            ProcessBuilder::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
         let p = start.env("LB_CONFIG", &path).spawn().unwrap();
-        until("the front", || TcpStream::connect(at[0]).is_ok()).await;
+        wait_until("the front", || TcpStream::connect(at[0]).is_ok()).await;
         let own = held(&p);
         let (mut crowd, frame) = (Vec::new(), request(1, "media", &[]));
         for wave in 0..3 {
@@ -54,7 +55,7 @@
         }
         let up = now();
         let bulletin = Rc::new(Async::<TcpListener>::bind(at[1]).unwrap());
-        let list = server("s-0", c.at, "std", "active", 0);
+        let list = server_entry("s-0", c.addr, "std", "active", 0);
         let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{list}]}}}}"#);
         ex.spawn(async move {
             loop {
@@ -70,17 +71,17 @@
         let mut id = 0;
         loop {
             id += 1;
-            let mut good = Client::to(at[0]).await;
+            let mut good = Client::connect(at[0]).await;
             good.send(&request(id, "media", &[])).await;
             if good.answer().await == Some((id, None, b"whole".to_vec())) {
                 break;
             }
-            assert!(now() < up + 10_000_000, "not served:\n{}", p.text());
+            assert!(now() < up + 10_000_000, "not served:\n{}", p.output());
             sleep_until(now() + 10_000).await;
         }
         println!("served {} ms after the bulletin came up", (now() - up) / 1000);
         println!("{own} descriptors before the clients, {} with them, of {LIMIT}", held(&p));
-        assert!(!p.text().contains("accept: "), "{}", p.text());
+        assert!(!p.output().contains("accept: "), "{}", p.output());
         drop(crowd);
     });
 }
