--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,36 +1,46 @@
-//! Reads what the program is told at its start: the environment, the platform's configuration file, and the
-//! events known so far. It owns the names of members, zones, kinds and classes, and says what a reload cannot
-//! change. It must never act on what it reads: a bad configuration is one clear line, which ends a start but
-//! not a reload.
+//! Parses the platform's configuration file, with the discovery events known so far, and the events that
+//! discovery sends later. Also tells which changes of the configuration need a restart.
+//!
+//! An invalid configuration gives an error of one line, which ends a start but not a reload.
 use nickelgate_drill::parse_settings;
 use serde_json::Value;
 use std::net::SocketAddr;
 pub use threadward_core::bans::ListedServer;
 use threadward_core::{Addr, Entry, Lifecycle, ListForm, Micros, Settings, UnixTime};
 
+/// The platform's configuration of this proxy.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
+    /// Where the front end for clients listens.
     pub listen: SocketAddr,
-    /// Where operators call; nothing: there is no door.
+    /// Address of the admin socket; `None` if there is none.
     pub admin_addr: Option<SocketAddr>,
+    /// Seed of the router's random numbers.
     pub seed: u64,
+    /// Limit on sockets.
     pub max_sockets: usize,
+    /// Limit on memory.
     pub memory_bytes: usize,
+    /// Where datagrams of other proxies arrive.
     pub peer_listen: Option<SocketAddr>,
+    /// The addresses of the other proxies.
     pub peers: Vec<SocketAddr>,
+    /// Address of the discovery service.
     pub discovery_addr: SocketAddr,
     pub settings: Settings,
-    /// The settings as they were written.
+    /// The settings as they stand in the file.
     pub settings_json: Value,
     pub names: Names,
+    /// Number of the last event that the file already includes.
     pub last_known_event: u64,
+    /// The events known so far: member lists and purges.
     pub known_events: Vec<DiscoveryEvent>,
 }
 
 impl Config {
-    /// What differs in another configuration and takes effect with a restart only. `seed` and `known` belong to a
-    /// start, so they are passed over.
+    /// Returns the keys whose values differ in another configuration and take effect only with a restart.
+    /// `seed` and `known` matter only at a start, so they are left out.
     pub fn restart_only_changes(&self, new: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != new.name),
@@ -45,31 +55,40 @@
     }
 }
 
-/// What the settings name, in the order of their numbers, and the limits on connections to caches.
+/// Names from the settings, in the order of their indices, and the limits on connections to caches.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub classes: Vec<String>,
     pub zones: Vec<String>,
-    /// The hub that each zone is tied to, by its place; a hub is tied to itself.
+    /// For each zone, the index of the zone of its parent; a parent's zone has itself.
     pub zone_parents: Vec<u16>,
     pub kinds: Vec<String>,
+    /// The columns of the load reports of caches.
     pub columns: Vec<String>,
+    /// How long an idle connection to a cache is kept open.
     pub keepalive: Micros,
     pub connect_timeout: Micros,
-    /// Within this time after a drain or a purge was told, whichever has less, sends still count as made before it.
+    /// An attempt sent up to this long after a drain or purge was announced still counts as sent before it:
+    /// the shorter of the grace periods of the two.
     pub epoch_grace: Micros,
+    /// Maximum number of attempts at a time on one connection to a cache.
     pub streams_per_connection: usize,
+    /// Maximum number of unanswered requests.
     pub max_open: usize,
 }
 
+/// An event of the discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
+    /// A member list, or changes to it.
     Members { form: ListForm, servers: Vec<ListedServer> },
+    /// A purge of an object or, if none is named, of a group.
     Purge { issued: UnixTime, object: Option<u64>, group: u16 },
 }
 
-/// The module knows members by address. A new server may get the address of one that has gone, so what it is
-/// given stands for the id, alike at every proxy of the tier.
+/// Returns the address that stands for a server's id in the router, which knows members by address. The real
+/// address won't do, as a new server may get that of one that has gone. The result is the same at every proxy
+/// of the tier.
 pub fn address_for_id(id: &str) -> Addr {
     let mut h = 0xcbf2_9ce4_8422_2325u64;
     for b in id.bytes() {
@@ -80,34 +99,43 @@
     Addr { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) }
 }
 
+/// Returns the string at a key.
 fn text<'a>(v: &'a Value, key: &str) -> Result<&'a str, String> {
     v.get(key).and_then(Value::as_str).ok_or_else(|| format!("'{key}' is missing or no text"))
 }
 
+/// Returns the socket address at a key.
 fn address(v: &Value, key: &str) -> Result<SocketAddr, String> {
     text(v, key)?.parse().map_err(|_| format!("'{key}' is no address"))
 }
 
-fn words(v: &Value) -> Vec<String> {
+/// Returns a list of strings; entries of other types become empty strings.
+fn string_list(v: &Value) -> Vec<String> {
     let list = v.as_array().map(Vec::as_slice).unwrap_or_default();
     list.iter().map(|w| w.as_str().unwrap_or_default().to_owned()).collect()
 }
 
-fn places(v: &Value) -> Vec<u16> {
+/// Returns a list of indices; anything else becomes `u16::MAX`.
+fn index_list(v: &Value) -> Vec<u16> {
     let list = v.as_array().map(Vec::as_slice).unwrap_or_default();
     list.iter().map(|n| n.as_u64().and_then(|n| u16::try_from(n).ok()).unwrap_or(u16::MAX)).collect()
 }
 
-/// Time for a connection to a cache to come up, where none is told or none could in what is told; and the bounds.
-const USUAL_CONNECT: f64 = 400_000.0;
-const CONNECT: (f64, f64) = (10_000.0, 30_000_000.0);
-/// With less a connection would be closed before its first use.
-const KEEPALIVE: (f64, f64) = (100_000.0, 1e12);
-/// More memory than this, in megabytes, is no limit.
-const MOST_MEMORY: f64 = 1e9;
-const MOST_SOCKETS: f64 = 1e6;
+/// Timeout for connecting to a cache, in microseconds, if none is given or one that is too short for any
+/// connection.
+const DEFAULT_CONNECT_TIMEOUT: f64 = 400_000.0;
+/// Minimum connect timeout in microseconds: no connection could be made within less.
+const MIN_CONNECT_TIMEOUT: f64 = 10_000.0;
+/// Maximum connect timeout in microseconds.
+const MAX_CONNECT_TIMEOUT: f64 = 30_000_000.0;
+/// Range of the keepalive time in microseconds. With less a connection would be closed before its first use.
+const KEEPALIVE_RANGE: (f64, f64) = (100_000.0, 1e12);
+/// Maximum of the memory limit in megabytes: a higher one would be no limit.
+const MAX_MEMORY_MB: f64 = 1e9;
+/// Maximum of the limit on sockets.
+const MAX_SOCKETS: f64 = 1e6;
 
-/// The names of the classes, each of which can be told from the others and sent.
+/// Reads the names of the classes, which must be distinct and must be plain text that can be sent.
 fn classes(s: &Value) -> Result<Vec<String>, String> {
     let list = s.get("classes").and_then(Value::as_array).filter(|c| !c.is_empty());
     let list = list.ok_or("the settings name no usable classes: 'classes' is missing or empty")?;
@@ -116,21 +144,22 @@
     }
     let mut names: Vec<String> = Vec::new();
     for (i, c) in list.iter().enumerate() {
-        let wrong = |why: &str| Err(format!("'settings': 'classes', entry {i}: 'name' {why}"));
+        let error = |why: &str| Err(format!("'settings': 'classes', entry {i}: 'name' {why}"));
         let name = c.get("name").and_then(Value::as_str).unwrap_or_default();
         if !crate::wire::is_plain_text(name, 64) {
-            return wrong("is missing or cannot be sent");
+            return error("is missing or cannot be sent");
         }
         if names.iter().any(|n| n == name) {
-            return wrong(&format!("is '{name}' as in an entry before"));
+            return error(&format!("is '{name}' as in an entry before"));
         }
         names.push(name.to_owned());
     }
     Ok(names)
 }
 
-/// Each class has time, and what has less left than a tick is not begun.
-fn deadlines(s: &Settings) -> Result<(), String> {
+/// Checks that each class has a deadline, and that at least one deadline is longer than a tick: a request
+/// with no more than a tick left is not begun.
+fn check_deadlines(s: &Settings) -> Result<(), String> {
     if let Some(i) = s.classes.iter().position(|c| c.deadline == 0) {
         return Err(format!("'settings': 'classes', entry {i}: 'hard_limit' is missing or not over 0"));
     }
@@ -140,19 +169,19 @@
     Ok(())
 }
 
-/// The own zone has to be one that is named; a platform may be without zones.
-fn own_zone(s: &Value, zones: &[String]) -> Result<(), String> {
-    let told = s.get("zone").map(Value::as_f64);
-    let named = |z: f64| z.fract() == 0.0 && (0.0..zones.len() as f64).contains(&z);
-    match told {
+/// Checks that this proxy's zone is one of those named. A platform may have no zones.
+fn check_own_zone(s: &Value, zones: &[String]) -> Result<(), String> {
+    let given = s.get("zone").map(Value::as_f64);
+    let in_range = |z: f64| z.fract() == 0.0 && (0.0..zones.len() as f64).contains(&z);
+    match given {
         _ if zones.is_empty() => Ok(()),
         None if zones.len() == 1 => Ok(()),
-        Some(Some(z)) if named(z) => Ok(()),
+        Some(Some(z)) if in_range(z) => Ok(()),
         _ => Err(format!("'settings': 'zone' is missing or none of the {} in 'zones'", zones.len())),
     }
 }
 
-/// Reads the configuration's text.
+/// Parses the text of the configuration.
 ///
 /// # Errors
 /// One line that says what is wrong with it.
@@ -162,38 +191,39 @@
     let mut settings = parse_settings(s.to_string().as_bytes()).map_err(|e| e.to_string())?;
     let classes = classes(s)?;
     let listen = address(&v, "listen")?;
-    deadlines(&settings)?;
-    let at = |path: &str| s.pointer(path).unwrap_or(&Value::Null);
-    let num =
-        |path: &str, or: f64, (least, most): (f64, f64)| at(path).as_f64().unwrap_or(or).clamp(least, most);
-    let zones = words(at("/zones"));
-    own_zone(s, &zones)?;
+    check_deadlines(&settings)?;
+    let setting = |path: &str| s.pointer(path).unwrap_or(&Value::Null);
+    let num = |path: &str, fallback: f64, (lowest, highest): (f64, f64)| {
+        setting(path).as_f64().unwrap_or(fallback).clamp(lowest, highest)
+    };
+    let zones = string_list(setting("/zones"));
+    check_own_zone(s, &zones)?;
     if zones.is_empty() {
         settings.zone = 0;
     }
-    let kinds = words(at("/kinds"));
+    let kinds = string_list(setting("/kinds"));
     if kinds.is_empty() {
         return Err("'settings': 'kinds' is missing or empty".into());
     }
-    let connect = at("/limits/connect_timeout").as_f64().filter(|t| *t >= CONNECT.0);
-    let connect = connect.unwrap_or(USUAL_CONNECT).min(CONNECT.1);
+    let connect = setting("/limits/connect_timeout").as_f64().filter(|t| *t >= MIN_CONNECT_TIMEOUT);
+    let connect = connect.unwrap_or(DEFAULT_CONNECT_TIMEOUT).min(MAX_CONNECT_TIMEOUT);
     let names = Names {
         classes,
         zones,
-        zone_parents: places(at("/family_info/zone_hub")),
+        zone_parents: index_list(setting("/family_info/zone_hub")),
         kinds,
-        columns: words(at("/report/columns")),
-        keepalive: num("/limits/keepalive", 30_000_000.0, KEEPALIVE) as Micros,
+        columns: string_list(setting("/report/columns")),
+        keepalive: num("/limits/keepalive", 30_000_000.0, KEEPALIVE_RANGE) as Micros,
         connect_timeout: connect as Micros,
         epoch_grace: settings.drain_grace.min(settings.purge_grace),
         streams_per_connection: num("/limits/streams_per_conn", 32.0, (1.0, 1e6)) as usize,
         max_open: num("/limits/max_open", 1024.0, (1.0, 4096.0)) as usize,
     };
     let seed = v.get("seed").and_then(Value::as_str).and_then(|t| u64::from_str_radix(t, 16).ok());
-    let limit = |key: &str, or: f64, most: f64| match v.pointer(&format!("/limits/{key}")) {
-        None => Ok(or),
+    let limit = |key: &str, fallback: f64, upper: f64| match v.pointer(&format!("/limits/{key}")) {
+        None => Ok(fallback),
         Some(n) => {
-            let n = n.as_f64().filter(|n| *n >= 1.0).map(|n| n.min(most));
+            let n = n.as_f64().filter(|n| *n >= 1.0).map(|n| n.min(upper));
             n.ok_or_else(|| format!("'limits': '{key}' is no number from 1 up"))
         }
     };
@@ -209,8 +239,8 @@
         listen,
         admin_addr: v.get("admin_addr").map(|_| address(&v, "admin_addr")).transpose()?,
         seed: seed.ok_or("'seed' is missing or no hexadecimal number")?,
-        max_sockets: limit("sockets", 1024.0, MOST_SOCKETS)? as usize,
-        memory_bytes: (limit("memory_mb", 192.0, MOST_MEMORY)? * 1_048_576.0) as usize,
+        max_sockets: limit("sockets", 1024.0, MAX_SOCKETS)? as usize,
+        memory_bytes: (limit("memory_mb", 192.0, MAX_MEMORY_MB)? * 1_048_576.0) as usize,
         peer_listen: v.get("peer_listen").and_then(Value::as_str).and_then(|t| t.parse().ok()),
         peers: peers.iter().filter_map(|p| p.as_str()?.parse().ok()).collect(),
         discovery_addr: address(&v, "bulletin")?,
@@ -222,12 +252,13 @@
     })
 }
 
-/// A weight that can be reckoned with; anything else counts as not told.
+/// Returns a weight if it is in the usable range, else 0, which means that it isn't known.
 fn weight(w: f64) -> f32 {
     Some(w as f32).filter(|w| (1e-6..1e6).contains(w)).unwrap_or(0.0)
 }
 
-/// One event of the bulletin with its number; nothing where it is of an unknown kind.
+/// Parses an event of the discovery service. Returns its number, and `None` in place of the event if it is of
+/// an unknown kind.
 ///
 /// # Errors
 /// What is wrong with it.
@@ -242,11 +273,11 @@
             }
             None => None,
         };
-        let lot = r.get("lot").and_then(Value::as_u64).and_then(|l| u16::try_from(l).ok());
-        if object.is_none() && lot.is_none() {
+        let group_id = r.get("lot").and_then(Value::as_u64).and_then(|l| u16::try_from(l).ok());
+        if object.is_none() && group_id.is_none() {
             return Err("a recall of nothing".into());
         }
-        let group = lot.unwrap_or(0);
+        let group = group_id.unwrap_or(0);
         return Ok((
             no,
             Some(DiscoveryEvent::Purge { issued: UnixTime::from_millis(issued), object, group }),
@@ -257,26 +288,26 @@
     let mut servers = Vec::new();
     for s in r.get("servers").and_then(Value::as_array).into_iter().flatten() {
         let id = text(s, "id")?.to_owned();
-        let place = |list: &[String], key: &str| {
+        let index = |list: &[String], key: &str| {
             let word = s.get(key).and_then(Value::as_str).unwrap_or_default();
             list.iter().position(|z| z == word)
         };
-        let (zone, kind) = (place(&names.zones, "zone"), place(&names.kinds, "kind"));
+        let (zone, kind) = (index(&names.zones, "zone"), index(&names.kinds, "kind"));
         let state = match text(s, "state")? {
             "active" => Lifecycle::Ready,
             "leaving" => Lifecycle::Draining,
             "left" => Lifecycle::Gone,
             other => return Err(format!("a server in the unknown state '{other}'")),
         };
-        let none = SocketAddr::from(([127, 0, 0, 1], 0));
+        let no_addr = SocketAddr::from(([127, 0, 0, 1], 0));
         let sock = match address(s, "addr") {
             Ok(a) => a,
-            Err(_) if state == Lifecycle::Gone => none,
+            Err(_) if state == Lifecycle::Gone => no_addr,
             Err(e) => return Err(e),
         };
-        // Without zones all are in the same one.
+        // Without zones all servers are in the same one.
         let zone = if names.zones.is_empty() { Some(0) } else { zone };
-        // One of unknown kind must not pass for a cache of the own zone.
+        // A server of unknown kind must not count as a cache of this proxy's zone.
         let zone = zone.filter(|_| kind.is_some()).and_then(|z| u16::try_from(z).ok()).unwrap_or(u16::MAX);
         let entry = Entry {
             addr: address_for_id(&id),
