--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -1,6 +1,9 @@
-//! Ties the budgets that all proxies share to the proxy: their clock, the authentication of their messages, and what this
-//! proxy may use of each. It divides nothing itself: one instance does, of the plain division by one proxy for all, or of
-//! the control tree where the operators' file names regions and sites. Off unless that file has a `[budgets]` part.
+//! Connects the budgets that all proxies share to the proxy: the timers, the authentication of messages, the
+//! limits set from this proxy's shares, the counters and the log.
+//!
+//! The division itself is left to one library instance: of [`Budgets`], where one proxy divides for all, or
+//! of [`ControlTree`], where the operators' file names regions and sites. Off unless that file has a
+//! `[budgets]` part.
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
@@ -15,14 +18,15 @@
 use threadward_core::{Counter, Micros};
 use threadward_zones::ElectionView;
 
-/// The longest wait for what is due: a message may have brought it forward.
+/// Longest sleep between two runs of the timers: a message received meanwhile may have made something due
+/// sooner.
 const MAX_WAIT: Micros = 20_000;
-/// The budget of probes.
-const PROBES: usize = 0;
-/// The budget of what members that started lately are sent, where the file gives one.
-const COLD_MEMBERS: usize = 1;
+/// Index of the budget of probes.
+const PROBE_BUDGET: usize = 0;
+/// Index of the budget of requests to members that started recently, where the file gives one.
+const COLD_BUDGET: usize = 1;
 
-/// What divides the budgets, by what the operators' file says.
+/// The instance that divides the budgets, as the operators' file chooses.
 enum Instance {
     Plain { budgets: Box<Budgets>, settings: Settings },
     Tree(Box<ControlTree>),
@@ -57,7 +61,7 @@
     }
 }
 
-/// What the log says of a part that this proxy takes in the division, and whether it took it at the last look.
+/// The log lines about one level that this proxy may lead, and whether it led it at the last report.
 struct Leadership {
     level: Level,
     begins: String,
@@ -66,8 +70,9 @@
 }
 
 impl Leadership {
+    /// Returns every level that this proxy may lead under a division.
     fn all(division: &Division) -> Vec<Leadership> {
-        let leads = |level, what: &str| Leadership {
+        let new_leadership = |level, what: &str| Leadership {
             level,
             begins: format!("budgets: this proxy leads {what}"),
             ends: format!("budgets: this proxy no longer leads {what}"),
@@ -81,90 +86,94 @@
                 held: Cell::new(false),
             }],
             Division::Tree(tree) => vec![
-                leads(Level::Site, &format!("site {}", tree.site)),
-                leads(Level::Region, &format!("region {}", tree.region)),
-                leads(Level::Fleet, "the fleet"),
+                new_leadership(Level::Site, &format!("site {}", tree.site)),
+                new_leadership(Level::Region, &format!("region {}", tree.region)),
+                new_leadership(Level::Fleet, "the fleet"),
             ],
         }
     }
 }
 
-/// This proxy's part in the budgets that all share.
+/// This proxy's participation in the shared budgets.
 pub struct BudgetClient {
     node: Rc<Node>,
     socket: Rc<ControlSocket>,
     key: [u8; 32],
-    /// The own place among the proxies of the file.
-    place: u16,
+    /// This proxy's index among the proxies of the file.
+    index: u16,
     instance: RefCell<Instance>,
-    /// What was last written to the log: whether a lease lasts, and what this proxy leads.
+    /// Whether this proxy held a lease at the last report.
     was_leased: Cell<bool>,
+    /// The levels that this proxy may lead.
     leaderships: Vec<Leadership>,
-    /// Whether the file gives a budget of cold members.
+    /// Whether the file gives a budget of requests to cold members.
     has_cold_budget: bool,
 }
 
 impl BudgetClient {
+    /// Binds the control socket, starts the instance and limits this proxy's probes to its share.
+    ///
     /// # Errors
-    /// One line that says why it cannot start.
+    /// One line that says why the budgets cannot start.
     pub fn new(node: Rc<Node>, settings: BudgetSettings) -> Result<Rc<BudgetClient>, String> {
         let BudgetSettings { listen, proxies, key, division, .. } = settings;
         let socket = ControlSocket::bind(listen, proxies)?;
         let mut entropy = [0; 32];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
-        let (place, wholes, leaderships) = (division.place(), division.wholes(), Leadership::all(&division));
+        let (index, totals, leaderships) = (division.place(), division.wholes(), Leadership::all(&division));
         let client = Rc::new(BudgetClient {
             node,
             socket,
             key,
-            place,
+            index,
             instance: Instance::new(division, entropy)?.into(),
             was_leased: Cell::new(false),
             leaderships,
-            has_cold_budget: wholes.len() > COLD_MEMBERS,
+            has_cold_budget: totals.len() > COLD_BUDGET,
         });
-        client.pace_probes(wholes.get(PROBES).copied().unwrap_or(0));
+        client.limit_probes(totals.get(PROBE_BUDGET).copied().unwrap_or(0));
         let receiver = Rc::downgrade(&client);
-        let take = move |datagram: &[u8]| {
+        let on_datagram = move |datagram: &[u8]| {
             if let Some(client) = receiver.upgrade() {
-                client.received(datagram);
+                client.handle_datagram(datagram);
             }
         };
-        client.socket.register(Subject::Budgets, Box::new(take));
+        client.socket.register(Subject::Budgets, Box::new(on_datagram));
         Ok(client)
     }
 
-    /// The socket that control messages go by.
+    /// Returns the socket that carries the control messages.
     pub fn socket(&self) -> Rc<ControlSocket> {
         self.socket.clone()
     }
 
-    /// Keeps probes to this proxy's share of them. It is asked for at every use: a process that was stopped finds its lease
-    /// over before it sends anything.
-    fn pace_probes(self: &Rc<Self>, whole: u32) {
+    /// Limits the planner's probes to this proxy's share of `total`, and asks for the whole of it. The
+    /// planner asks for the share at each use, so that a process that was stopped for a while notices that
+    /// its lease has expired before it sends anything.
+    fn limit_probes(self: &Rc<Self>, total: u32) {
         let client = self.clone();
-        let pause = Rc::new(move || match client.share(PROBES) {
+        let pause = Rc::new(move || match client.share(PROBE_BUDGET) {
             0 => Micros::MAX,
             units => (1_000_000 * PROBE).div_ceil(units.into()),
         });
-        let probed = self.node.plan(|p, _| p.set_probe_pause(pause));
-        if !probed {
+        let probes_used = self.node.plan(|p, _| p.set_probe_pause(pause));
+        if !probes_used {
             net::log("budgets: no cache is probed here: this proxy takes no share");
         }
-        self.want(PROBES, if probed { whole } else { 0 });
+        self.set_own_demand(PROBE_BUDGET, if probes_used { total } else { 0 });
     }
 
-    /// What this proxy may use of a budget now, in units.
+    /// Returns what this proxy may use of a budget now, in units.
     fn share(&self, budget: usize) -> u32 {
         self.instance.borrow_mut().shared_mut().share(uptime(), budget)
     }
 
-    /// Says what this proxy would use of a budget, in units.
-    fn want(&self, budget: usize, units: u32) {
+    /// Sets what this proxy would use of a budget, in units.
+    fn set_own_demand(&self, budget: usize, units: u32) {
         self.instance.borrow_mut().shared_mut().set_demand(budget, units);
     }
 
-    /// One call of the instance, and what it wants sent.
+    /// Calls the instance, then authenticates and sends its messages.
     fn call(&self, action: impl FnOnce(&mut dyn SharedBudgets, Micros, &mut Outbox)) {
         let mut out = Outbox::new();
         action(self.instance.borrow_mut().shared_mut(), uptime(), &mut out);
@@ -175,8 +184,8 @@
         }
     }
 
-    /// The own place and life, and what the file says of all proxies; nothing under the control tree, in which zones take
-    /// no part.
+    /// Returns this proxy's index and incarnation with the settings that all proxies share, or `None` under
+    /// the control tree, which does not support zones.
     pub fn identity_and_settings(&self) -> Option<(Author, Settings)> {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, settings } => Some((budgets.identity(), settings.clone())),
@@ -184,39 +193,42 @@
         }
     }
 
-    /// What the election of the one that divides for all says now.
+    /// Returns the present state of the election of the coordinator that divides for all proxies.
     pub fn election(&self) -> ElectionView {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
-                let decides = budgets.is_coordinator(now);
-                let decider = if decides { self.place } else { budgets.coordinator() };
-                ElectionView { is_decider: decides, promised_to: budgets.promised_to(now), decider }
+                let coordinates = budgets.is_coordinator(now);
+                let decider = if coordinates { self.index } else { budgets.coordinator() };
+                ElectionView { is_decider: coordinates, promised_to: budgets.promised_to(now), decider }
             }
-            Instance::Tree(_) => ElectionView { is_decider: false, promised_to: None, decider: self.place },
+            Instance::Tree(_) => ElectionView { is_decider: false, promised_to: None, decider: self.index },
         }
     }
 
-    fn received(&self, datagram: &[u8]) {
-        let longest = match &*self.instance.borrow() {
+    /// Verifies a datagram and passes its message to the instance; counts one that cannot be verified or is
+    /// too long.
+    fn handle_datagram(&self, datagram: &[u8]) {
+        let max_bytes = match &*self.instance.borrow() {
             Instance::Plain { .. } => wire::MAX_MESSAGE_BYTES,
             Instance::Tree(_) => MAX_FRAME_BYTES,
         };
-        let message = open(&self.key, self.place, datagram).filter(|message| message.len() <= longest);
+        let message = open(&self.key, self.index, datagram).filter(|message| message.len() <= max_bytes);
         match message {
             Some(message) => self.call(|b, now, out| b.receive(now, message, out)),
             None => self.node.count(Counter::BudgetForged),
         }
     }
 
-    /// What this proxy sends to members that started lately is kept to its share.
-    fn keep_cold(&self) {
-        let share = self.share(COLD_MEMBERS);
-        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
-        self.want(COLD_MEMBERS, sends.saturating_mul(COLD));
+    /// Limits the requests to members that started recently to this proxy's share, and asks for as much as it
+    /// would send them.
+    fn limit_cold_requests(&self) {
+        let share = self.share(COLD_BUDGET);
+        let demand_per_s = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
+        self.set_own_demand(COLD_BUDGET, demand_per_s.saturating_mul(COLD));
     }
 
-    /// Says what changed, and keeps the counters.
+    /// Logs changes of leadership and of the lease, and updates the counters.
     fn report(&self) {
         let instance = self.instance.borrow();
         for leadership in &self.leaderships {
@@ -236,35 +248,35 @@
                 "budgets: no lease, the floor alone"
             });
         }
-        let counted = instance.shared().counters();
+        let division_counters = instance.shared().counters();
         drop(instance);
         self.node.plan(|p, _| {
-            let figures = [
-                (Counter::BudgetMalformed, counted.malformed),
-                (Counter::BudgetLapsed, counted.lapsed),
-                (Counter::BudgetElected, counted.elected.fleet),
-                (Counter::BudgetRegionElected, counted.elected.region),
-                (Counter::BudgetSiteElected, counted.elected.site),
-                (Counter::BudgetBytes, counted.sent_bytes),
-                (Counter::BudgetForwarded, counted.forwarded),
-                (Counter::BudgetDropped, counted.dropped),
+            let values = [
+                (Counter::BudgetMalformed, division_counters.malformed),
+                (Counter::BudgetLapsed, division_counters.lapsed),
+                (Counter::BudgetElected, division_counters.elected.fleet),
+                (Counter::BudgetRegionElected, division_counters.elected.region),
+                (Counter::BudgetSiteElected, division_counters.elected.site),
+                (Counter::BudgetBytes, division_counters.sent_bytes),
+                (Counter::BudgetForwarded, division_counters.forwarded),
+                (Counter::BudgetDropped, division_counters.dropped),
             ];
-            figures.into_iter().for_each(|(counter, n)| p.counters.set(counter, n));
+            values.into_iter().for_each(|(counter, n)| p.counters.set(counter, n));
         });
     }
 
-    /// Gives the share back: this proxy ends.
+    /// Returns this proxy's share to the others, at shutdown.
     pub fn leave(&self) {
         self.call(|b, _, out| b.leave(out));
     }
 }
 
-/// Sees to what is due.
+/// Runs the timers, the limit of requests to cold members and the reports for as long as the program runs.
 pub async fn run_timers(client: Rc<BudgetClient>) {
     loop {
         client.call(|b, now, out| b.tick(now, out));
         if client.has_cold_budget {
-            client.keep_cold();
+            client.limit_cold_requests();
         }
         client.report();
         let wait =
--- a/node/src/control_socket.rs
+++ b/node/src/control_socket.rs
@@ -1,5 +1,6 @@
-//! The one UDP socket for control messages between proxies. It sends to proxies by their place in the operators' file and
-//! hands what comes in to whoever registered for that kind of message. It neither signs nor verifies: each receiver does.
+//! The single UDP socket for control messages between proxies. It sends to proxies by their index in the
+//! operators' file and passes each datagram received to the receiver registered for its subject. It neither
+//! authenticates nor verifies messages: senders and receivers do.
 use crate::net;
 use async_io::Async;
 use std::cell::RefCell;
@@ -7,18 +8,20 @@
 use std::rc::Rc;
 use threadward_budgets::seal::TAG_BYTES;
 
-/// The longest datagram that is read whole. Messages on zones are the longest, and bear a code as long as those on budgets.
+/// Largest datagram that is received whole. Messages on zones are the longest, and their authentication code
+/// is as long as that of messages on budgets.
 const MAX_DATAGRAM_BYTES: usize = threadward_zones::wire::MAX_MESSAGE_BYTES + TAG_BYTES;
 
-/// Takes one datagram.
+/// A callback that is given one datagram.
 type Receiver = Box<dyn Fn(&[u8])>;
 
 /// What a datagram is about, by its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// Budgets, and all that belongs to nothing else: their receiver counts what it cannot verify.
+    /// Budgets, and every datagram that is not about another subject: the receiver for budgets counts those
+    /// that it cannot verify.
     Budgets,
-    /// Zones that the proxies leave and take back together.
+    /// Zones that the proxies take out of service and back together.
     Zones,
 }
 
@@ -32,52 +35,60 @@
     }
 }
 
-/// The socket, the addresses of all proxies and the receivers.
+/// The control socket, the addresses of all proxies and the receivers.
 pub struct ControlSocket {
     socket: Async<UdpSocket>,
-    /// In the order of the file.
+    /// The addresses of all proxies, in the order of the file.
     proxies: Vec<SocketAddr>,
-    budgets: RefCell<Option<Receiver>>,
-    zones: RefCell<Option<Receiver>>,
+    budgets_receiver: RefCell<Option<Receiver>>,
+    zones_receiver: RefCell<Option<Receiver>>,
 }
 
 impl ControlSocket {
-    /// Opens the socket at the own address; `proxies` are those of all proxies in the order of the file.
+    /// Binds the socket to this proxy's address. `proxies` holds the addresses of all proxies, in the order
+    /// of the file.
     ///
     /// # Errors
-    /// One line that says why it cannot be opened.
+    /// One line that says why the socket cannot be bound.
     pub fn bind(listen: SocketAddr, proxies: Vec<SocketAddr>) -> Result<Rc<ControlSocket>, String> {
         let socket = Async::<UdpSocket>::bind(listen).map_err(|e| format!("budgets: {listen}: {e}"))?;
-        Ok(Rc::new(ControlSocket { socket, proxies, budgets: RefCell::default(), zones: RefCell::default() }))
+        Ok(Rc::new(ControlSocket {
+            socket,
+            proxies,
+            budgets_receiver: RefCell::default(),
+            zones_receiver: RefCell::default(),
+        }))
     }
 
-    /// Sends a datagram to a proxy. One that finds no room is lost, as any may be.
+    /// Sends a datagram to the proxy with the index `to`. One that the socket cannot take is dropped: the
+    /// protocols tolerate the loss of any datagram.
     pub fn send(&self, to: u16, datagram: &[u8]) {
         if let Some(address) = self.proxies.get(usize::from(to)) {
             self.socket.get_ref().send_to(datagram, address).ok();
         }
     }
 
-    /// Registers who takes datagrams on a subject; without one they are dropped.
+    /// Registers the receiver of datagrams on a subject, in place of an earlier one. Without a receiver they
+    /// are dropped.
     pub fn register(&self, subject: Subject, receiver: Receiver) {
         *self.receiver(subject).borrow_mut() = Some(receiver);
     }
 
     fn receiver(&self, subject: Subject) -> &RefCell<Option<Receiver>> {
         match subject {
-            Subject::Budgets => &self.budgets,
-            Subject::Zones => &self.zones,
+            Subject::Budgets => &self.budgets_receiver,
+            Subject::Zones => &self.zones_receiver,
         }
     }
 
-    fn received(&self, datagram: &[u8]) {
+    fn deliver(&self, datagram: &[u8]) {
         if let Some(receiver) = self.receiver(Subject::of(datagram)).borrow().as_ref() {
             receiver(datagram);
         }
     }
 }
 
-/// Reads datagrams for as long as the program runs.
+/// Receives datagrams for as long as the program runs.
 pub async fn receive(socket: Rc<ControlSocket>) {
-    net::receive_datagrams(&socket.socket, MAX_DATAGRAM_BYTES, |datagram, _| socket.received(datagram)).await;
+    net::receive_datagrams(&socket.socket, MAX_DATAGRAM_BYTES, |datagram, _| socket.deliver(datagram)).await;
 }
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -1,6 +1,8 @@
-//! Ties gossip to the proxy: its socket, its timers, what own traffic showed, what is believed, and the log. It owns
-//! the one gossip instance of the program. It must never judge what a peer says, or send what the instance did not
-//! ask for. Off unless the operators' file has a `[gossip]` part.
+//! Connects the gossip library to the proxy: the UDP socket, the timers, the observations of the proxy's own
+//! traffic, the suspicions reported to the planner, the counters and the log.
+//!
+//! The program has a single gossip instance. It alone decides what a peer's messages mean and what is sent.
+//! Off unless the operators' file has a `[gossip]` part.
 use crate::net::{self, now, sleep_until};
 use crate::node::Node;
 use crate::operators::Talk as Settings;
@@ -14,9 +16,9 @@
 use threadward_core::{Addr, Counter, Micros, Outcome};
 use threadward_gossip::{Dropped, Gossip, Notice, Output, State, SUSPICION_TTL};
 
-/// How often own traffic is looked at.
-const LOOK: Micros = 25_000;
-/// The counters of dropped datagrams, in the order of the reasons.
+/// How often the gossip instance is given the observations of the proxy's own traffic.
+const TRAFFIC_INTERVAL: Micros = 25_000;
+/// The counters of dropped datagrams, in the order of `Dropped::ALL`.
 const DROPPED: [Counter; Dropped::ALL.len()] = [
     Counter::GossipSize,
     Counter::GossipSource,
@@ -30,23 +32,27 @@
     Counter::GossipForged,
 ];
 
+/// The gossip instance with its socket, and what the proxy keeps between its calls.
 pub struct GossipClient {
     node: Rc<Node>,
     socket: Async<UdpSocket>,
     gossip: RefCell<Gossip>,
-    /// Requests served by the last look.
+    /// Requests served, as of the last observation.
     served: Cell<u64>,
-    /// Probes a second, and when the next may go out.
-    probes: Cell<f64>,
-    next_probe: Cell<Micros>,
+    /// Probes per second that may confirm suspicions.
+    probes_per_s: Cell<f64>,
+    /// The earliest time of the next probe.
+    next_probe_at: Cell<Micros>,
 }
 
 impl GossipClient {
+    /// Binds the socket and starts the gossip instance.
+    ///
     /// # Errors
-    /// One line that says why it cannot start.
+    /// One line that says why gossip cannot start.
     pub fn new(node: Rc<Node>, s: Settings) -> Result<Rc<GossipClient>, String> {
-        let at = node.config.peer_listen.unwrap_or(s.listen);
-        let socket = Async::<UdpSocket>::bind(at).map_err(|e| format!("{at}: {e}"))?;
+        let listen_addr = node.config.peer_listen.unwrap_or(s.listen);
+        let socket = Async::<UdpSocket>::bind(listen_addr).map_err(|e| format!("{listen_addr}: {e}"))?;
         let mut entropy = [0; 32];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
         let gossip = Gossip::new(now(), s.settings, entropy)?;
@@ -55,28 +61,30 @@
             socket,
             gossip: RefCell::new(gossip),
             served: Cell::new(0),
-            probes: Cell::new(s.probes),
-            next_probe: Cell::new(0),
+            probes_per_s: Cell::new(s.probes),
+            next_probe_at: Cell::new(0),
         }))
     }
 
-    /// One call of the instance, and what it wants done.
+    /// Calls the gossip instance, then sends its datagrams and acts on its notices.
     fn call(self: &Rc<Self>, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
         let mut out = Output::default();
         f(&mut self.gossip.borrow_mut(), now(), &mut out);
         for (to, bytes) in out.send {
-            // One that finds no room is lost, as any may be.
+            // A datagram that the socket cannot take is dropped: the protocol tolerates the loss of any
+            // datagram.
             self.socket.get_ref().send_to(&bytes, to).ok();
         }
-        for news in out.notices {
-            self.told(news);
+        for notice in out.notices {
+            self.apply_notice(notice);
         }
     }
 
-    fn told(self: &Rc<Self>, news: Notice) {
-        match news {
+    /// Logs a notice, and passes suspicions on to the planner.
+    fn apply_notice(self: &Rc<Self>, notice: Notice) {
+        match notice {
             Notice::Peer { name, from, to } => {
-                let q = self.gossip.borrow().quorum();
+                let majority = self.gossip.borrow().quorum();
                 let word = match to {
                     State::Unknown => "unknown",
                     State::Live => "live",
@@ -85,7 +93,10 @@
                     State::Left => "left",
                 };
                 let again = if to == State::Live && from != State::Unknown { " again" } else { "" };
-                net::log(&format!("gossip: peer {name} is {word}{again}, {} of {} live", q.live, q.eligible));
+                net::log(&format!(
+                    "gossip: peer {name} is {word}{again}, {} of {} live",
+                    majority.live, majority.eligible
+                ));
             }
             Notice::Majority(true) => {
                 net::log("gossip: more than half of the peers are live, hearsay counts")
@@ -101,15 +112,16 @@
             Notice::SuspicionContinues { member, incarnation } => {
                 self.node.plan(|p, now| p.report_suspicion(now, member, incarnation, SUSPICION_TTL));
             }
-            Notice::Suspicion(d) => {
-                let lasts = if d.suspected { SUSPICION_TTL } else { 0 };
-                self.node.plan(|p, now| p.report_suspicion(now, d.member, d.incarnation, lasts));
+            Notice::Suspicion(suspicion) => {
+                let ttl = if suspicion.suspected { SUSPICION_TTL } else { 0 };
+                self.node
+                    .plan(|p, now| p.report_suspicion(now, suspicion.member, suspicion.incarnation, ttl));
 
-                let id = self.node.pool.member_id(d.member).unwrap_or_default();
-                if d.suspected {
+                let id = self.node.pool.member_id(suspicion.member).unwrap_or_default();
+                if suspicion.suspected {
                     self.node.count(Counter::GossipSuspicions);
-                    net::log(&format!("gossip: {id} is held suspect, {} witnesses", d.witnesses));
-                    self.probe(d.member);
+                    net::log(&format!("gossip: {id} is held suspect, {} witnesses", suspicion.witnesses));
+                    self.probe(suspicion.member);
                 } else {
                     net::log(&format!("gossip: {id} is no longer held suspect"));
                 }
@@ -117,108 +129,112 @@
         }
     }
 
-    /// Confirms a suspicion, where the platform's settings and the file allow it.
+    /// Starts a probe that confirms a suspicion, where the platform's settings, the operators' file and its
+    /// rate of probes allow one now.
     fn probe(self: &Rc<Self>, member: Addr) {
-        let rate = self.probes.get();
-        if !self.node.config.settings.probes || rate <= 0.0 || now() < self.next_probe.get() {
+        let rate = self.probes_per_s.get();
+        if !self.node.config.settings.probes || rate <= 0.0 || now() < self.next_probe_at.get() {
             return;
         }
-        self.next_probe.set(now() + (1e6 / rate) as Micros);
+        self.next_probe_at.set(now() + (1e6 / rate) as Micros);
         self.node.count(Counter::GossipProbes);
-        let talk = self.clone();
+        let client = self.clone();
         self.node.spawn("probe", async move {
-            let Some((outcome, report)) = talk.node.pool.probe(member, "health").await else { return };
-            let good = outcome == Outcome::Ok;
-            // A probe that confirms a suspicion counts any other answer as none.
-            let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
-            talk.node.plan(|p, now| p.probe_ended(now, member, outcome, report));
-            talk.call(|g, now, out| g.record_probe(now, member, good, out));
+            let Some((outcome, report)) = client.node.pool.probe(member, "health").await else { return };
+            let answered_ok = outcome == Outcome::Ok;
+            // In a probe that confirms a suspicion, any answer other than OK counts as no answer.
+            let outcome = if answered_ok { Outcome::Ok } else { Outcome::Timeout };
+            client.node.plan(|p, now| p.probe_ended(now, member, outcome, report));
+            client.call(|g, now, out| g.record_probe(now, member, answered_ok, out));
         });
     }
 
-    /// Takes over a file that was read anew; gives what to say of it.
+    /// Applies a reloaded operators' file. Returns what the reload reports about gossip.
     pub fn reload(self: &Rc<Self>, s: Settings) -> String {
-        self.probes.set(s.probes);
-        let done = self.gossip.borrow_mut().reconfigure(now(), s.settings);
-        match done {
+        self.probes_per_s.set(s.probes);
+        let reconfigured = self.gossip.borrow_mut().reconfigure(now(), s.settings);
+        match reconfigured {
             Ok(()) => format!("gossip has {} peers with keys", self.gossip.borrow().quorum().eligible),
             Err(e) => format!("gossip keeps its peers: {e}"),
         }
     }
 
-    /// Tells the others that this proxy ends.
+    /// Tells the peers that this proxy is shutting down.
     pub fn leave(self: &Rc<Self>) {
         self.call(|g, now, out| g.leave(now, out));
     }
 
-    /// Looks at own traffic and keeps the counters.
-    fn look(self: &Rc<Self>) {
-        let (standings, served, open) = self.node.plan(|p, _| {
+    /// Gives the instance the observations of the proxy's own traffic, and updates the counters and gauges.
+    fn observe_traffic(self: &Rc<Self>) {
+        let (health, served, requests_open) = self.node.plan(|p, _| {
             let served = p.counters.get(Counter::Served) + p.counters.get(Counter::Unchanged);
             (p.member_health(), served, p.open_requests())
         });
-        let new = served - self.served.replace(served);
-        let busy = open * 2 > self.node.config.names.max_open;
+        let newly_served = served - self.served.replace(served);
+        let overloaded = requests_open * 2 > self.node.config.names.max_open;
         self.call(|g, now, out| {
-            g.add_served_requests(new);
-            g.set_overloaded(now, busy);
-            g.observe(now, &standings, out);
+            g.add_served_requests(newly_served);
+            g.set_overloaded(now, overloaded);
+            g.observe(now, &health, out);
         });
         let g = self.gossip.borrow();
         self.node.peers_live.set(g.quorum().live);
         self.node.suspects.set(g.suspected_members().len());
-        let t = g.counts;
+        let totals = g.counts;
         self.node.plan(|p, _| {
             let c = &mut p.counters;
-            c.set(Counter::GossipSent, t.sent);
-            c.set(Counter::GossipBytes, t.sent_bytes);
-            c.set(Counter::GossipReceived, t.received);
-            c.set(Counter::GossipWithheld, t.withheld);
-            c.set(Counter::GossipConflicts, t.conflicts);
-            // Members that have left the list take their count with them; the counter never falls.
-            let helped = standings.iter().map(|s| u64::from(s.suspicion_skips)).sum::<u64>();
-            c.set(Counter::GossipSuspicionSkips, helped.max(c.get(Counter::GossipSuspicionSkips)));
-            DROPPED.iter().zip(t.dropped).for_each(|(counter, n)| c.set(*counter, n));
+            c.set(Counter::GossipSent, totals.sent);
+            c.set(Counter::GossipBytes, totals.sent_bytes);
+            c.set(Counter::GossipReceived, totals.received);
+            c.set(Counter::GossipWithheld, totals.withheld);
+            c.set(Counter::GossipConflicts, totals.conflicts);
+            // The sum falls when a member leaves the list, as its count goes with it. The counter must not
+            // fall.
+            let skips = health.iter().map(|s| u64::from(s.suspicion_skips)).sum::<u64>();
+            c.set(Counter::GossipSuspicionSkips, skips.max(c.get(Counter::GossipSuspicionSkips)));
+            DROPPED.iter().zip(totals.dropped).for_each(|(counter, n)| c.set(*counter, n));
         });
     }
 }
 
-/// Reads datagrams for as long as the program runs.
-pub async fn receive(talk: Rc<GossipClient>) {
-    let take = |bytes: &[u8], from| {
-        talk.node.count(Counter::PeerMessages);
-        talk.call(|g, now, out| g.receive(now, from, bytes, out));
+/// Receives datagrams for as long as the program runs.
+pub async fn receive(client: Rc<GossipClient>) {
+    let on_datagram = |bytes: &[u8], from| {
+        client.node.count(Counter::PeerMessages);
+        client.call(|g, now, out| g.receive(now, from, bytes, out));
     };
-    net::receive_datagrams(&talk.socket, threadward_gossip::wire::MAX_DATAGRAM_BYTES, take).await;
+    net::receive_datagrams(&client.socket, threadward_gossip::wire::MAX_DATAGRAM_BYTES, on_datagram).await;
 }
 
-/// Sees to what is due.
-pub async fn run_timers(talk: Rc<GossipClient>) {
-    let mut look = 0;
+/// Runs the instance's timers and the regular observation of traffic for as long as the program runs.
+pub async fn run_timers(client: Rc<GossipClient>) {
+    let mut next_observation = 0;
     loop {
-        if now() >= look {
-            look = now() + LOOK;
-            talk.look();
+        if now() >= next_observation {
+            next_observation = now() + TRAFFIC_INTERVAL;
+            client.observe_traffic();
         }
-        talk.call(|g, now, out| g.tick(now, out));
-        let next = talk.gossip.borrow().next_due().min(look);
-        // What came in meanwhile may be due sooner: it waits for the next look at the longest.
+        client.call(|g, now, out| g.tick(now, out));
+        let next = client.gossip.borrow().next_due().min(next_observation);
+        // A datagram that arrives during the sleep may make something due sooner. That waits until the next
+        // observation at most.
         sleep_until(next).await;
     }
 }
 
-/// Makes a secret in a new file that only its owner can read, and gives the public key for the operators' file.
+/// Writes a new secret key to a new file that only its owner can read, and returns the public key for the
+/// operators' file.
 ///
 /// # Errors
-/// One line that says why not; an existing file is never touched.
+/// One line that says why the file cannot be written. An existing file is never touched.
 pub fn create_key_file(path: &Path) -> Result<String, String> {
     use base64::engine::general_purpose::URL_SAFE_NO_PAD;
     use base64::Engine;
     let mut secret = [0; 32];
     getrandom::fill(&mut secret).map_err(|e| format!("no random numbers: {e}"))?;
-    let say = |e: std::io::Error| format!("{}: {e}", path.display());
+    let with_path = |e: std::io::Error| format!("{}: {e}", path.display());
     let mut file =
-        std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path).map_err(say)?;
-    writeln!(file, "{}", URL_SAFE_NO_PAD.encode(secret)).map_err(say)?;
+        std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path).map_err(with_path)?;
+    writeln!(file, "{}", URL_SAFE_NO_PAD.encode(secret)).map_err(with_path)?;
     Ok(URL_SAFE_NO_PAD.encode(threadward_gossip::public_key(&secret)))
 }
--- a/node/src/snmp/packet.rs
+++ b/node/src/snmp/packet.rs
@@ -1,17 +1,20 @@
-//! SNMPv2c packets (RFC 3416) in BER, read and written by `rasn` over the types of `rasn-snmp`. It owns the form of a
-//! packet and the bounds on one; it must never decide what is answered.
+//! Decodes and encodes SNMPv2c packets (RFC 3416) in BER, by `rasn` with the types of `rasn-snmp`, and limits
+//! the variables and the length of names in a packet that is decoded. What is answered is decided in
+//! `snmp.rs`.
 use rasn::{AsnType, Decode, Decoder, Encode};
 use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax};
 use rasn_snmp::v2::{VarBind, VarBindList, VarBindValue};
 use rasn_snmp::v2c::Message;
 
-/// Variables that one packet may name.
-pub const VARIABLES: usize = 128;
-/// Numbers in a name (RFC 3416, section 2).
-const NUMBERS: usize = 128;
+/// Largest number of variables in a packet.
+pub const MAX_VARIABLES: usize = 128;
+/// Largest number of sub-identifiers in a name (RFC 3416, section 2).
+const MAX_SUB_IDENTIFIERS: usize = 128;
 
+/// The name of an object.
 pub type Oid = Vec<u32>;
 
+/// The value of a variable. The last three are the exceptions of RFC 3416.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Value {
     Counter64(u64),
@@ -22,13 +25,19 @@
     EndOfMib,
 }
 
+/// The BER tag of a GetRequest.
 pub const GET: u8 = 0xa0;
+/// The BER tag of a GetNextRequest.
 pub const GET_NEXT: u8 = 0xa1;
+/// The BER tag of a Response.
 pub const RESPONSE: u8 = 0xa2;
+/// The BER tag of a SetRequest.
 pub const SET: u8 = 0xa3;
+/// The BER tag of a GetBulkRequest.
 pub const GET_BULK: u8 = 0xa5;
 
-/// A packet. In a GETBULK `error_status` and `error_index` are the non-repeaters and the repetitions.
+/// A packet. In a GetBulkRequest `error_status` and `error_index` hold the non-repeaters and the
+/// max-repetitions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Packet {
     pub version: i64,
@@ -40,8 +49,9 @@
     pub variables: Vec<(Oid, Value)>,
 }
 
-/// The one form of all bodies. That of `rasn-snmp` drops a request whose numbers are outside 32 bits or negative; here
-/// its request_id comes back as it came, and a negative count is none.
+/// The body of every kind of packet. The type of `rasn-snmp` rejects a request whose numbers are negative or
+/// exceed 32 bits. With this one, such a request is answered with its id unchanged, and a negative count is
+/// taken as zero.
 #[derive(AsnType, Decode, Encode)]
 struct Body {
     request_id: i64,
@@ -65,7 +75,8 @@
     GetBulk(Body),
 }
 
-/// Reads a packet; nothing where it is malformed or of a kind that no manager sends.
+/// Decodes a packet. Returns `None` if it is malformed, exceeds a limit or is of another kind than the five
+/// above.
 pub fn decode(buf: &[u8]) -> Option<Packet> {
     let (message, rest): (Message<Pdu>, _) = rasn::ber::decode_with_remainder(buf).ok()?;
     let (pdu_type, body) = match message.data {
@@ -75,10 +86,11 @@
         Pdu::Set(b) => (SET, b),
         Pdu::GetBulk(b) => (GET_BULK, b),
     };
-    if !rest.is_empty() || body.variables.len() > VARIABLES {
+    if !rest.is_empty() || body.variables.len() > MAX_VARIABLES {
         return None;
     }
-    let variable = |v: VarBind| (v.name.len() <= NUMBERS).then(|| (v.name.to_vec(), value(&v.value)));
+    let variable =
+        |v: VarBind| (v.name.len() <= MAX_SUB_IDENTIFIERS).then(|| (v.name.to_vec(), value(&v.value)));
     Some(Packet {
         version: i64::try_from(message.version).ok()?,
         community: message.community.to_vec(),
@@ -101,15 +113,17 @@
         VarBindValue::NoSuchObject => Value::NoSuchObject,
         VarBindValue::NoSuchInstance => Value::NoSuchInstance,
         VarBindValue::EndOfMibView => Value::EndOfMib,
-        // Only a SET brings other values, and none is taken.
+        // Only a SetRequest carries other values, and it is refused.
         VarBindValue::Unspecified | VarBindValue::Value(_) => Value::Null,
     }
 }
 
-/// Writes a packet; nothing where a name in it is none.
+/// Encodes a packet. Returns no bytes if a name in it is not a valid object identifier or its kind is
+/// unknown.
 pub fn encode(p: &Packet) -> Vec<u8> {
-    let written = || {
-        let variables = p.variables.iter().map(|(name, value)| bind(name, *value)).collect::<Option<_>>()?;
+    let encoded = || {
+        let variables =
+            p.variables.iter().map(|(name, value)| to_var_bind(name, *value)).collect::<Option<_>>()?;
         let body = Body {
             request_id: p.request_id,
             error_status: p.error_status,
@@ -127,14 +141,16 @@
         let community = p.community.clone().into();
         rasn::ber::encode(&Message { version: p.version.into(), community, data }).ok()
     };
-    written().unwrap_or_default()
+    encoded().unwrap_or_default()
 }
 
-fn bind(name: &Oid, value: Value) -> Option<VarBind> {
-    let wide = |v| VarBindValue::Value(ObjectSyntax::ApplicationWide(v));
+/// Converts a variable to the type of `rasn-snmp`. Returns `None` if its name is not a valid object
+/// identifier.
+fn to_var_bind(name: &Oid, value: Value) -> Option<VarBind> {
+    let application_wide = |v| VarBindValue::Value(ObjectSyntax::ApplicationWide(v));
     let value = match value {
-        Value::Counter64(n) => wide(ApplicationSyntax::BigCounter(Counter64(n))),
-        Value::Gauge32(n) => wide(ApplicationSyntax::Unsigned(rasn_smi::v1::Gauge(n))),
+        Value::Counter64(n) => application_wide(ApplicationSyntax::BigCounter(Counter64(n))),
+        Value::Gauge32(n) => application_wide(ApplicationSyntax::Unsigned(rasn_smi::v1::Gauge(n))),
         Value::Null => VarBindValue::Unspecified,
         Value::NoSuchObject => VarBindValue::NoSuchObject,
         Value::NoSuchInstance => VarBindValue::NoSuchInstance,
@@ -148,8 +164,9 @@
     use super::*;
     use rstest::rstest;
 
-    fn asked(variables: usize, numbers: usize) -> Vec<u8> {
-        let variables = vec![([vec![1, 3], vec![6; numbers - 2]].concat(), Value::Null); variables];
+    /// Encodes a GetRequest for as many variables, whose names have as many sub-identifiers.
+    fn get_request(variables: usize, sub_identifiers: usize) -> Vec<u8> {
+        let variables = vec![([vec![1, 3], vec![6; sub_identifiers - 2]].concat(), Value::Null); variables];
         let community = b"depot".to_vec();
         encode(&Packet {
             version: 1,
@@ -162,14 +179,15 @@
         })
     }
 
-    /// The bounds that the reader of BER does not have, and lengths in the long form that managers send.
+    /// Guards the limits that the BER decoder does not check itself, and lengths in the long form, which
+    /// managers send.
     #[rstest]
-    #[case::most_variables(asked(VARIABLES, 8), Some(VARIABLES))]
-    #[case::another_variable(asked(VARIABLES + 1, 8), None)]
-    #[case::most_numbers(asked(1, NUMBERS), Some(1))]
-    #[case::another_number(asked(1, NUMBERS + 1), None)]
-    #[case::a_byte_after_it([asked(1, 8), vec![0]].concat(), None)]
-    #[case::long_form([&[0x30, 0x82, 0, 36], &asked(1, 8)[2..]].concat(), Some(1))]
+    #[case::max_variables(get_request(MAX_VARIABLES, 8), Some(MAX_VARIABLES))]
+    #[case::too_many_variables(get_request(MAX_VARIABLES + 1, 8), None)]
+    #[case::max_sub_identifiers(get_request(1, MAX_SUB_IDENTIFIERS), Some(1))]
+    #[case::too_many_sub_identifiers(get_request(1, MAX_SUB_IDENTIFIERS + 1), None)]
+    #[case::trailing_byte([get_request(1, 8), vec![0]].concat(), None)]
+    #[case::long_form([&[0x30, 0x82, 0, 36], &get_request(1, 8)[2..]].concat(), Some(1))]
     fn bounds(#[case] packet: Vec<u8>, #[case] variables: Option<usize>) {
         assert_eq!(decode(&packet).map(|p| p.variables.len()), variables);
     }
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -1,6 +1,9 @@
-//! Ties zones to the proxy: what own traffic showed goes to the instance, what the fleet decided to the planner and the log.
-//! It judges no zone itself, and this proxy is not taken in before it knows the map. Its messages go by the socket that
-//! budgets have too. Off unless the operators' file has a `[zones]` part.
+//! Connects the zones library to the proxy: the observations of the proxy's own traffic go to the instance,
+//! and what the fleet decided goes to the planner, the counters and the log.
+//!
+//! The library alone judges zones. The planner is told nothing about them before this proxy knows the fleet's
+//! map. Messages use the same socket as those on budgets. Off unless the operators' file has a `[zones]`
+//! part.
 use crate::budgets::BudgetClient;
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
@@ -13,42 +16,47 @@
 use threadward_zones::state::State;
 use threadward_zones::{Kind, Outgoing, Settings, Zone, ZoneMove, ZoneUse, Zones};
 
-/// How often own traffic is looked at.
+/// How often the instance is given the observations of the proxy's own traffic.
 const TRAFFIC_INTERVAL: Micros = 100_000;
 
-/// This proxy's part in the decisions on zones.
+/// This proxy's participation in the decisions on zones.
 pub struct ZoneClient {
     node: Rc<Node>,
     budgets: Rc<BudgetClient>,
     socket: Rc<ControlSocket>,
+    /// The names of the zones, by index.
     names: Vec<String>,
-    pairs: RefCell<PairKeys>,
+    pair_keys: RefCell<PairKeys>,
     instance: RefCell<Zones>,
 }
 
-/// The zones that the settings name: a hub is a zone that others are tied to and in which no proxy stands.
+/// Returns the zones that the settings name. A parent zone is one that other zones are assigned to and that
+/// has no proxies itself.
 fn zones(node: &Node) -> Vec<Zone> {
-    let (s, names) = (&node.config.settings, &node.config.names);
-    let stands = |z: usize| s.routers_by_zone.get(z).copied().unwrap_or(0) > 0;
-    let tied = |z: usize| names.hubs.get(z).copied().unwrap_or(u16::MAX);
-    let hub = |z: usize| !stands(z) && names.hubs.iter().any(|h| usize::from(*h) == z);
-    let hubs =
-        |but: usize| (0..names.zones.len()).filter(|z| hub(*z) && *z != but).map(|z| z as u16).collect();
+    let (settings, names) = (&node.config.settings, &node.config.names);
+    let has_proxies = |z: usize| settings.routers_by_zone.get(z).copied().unwrap_or(0) > 0;
+    let assigned_parent = |z: usize| names.hubs.get(z).copied().unwrap_or(u16::MAX);
+    let is_parent = |z: usize| !has_proxies(z) && names.hubs.iter().any(|h| usize::from(*h) == z);
+    let other_parents = |except: usize| {
+        (0..names.zones.len()).filter(|z| is_parent(*z) && *z != except).map(|z| z as u16).collect()
+    };
     let zone = |z: usize| Zone {
-        kind: if hub(z) { Kind::Parent } else { Kind::Location },
-        region: if hub(z) { z as u16 } else { tied(z) },
-        warm_up: if hub(z) { s.parent_cold_period } else { s.cold_period },
-        fallbacks: if hub(z) || s.direct { hubs(z) } else { Vec::new() },
+        kind: if is_parent(z) { Kind::Parent } else { Kind::Location },
+        region: if is_parent(z) { z as u16 } else { assigned_parent(z) },
+        warm_up: if is_parent(z) { settings.parent_cold_period } else { settings.cold_period },
+        fallbacks: if is_parent(z) || settings.direct { other_parents(z) } else { Vec::new() },
     };
     (0..names.zones.len()).map(zone).collect()
 }
 
 impl ZoneClient {
+    /// Starts the instance and registers it at the control socket.
+    ///
     /// # Errors
-    /// One line that says why it cannot start.
+    /// One line that says why zones cannot start.
     pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: Zoned) -> Result<Rc<ZoneClient>, String> {
-        let plain = budgets.identity_and_settings();
-        let (me, shared) = plain.ok_or("zones: they take no part in the tree of regions and sites")?;
+        let identity = budgets.identity_and_settings();
+        let (me, shared) = identity.ok_or("zones: they take no part in the tree of regions and sites")?;
         let settings = Settings {
             me,
             proxies: shared.proxies,
@@ -58,42 +66,46 @@
             zones: zones(&node),
         };
         let instance = Zones::new(uptime(), settings).map_err(|e| format!("zones: {e}"))?;
-        let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.index).into();
+        let pair_keys = PairKeys::new(&zoned.secret, zoned.keys, me.index).into();
         let (socket, names) = (budgets.socket(), node.config.names.zones.clone());
-        let fleet = Rc::new(ZoneClient { node, budgets, socket, names, pairs, instance: instance.into() });
-        let receiver = Rc::downgrade(&fleet);
-        let take = move |datagram: &[u8]| {
-            if let Some(fleet) = receiver.upgrade() {
-                fleet.received(datagram);
+        let client =
+            Rc::new(ZoneClient { node, budgets, socket, names, pair_keys, instance: instance.into() });
+        let receiver = Rc::downgrade(&client);
+        let on_datagram = move |datagram: &[u8]| {
+            if let Some(client) = receiver.upgrade() {
+                client.handle_datagram(datagram);
             }
         };
-        fleet.socket.register(Subject::Zones, Box::new(take));
-        Ok(fleet)
+        client.socket.register(Subject::Zones, Box::new(on_datagram));
+        Ok(client)
     }
 
-    /// Takes over the others' keys of a file that was read anew: one that is no longer there counts no more.
+    /// Applies the public keys of a reloaded operators' file. A key that is no longer in it is no longer
+    /// accepted.
     pub fn reload(&self, zoned: Zoned) {
-        self.pairs.borrow_mut().replace_public_keys(zoned.keys);
+        self.pair_keys.borrow_mut().replace_public_keys(zoned.keys);
     }
 
-    /// One call of the instance, what it wants sent, and what follows from the map.
+    /// Calls the instance, then authenticates and sends its messages. If the map changed, passes it on to the
+    /// planner and logs each change.
     fn call(&self, f: impl FnOnce(&mut Zones, Micros, &mut Outgoing)) {
         let mut out = Outgoing::new();
-        let at = uptime();
-        f(&mut self.instance.borrow_mut(), at, &mut out);
+        let current = uptime();
+        f(&mut self.instance.borrow_mut(), current, &mut out);
         for (to, bytes) in out {
-            let signed = self.pairs.borrow_mut().sign(to, &bytes);
+            let signed = self.pair_keys.borrow_mut().sign(to, &bytes);
             signed.iter().for_each(|datagram| self.socket.send(to, datagram));
         }
         let moves = self.instance.borrow_mut().take_moves();
         if !moves.is_empty() {
-            self.follow();
-            moves.iter().for_each(|m| self.told(m));
+            self.apply_map();
+            moves.iter().for_each(|m| self.record_move(m));
         }
     }
 
-    fn received(&self, datagram: &[u8]) {
-        let opened = self.pairs.borrow_mut().open(datagram).map(|(from, bytes)| (from, bytes.to_vec()));
+    /// Verifies a datagram and passes its message to the instance; counts one that cannot be verified.
+    fn handle_datagram(&self, datagram: &[u8]) {
+        let opened = self.pair_keys.borrow_mut().open(datagram).map(|(from, bytes)| (from, bytes.to_vec()));
         match opened {
             Some((from, bytes)) => {
                 let election = self.budgets.election();
@@ -103,95 +115,103 @@
         }
     }
 
-    /// Tells the planner how each zone may be used; nothing before the map is known.
-    fn follow(&self) {
-        let z = self.instance.borrow();
-        if !z.ready(uptime()) {
+    /// Tells the planner how each zone may be used. Does nothing before the map is known.
+    fn apply_map(&self) {
+        let zones_instance = self.instance.borrow();
+        if !zones_instance.ready(uptime()) {
             return;
         }
-        let uses: Vec<ZoneUse> = (0..self.names.len() as u16).map(|n| z.usage(n)).collect();
-        let refused = z.refused_permille();
+        let uses: Vec<ZoneUse> = (0..self.names.len() as u16).map(|n| zones_instance.usage(n)).collect();
+        let refused_share = zones_instance.refused_permille();
 
-        drop(z);
-        self.node.plan(|p, now| p.set_zone_uses(now, &uses, refused));
+        drop(zones_instance);
+        self.node.plan(|p, now| p.set_zone_uses(now, &uses, refused_share));
     }
 
-    fn told(&self, m: &ZoneMove) {
+    /// Counts and logs a change of a zone's state.
+    fn record_move(&self, zone_move: &ZoneMove) {
         self.node.count(Counter::ZoneMoves);
-        let name = self.names.get(usize::from(m.zone)).map_or("", String::as_str);
-        let s = &m.to;
-        let said = format!("{} of {} proxies that tried it see it fail", s.failing_proxies, s.trying_proxies);
-        let line = match s.state {
-            State::In if m.from == State::Suspect => "in service, no longer suspect".to_owned(),
+        let name = self.names.get(usize::from(zone_move.zone)).map_or("", String::as_str);
+        let new_state = &zone_move.to;
+        let failing = format!(
+            "{} of {} proxies that tried it see it fail",
+            new_state.failing_proxies, new_state.trying_proxies
+        );
+        let line = match new_state.state {
+            State::In if zone_move.from == State::Suspect => "in service, no longer suspect".to_owned(),
             State::In => "in service again".to_owned(),
-            State::Suspect => format!("suspect, {said}"),
+            State::Suspect => format!("suspect, {failing}"),
             State::Leaving => {
                 format!(
-                    "left, {said}; {} of 1000 go elsewhere, {} are refused",
-                    s.moved_permille, s.refused_permille
+                    "left, {failing}; {} of 1000 go elsewhere, {} are refused",
+                    new_state.moved_permille, new_state.refused_permille
                 )
             }
             State::Out => {
-                format!("out ({:?}), tried again in {} s at the latest", s.why, s.hold_time() / 1_000_000)
+                format!(
+                    "out ({:?}), tried again in {} s at the latest",
+                    new_state.why,
+                    new_state.hold_time() / 1_000_000
+                )
             }
-            State::Probing => format!("tried by a few ({:?})", s.why),
+            State::Probing => format!("tried by a few ({:?})", new_state.why),
             State::Returning => {
                 format!(
                     "returning ({:?}), step {} of {}",
-                    s.why,
-                    s.step,
+                    new_state.why,
+                    new_state.step,
                     threadward_zones::state::RETURN_STEPS
                 )
             }
         };
-        net::log(&format!("zones: epoch {}: {name} is {line}", m.epoch.number));
+        net::log(&format!("zones: epoch {}: {name} is {line}", zone_move.epoch.number));
     }
 
-    /// Looks at own traffic and at the list, and keeps the counters.
-    fn look(&self) {
+    /// Gives the instance the observations of the proxy's own traffic and the newest start in each zone, runs
+    /// its timers, tells the planner how zones may be used and updates the counters.
+    fn observe_traffic(&self) {
         let zones = self.names.len() as u16;
-        let (seen, newest) = self.node.plan(|p, at| {
-            let newest: Vec<_> =
-                (0..zones).map(|z| p.newest_start(z).map(|t| at.saturating_sub(t))).collect();
-            (p.zone_observations(at), newest)
+        let (observations, newest_ages) = self.node.plan(|p, now| {
+            let ages: Vec<_> = (0..zones).map(|z| p.newest_start(z).map(|t| now.saturating_sub(t))).collect();
+            (p.zone_observations(now), ages)
         });
         let election = self.budgets.election();
         self.call(|z, now, out| {
-            newest.iter().enumerate().for_each(|(n, age)| {
+            newest_ages.iter().enumerate().for_each(|(n, age)| {
                 z.set_newest_start(n as u16, age.map(|a| now.saturating_sub(a).max(1)));
             });
-            z.observe(now, seen);
+            z.observe(now, observations);
             z.tick(now, election, out);
         });
-        self.follow();
-        let t = self.instance.borrow().counters;
+        self.apply_map();
+        let zone_counters = self.instance.borrow().counters;
         self.node.plan(|p, _| {
-            let figures = [
-                (Counter::ZoneDecided, t.decided),
-                (Counter::ZoneLeaves, t.zones_left),
-                (Counter::ZoneKept, t.kept_by_guard),
-                (Counter::ZoneMalformed, t.malformed),
-                (Counter::ZoneOutdated, t.outdated),
-                (Counter::ZoneUnconfirmed, t.unconfirmed),
-                (Counter::ZoneBytes, t.sent_bytes),
+            let values = [
+                (Counter::ZoneDecided, zone_counters.decided),
+                (Counter::ZoneLeaves, zone_counters.zones_left),
+                (Counter::ZoneKept, zone_counters.kept_by_guard),
+                (Counter::ZoneMalformed, zone_counters.malformed),
+                (Counter::ZoneOutdated, zone_counters.outdated),
+                (Counter::ZoneUnconfirmed, zone_counters.unconfirmed),
+                (Counter::ZoneBytes, zone_counters.sent_bytes),
             ];
-            figures.into_iter().for_each(|(c, n)| p.counters.set(c, n));
+            values.into_iter().for_each(|(c, n)| p.counters.set(c, n));
         });
     }
 }
 
-/// Sees to what is due.
-pub async fn run_timers(fleet: Rc<ZoneClient>) {
-    let mut look = 0;
+/// Runs the instance's timers and the regular observation of traffic for as long as the program runs.
+pub async fn run_timers(client: Rc<ZoneClient>) {
+    let mut next_observation = 0;
     loop {
-        if now() >= look {
-            look = now() + TRAFFIC_INTERVAL;
-            fleet.look();
+        if now() >= next_observation {
+            next_observation = now() + TRAFFIC_INTERVAL;
+            client.observe_traffic();
         } else {
-            let election = fleet.budgets.election();
-            fleet.call(|z, at, out| z.tick(at, election, out));
+            let election = client.budgets.election();
+            client.call(|z, now, out| z.tick(now, election, out));
         }
-        let wait = fleet.instance.borrow().next_due().saturating_sub(uptime()).max(1_000);
-        sleep_until((now() + wait).min(look)).await;
+        let wait = client.instance.borrow().next_due().saturating_sub(uptime()).max(1_000);
+        sleep_until((now() + wait).min(next_observation)).await;
     }
 }
