--- a/drill/src/lib.rs
+++ b/drill/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: frames of events in, frames of actions out, settings as JSON. It only translates;
-//! every decision is made in `nickelgate::rules`.
+//! The simulator's wire protocol: frames of events in, frames of actions out, settings as JSON. This crate
+//! only translates between the wire and the router; every routing decision is made in `nickelgate::rules`.
 #![forbid(unsafe_code)]
 
 mod settings;
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts one [`nickelgate::Router`] per instance behind the simulator's wire. Translates only.
+//! Runs one [`nickelgate::Router`] per instance of the simulator: reads frames of events from standard input
+//! and writes the frames of actions to standard output.
 use nickelgate_drill::{read_frame, RouterHost};
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,4 +1,5 @@
-//! Frames of the wire: fixed records and one tail, little-endian.
+//! The frames of the wire: a header, records of fixed size and one tail of variable length, all
+//! little-endian.
 use crate::parse_settings;
 use nickelgate::{
     Action, Addr, Completed, Entry, Event, Lifecycle, ListForm, Note, Outcome, Report, Request,
@@ -8,12 +9,16 @@
 use std::io::{self, Read};
 use threadward_core::probes::ProbingRouter;
 
-const HEADER: usize = 20;
-const EVENT: usize = 56;
-const ACTION: usize = 40;
-const ENTRY: usize = 24;
+/// Size of a frame's header.
+const HEADER_BYTES: usize = 20;
+/// Size of an event record.
+const EVENT_BYTES: usize = 56;
+/// Size of an action record.
+const ACTION_BYTES: usize = 40;
+/// Size of an entry of a member list, which stands in the tail.
+const ENTRY_BYTES: usize = 24;
 
-/// What is wrong with the input.
+/// A description of what is wrong with the input.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireError(pub String);
 
@@ -29,7 +34,7 @@
     Err(WireError(what.into()))
 }
 
-/// Bytes read by offset; reading past the end is an error, never a panic.
+/// A record whose fields are read by offset. Reading past its end is an error, never a panic.
 struct Bytes<'a>(&'a [u8]);
 
 impl Bytes<'_> {
@@ -65,31 +70,32 @@
     }
 }
 
-/// Reads one frame; `None` at a clean end of input.
+/// Reads one frame, or `None` if the input ends between two frames.
 ///
 /// # Errors
-/// When the input ends inside a frame, cannot be read, or states an impossible length.
+/// If the input ends inside a frame, cannot be read, or states an impossible length.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, WireError> {
-    let mut frame = Vec::with_capacity(HEADER);
+    let mut frame = Vec::with_capacity(HEADER_BYTES);
     let io_error = |e: io::Error| WireError(format!("cannot read a frame: {e}"));
-    input.by_ref().take(HEADER as u64).read_to_end(&mut frame).map_err(io_error)?;
+    input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut frame).map_err(io_error)?;
     if frame.is_empty() {
         return Ok(None);
     }
-    if frame.len() < HEADER {
+    if frame.len() < HEADER_BYTES {
         return bad("the input ends inside a frame's header");
     }
     let length = Bytes(&frame).u32(4)? as usize;
-    if length < HEADER {
+    if length < HEADER_BYTES {
         return bad(format!("a frame states a length of {length} bytes, less than its header"));
     }
-    input.by_ref().take((length - HEADER) as u64).read_to_end(&mut frame).map_err(io_error)?;
+    input.by_ref().take((length - HEADER_BYTES) as u64).read_to_end(&mut frame).map_err(io_error)?;
     if frame.len() < length {
         return bad(format!("the input ends {} bytes into a frame of {length}", frame.len()));
     }
     Ok(Some(frame))
 }
 
+/// Returns the outcome that a code of the wire stands for.
 fn outcome(code: u16) -> Result<Outcome, WireError> {
     Ok(match code {
         100 => Outcome::Ok,
@@ -105,6 +111,7 @@
     })
 }
 
+/// Returns the note that a code of the wire stands for. Unknown codes are no note.
 fn note(code: u32) -> Note {
     match code {
         1 => Note::Hit,
@@ -121,6 +128,7 @@
     }
 }
 
+/// Reads an entry of a member list. The start time is also the incarnation.
 fn entry(b: &Bytes<'_>) -> Result<Entry, WireError> {
     Ok(Entry {
         zone: b.u16(0)?,
@@ -139,7 +147,8 @@
     })
 }
 
-/// Cuts the part of the tail that a record points to; `unit` is the size of what is counted.
+/// Returns the part of the tail that a record points to. At offset `at` the record holds the part's offset
+/// and its number of items of `unit` bytes each.
 fn tail_part<'a>(tail: &'a [u8], rec: &Bytes<'_>, at: usize, unit: usize) -> Result<&'a [u8], WireError> {
     let (from, n) = (rec.u32(at)? as usize, rec.u32(at + 4)? as usize);
     let end = n.checked_mul(unit).and_then(|len| from.checked_add(len));
@@ -149,6 +158,7 @@
     }
 }
 
+/// Reads the event in a record.
 fn event(code: u8, rec: &Bytes<'_>, tail: &[u8]) -> Result<Event, WireError> {
     Ok(match code {
         2 => Event::Members {
@@ -159,8 +169,8 @@
                 4 => ListForm::Full,
                 other => return bad(format!("unknown form of a list: {other}")),
             },
-            entries: tail_part(tail, rec, 8, ENTRY)?
-                .chunks_exact(ENTRY)
+            entries: tail_part(tail, rec, 8, ENTRY_BYTES)?
+                .chunks_exact(ENTRY_BYTES)
                 .map(|c| entry(&Bytes(c)))
                 .collect::<Result<_, _>>()?,
         },
@@ -202,15 +212,16 @@
     })
 }
 
-fn record(router_id: u16, action: &Action) -> [u8; ACTION] {
-    fn put(rec: &mut [u8; ACTION], at: usize, bytes: &[u8]) {
+/// Encodes an action of a router as a record.
+fn record(router_id: u16, action: &Action) -> [u8; ACTION_BYTES] {
+    fn put(rec: &mut [u8; ACTION_BYTES], at: usize, bytes: &[u8]) {
         rec[at..at + bytes.len()].copy_from_slice(bytes);
     }
-    fn put_addr(rec: &mut [u8; ACTION], at: usize, addr: Addr) {
+    fn put_addr(rec: &mut [u8; ACTION_BYTES], at: usize, addr: Addr) {
         put(rec, at, &addr.ip);
         put(rec, at + 4, &addr.port.to_le_bytes());
     }
-    let mut r = [0u8; ACTION];
+    let mut r = [0u8; ACTION_BYTES];
     put(&mut r, 1, &router_id.to_le_bytes());
     match *action {
         Action::Get(g) => {
@@ -258,7 +269,7 @@
     r
 }
 
-/// The routers of this process, one per instance. They share nothing.
+/// The routers of this process, one per instance. They share no state.
 #[derive(Default)]
 pub struct RouterHost {
     routers: BTreeMap<u16, ProbingRouter>,
@@ -266,25 +277,26 @@
 }
 
 impl RouterHost {
-    /// Brings one batch to its routers and gives the reply frame.
+    /// Passes the events of a frame to their routers and returns the reply frame with the actions. Instances
+    /// are opened and closed on the way; events for an instance that does not exist are ignored.
     ///
     /// # Errors
-    /// When the frame is malformed.
+    /// If the frame is malformed.
     pub fn handle_frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let head = Bytes(frame);
         let (count, length) = (head.u32(0)? as usize, head.u32(4)? as usize);
-        let (now, number) = (head.u64(8)?, head.u32(16)?);
+        let (now, frame_number) = (head.u64(8)?, head.u32(16)?);
         if length != frame.len() {
             return bad(format!("a frame of {} bytes states a length of {length}", frame.len()));
         }
-        let split = count.checked_mul(EVENT).and_then(|n| n.checked_add(HEADER));
+        let split = count.checked_mul(EVENT_BYTES).and_then(|n| n.checked_add(HEADER_BYTES));
         let (records, tail) = match split.filter(|&at| at <= frame.len()) {
-            Some(at) => (&frame[HEADER..at], &frame[at..]),
+            Some(at) => (&frame[HEADER_BYTES..at], &frame[at..]),
             None => return bad(format!("a frame of {length} bytes cannot hold {count} records")),
         };
         let mut reply = vec![0u8; 12];
-        let mut n = 0u32;
-        for chunk in records.chunks_exact(EVENT) {
+        let mut actions_sent = 0u32;
+        for chunk in records.chunks_exact(EVENT_BYTES) {
             let rec = Bytes(chunk);
             let (code, id) = (rec.u8(0)?, rec.u16(1)?);
             match code {
@@ -302,7 +314,7 @@
                         router.handle(now, event, &mut self.actions);
                         for action in &self.actions {
                             reply.extend_from_slice(&record(id, action));
-                            n += 1;
+                            actions_sent += 1;
                         }
                     }
                 }
@@ -310,8 +322,8 @@
         }
         let len = u32::try_from(reply.len()).map_err(|_| WireError("a reply is too long".into()))?;
         reply[0..4].copy_from_slice(&len.to_le_bytes());
-        reply[4..8].copy_from_slice(&n.to_le_bytes());
-        reply[8..12].copy_from_slice(&number.to_le_bytes());
+        reply[4..8].copy_from_slice(&actions_sent.to_le_bytes());
+        reply[8..12].copy_from_slice(&frame_number.to_le_bytes());
         Ok(reply)
     }
 }
--- a/drill/tests/codec.rs
+++ b/drill/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The frames of the wire page, and input that is malformed.
+//! Tests the example frames of the wire's specification, malformed frames, and the lenient settings.
 use nickelgate_drill::{parse_settings, read_frame, RouterHost};
 
 fn hex(text: &str) -> Vec<u8> {
@@ -31,8 +31,8 @@
     "effect": "retryable", "importance": 1}], "limits": {"most_tries": 6}, "unknown": [1, {"x": null}],
     "family_info": {"mid_kind": 2, "store_kind": 3, "collapses": true}}"#;
 
-/// An instance with one cache, as the wire page's list has it but for its kind.
-fn started() -> RouterHost {
+/// Returns a host with one instance and one cache: that of the specification's list, except for its kind.
+fn host_with_one_cache() -> RouterHost {
     let mut tail = SETTINGS.as_bytes().to_vec();
     let at = tail.len() as u32;
     tail.extend(hex("0000 0a124a07 931f 0000000000000000 0000 0000803f 01 00"));
@@ -47,17 +47,17 @@
 }
 
 #[test]
-fn the_empty_batch_of_the_wire_page_gets_its_reply() {
+fn the_specified_empty_frame_gets_its_reply() {
     let batch = hex("00000000 14000000 5a5c800000000000 01000000");
     assert_eq!(RouterHost::default().handle_frame(&batch).expect("good"), hex("0c000000 00000000 01000000"));
 }
 
 #[test]
-fn the_request_of_the_wire_page_becomes_a_get() {
+fn the_specified_request_becomes_a_get() {
     let ingress = record(
         "03 0300 c4913a5df85b0800 00 0000 640ad2557c3bf091 da05840000000000 00002044 00003041 00004040 01",
     );
-    let reply = started().handle_frame(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
+    let reply = host_with_one_cache().handle_frame(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
     let (len, n) = (reply.len() as u32, u32::from_le_bytes(reply[4..8].try_into().expect("four")));
     assert_eq!(u32::from_le_bytes(reply[0..4].try_into().expect("four")), len);
     assert_eq!(reply.len(), 12 + 40 * n as usize);
@@ -69,22 +69,22 @@
 }
 
 #[test]
-fn the_outcome_of_the_wire_page_ends_the_request() {
-    let mut host = started();
+fn the_specified_outcome_ends_the_request() {
+    let mut host = host_with_one_cache();
     let ingress = record(
         "03 0300 c4913a5df85b0800 00 0000 640ad2557c3bf091 da05840000000000 00002044 00003041 00004040 01",
     );
     host.handle_frame(&frame(8_412_250, 2, &[ingress], &[])).expect("good");
     let done = record("05 0300 c4913a5df85b0800 0000 0a124a07 931f 6400 44480000 01 02000000 b8240000 00");
-    let alarm = record("07 0300 01000000");
+    let timer = record("07 0300 01000000");
     let expired = record("06 0500 192b6f0e75350000");
-    let reply = host.handle_frame(&frame(8_430_750, 3, &[done, alarm, expired], &[])).expect("good");
+    let reply = host.handle_frame(&frame(8_430_750, 3, &[done, timer, expired], &[])).expect("good");
     assert_eq!(reply, hex("0c000000 00000000 03000000"), "nothing is left to do");
 }
 
 #[test]
-fn a_purge_as_on_the_wire_page_and_a_stop_are_taken() {
-    let mut host = started();
+fn the_specified_purge_and_the_close_of_an_instance_are_accepted() {
+    let mut host = host_with_one_cache();
     let purge = record("0b 0300 084c0100 010ad2557c000000 0b00");
     let reply = host.handle_frame(&frame(8_420_000, 2, &[purge, record("0a 0300")], &[])).expect("good");
     assert_eq!(reply.len(), 12);
@@ -109,7 +109,7 @@
     for bad in
         ["63", "05 0300 0000000000000000 0000 00000000 0000 ffff", "02 0300 09", "02 0300 04 00000000 ff"]
     {
-        assert!(started().handle_frame(&frame(1, 1, &[record(bad)], &[])).is_err(), "{bad}");
+        assert!(host_with_one_cache().handle_frame(&frame(1, 1, &[record(bad)], &[])).is_err(), "{bad}");
     }
     let far = record("02 0300 04 00000000 ffffffff ffffffff");
     assert!(RouterHost::default().handle_frame(&frame(1, 1, &[far], &[])).is_err());
@@ -122,7 +122,7 @@
     assert_eq!(s.classes.len(), 1);
     assert!(parse_settings(b"{}").is_ok());
     assert_eq!(parse_settings(br#"{"family_info": {"mid_kind": -1}}"#).expect("good").parent_kind, None);
-    // Whatever is written, sums with a clock's time stay in bounds; figures may be written with a point.
+    // Whatever is written, sums with a time of the clock do not overflow. Numbers may have a decimal point.
     let odd = r#"{"tick": 1e300, "classes": [{"aim": -5, "hard_limit": 1e300, "importance": -1, "dedup_window": 3e6}],
         "family_info": {"class_fresh": [8e6], "mid_kind": 1.0, "store_kind": 0.5, "count_by_zone": [4000000000, 4000000000, 2.0],
         "one_flow_kb_per_s": 1e-300}, "limits": {"most_tries": 1e300}}"#;
--- a/faults/src/process.rs
+++ b/faults/src/process.rs
@@ -1,5 +1,6 @@
-//! One process of a test: its start with a folder of its own, what it says, its signals, its full disk and its end.
-//! It owns the process by the handle that started it, and must never signal a process id whose process has ended.
+//! A process that a test starts: its working folder, its output, signals to it, a full disk and its end. A
+//! signal is only sent while the process is known to run, so that it never reaches another process that was
+//! given the same id.
 use crate::{after, eventually, lock};
 use rustix::process::{
     getrlimit, kill_process, prlimit, waitid, Pid, Resource, Rlimit, WaitId, WaitIdOptions,
@@ -15,83 +16,90 @@
 
 pub use rustix::process::Signal;
 
-/// Bytes kept of what a process says; the oldest lines make way.
-const KEPT: usize = 4 << 20;
-/// A longer line is taken as several.
-const LINE: u64 = 64 << 10;
-/// How long a stop may take to arrive.
-const STOPS: u64 = 5_000;
+/// Bytes of output kept of a process; the oldest lines are dropped.
+const MAX_OUTPUT_BYTES: usize = 4 << 20;
+/// A longer line of output is split into several.
+const MAX_LINE_BYTES: u64 = 64 << 10;
+/// How long a process may take to stop after SIGSTOP, in milliseconds.
+const STOP_TIMEOUT_MS: u64 = 5_000;
 
-/// How a process is to be started.
+/// Configures and starts a process.
 pub struct ProcessBuilder {
     program: PathBuf,
     args: Vec<OsString>,
     env: Vec<(OsString, Option<OsString>)>,
     folder: Option<PathBuf>,
-    /// Whether its disk can be filled, and is from the start.
-    disk: Option<bool>,
+    /// Whether the disk is full from the start, or `None` if it cannot be filled.
+    disk_full: Option<bool>,
 }
 
 impl ProcessBuilder {
-    /// A program by its whole path, or by a name that is looked up.
+    /// A program by its full path, or by a name that is looked up in `PATH`.
     pub fn new(program: impl Into<PathBuf>) -> ProcessBuilder {
         ProcessBuilder {
             program: program.into(),
             args: Vec::new(),
             env: Vec::new(),
             folder: None,
-            disk: None,
+            disk_full: None,
         }
     }
 
+    /// Adds an argument.
     pub fn arg(mut self, arg: impl Into<OsString>) -> ProcessBuilder {
         self.args.push(arg.into());
         self
     }
 
+    /// Sets an environment variable.
     pub fn env(mut self, name: impl Into<OsString>, value: impl Into<OsString>) -> ProcessBuilder {
         self.env.push((name.into(), Some(value.into())));
         self
     }
 
+    /// Removes an inherited environment variable.
     pub fn without_env(mut self, name: impl Into<OsString>) -> ProcessBuilder {
         self.env.push((name.into(), None));
         self
     }
 
-    /// The working folder; without it the process has one that goes with it.
+    /// Sets the working folder. Without one, the process gets a temporary folder, which is removed with it.
     pub fn folder(mut self, folder: impl Into<PathBuf>) -> ProcessBuilder {
         self.folder = Some(folder.into());
         self
     }
 
-    /// Lets the disk be filled (`Process::fill_disk`); `now`: it is full from the start.
+    /// Enables [`Process::fill_disk`]. With `now` the disk is full from the start.
     ///
-    /// It stands for a full disk by a limit on the size of files: no write to a file adds or changes a byte. What
-    /// differs from a disk that is full: the error is EFBIG (27), not ENOSPC; every file system is hit at once; bytes
-    /// cannot be changed in place either; and names are free: files are made (empty), renamed and removed as usual.
-    /// Pipes and sockets are not touched, so the process still says what it has to say.
+    /// A full disk is simulated by a limit on the size of files: no write to a file adds or changes a byte.
+    /// It differs from a disk that is really full: the error is EFBIG (27), not ENOSPC; every file system is
+    /// affected at once; bytes cannot be changed in place either; and names are not limited: files can be
+    /// created (empty), renamed and removed as usual. Pipes and sockets are not affected, so that the output
+    /// of the process is still received.
     pub fn full_disk(mut self, now: bool) -> ProcessBuilder {
-        self.disk = Some(now);
+        self.disk_full = Some(now);
         self
     }
 
+    /// Starts the process.
+    ///
     /// # Errors
-    /// Where the program or its folder cannot be had.
+    /// If the program cannot be started or its folder cannot be created.
     pub fn spawn(self) -> io::Result<Process> {
-        // The limit's signal would end the process. That it is ignored is what a shell can hand on to a program.
-        let ignore = "trap '' XFSZ; exec \"$0\" \"$@\"";
-        let mut command = match self.disk {
+        // Exceeding the limit raises SIGXFSZ, which would end the process. A shell can make a program that it
+        // executes ignore the signal.
+        let exec_ignoring_xfsz = "trap '' XFSZ; exec \"$0\" \"$@\"";
+        let mut command = match self.disk_full {
             None => Command::new(&self.program),
             Some(now) => {
                 let mut sh = Command::new("/bin/sh");
-                let full = if now { "ulimit -S -f 0; " } else { "" };
-                sh.arg("-c").arg(format!("{full}{ignore}")).arg(&self.program);
+                let set_limit = if now { "ulimit -S -f 0; " } else { "" };
+                sh.arg("-c").arg(format!("{set_limit}{exec_ignoring_xfsz}")).arg(&self.program);
                 sh
             }
         };
-        let own = if self.folder.is_none() { Some(TempDir::with_prefix("threadward-")?) } else { None };
-        let folder = self.folder.or(own.as_ref().map(|t| t.path().to_owned())).unwrap_or_default();
+        let temporary = if self.folder.is_none() { Some(TempDir::with_prefix("threadward-")?) } else { None };
+        let folder = self.folder.or(temporary.as_ref().map(|t| t.path().to_owned())).unwrap_or_default();
         for (name, value) in &self.env {
             match value {
                 Some(v) => command.env(name, v),
@@ -102,70 +110,83 @@
         let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
         let log = Arc::new(Log::default());
         if let Some(s) = child.stdout.take() {
-            log.clone().follow(s);
+            log.clone().read_from(s);
         }
         if let Some(s) = child.stderr.take() {
-            log.clone().follow(s);
+            log.clone().read_from(s);
         }
         let pid = Pid::from_child(&child);
-        Ok(Process { child: Mutex::new(child), pid, folder, _own: own, log, fills: self.disk.is_some() })
+        Ok(Process {
+            child: Mutex::new(child),
+            pid,
+            folder,
+            _temporary: temporary,
+            log,
+            can_fill_disk: self.disk_full.is_some(),
+        })
     }
 }
 
+/// The output that is kept of a process.
 #[derive(Default)]
-struct Said {
+struct Output {
     lines: VecDeque<String>,
+    /// Bytes of the lines kept.
     bytes: usize,
-    /// Lines that made way, and streams that are still open.
-    gone: usize,
-    open: usize,
+    /// Lines that have been dropped.
+    dropped_lines: usize,
+    /// Streams that are still open.
+    open_streams: usize,
 }
 
+/// The output of a process, which its threads read from both streams.
 #[derive(Default)]
 struct Log {
-    said: Mutex<Said>,
-    more: Condvar,
+    output: Mutex<Output>,
+    /// Notified at each line and at the end of each stream.
+    changed: Condvar,
 }
 
 impl Log {
-    /// Takes a stream's lines until its end.
-    fn follow(self: Arc<Log>, stream: impl Read + Send + 'static) {
-        lock(&self.said).open += 1;
+    /// Reads a stream's lines until its end, in a thread of its own.
+    fn read_from(self: Arc<Log>, stream: impl Read + Send + 'static) {
+        lock(&self.output).open_streams += 1;
         std::thread::spawn(move || {
             let (mut stream, mut line) = (BufReader::new(stream), Vec::new());
-            while (&mut stream).take(LINE).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
-                let mut said = lock(&self.said);
+            while (&mut stream).take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
+                let mut output = lock(&self.output);
                 let text = String::from_utf8_lossy(line.strip_suffix(b"\n").unwrap_or(&line)).into_owned();
                 line.clear();
-                said.bytes += text.len() + 1;
-                said.lines.push_back(text);
-                while said.bytes > KEPT {
-                    said.bytes -= said.lines.pop_front().map_or(said.bytes, |l| l.len() + 1);
-                    said.gone += 1;
+                output.bytes += text.len() + 1;
+                output.lines.push_back(text);
+                while output.bytes > MAX_OUTPUT_BYTES {
+                    output.bytes -= output.lines.pop_front().map_or(output.bytes, |l| l.len() + 1);
+                    output.dropped_lines += 1;
                 }
-                drop(said);
-                self.more.notify_all();
+                drop(output);
+                self.changed.notify_all();
             }
-            lock(&self.said).open -= 1;
-            self.more.notify_all();
+            lock(&self.output).open_streams -= 1;
+            self.changed.notify_all();
         });
     }
 
-    /// Waits for what `found` finds, the end of both streams or the deadline.
-    fn wait<T>(&self, deadline: Instant, found: impl Fn(&Said) -> Option<T>) -> Option<T> {
-        let mut said: MutexGuard<Said> = lock(&self.said);
+    /// Waits until `select` returns something, which is returned, or until the end of both streams or the
+    /// deadline.
+    fn wait<T>(&self, deadline: Instant, select: impl Fn(&Output) -> Option<T>) -> Option<T> {
+        let mut output: MutexGuard<Output> = lock(&self.output);
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let seen = found(&said);
-            if seen.is_some() || said.open == 0 || left.is_zero() {
-                return seen;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let found = select(&output);
+            if found.is_some() || output.open_streams == 0 || remaining.is_zero() {
+                return found;
             }
-            said = self.more.wait_timeout(said, left).unwrap_or_else(PoisonError::into_inner).0;
+            output = self.changed.wait_timeout(output, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
 
-/// A running process of this test's own; it is killed when this is dropped.
+/// A process that this test has started. It is killed when this value is dropped.
 ///
 /// ```
 /// use threadward_faults::{after, ProcessBuilder};
@@ -179,74 +200,80 @@
     child: Mutex<Child>,
     pid: Pid,
     folder: PathBuf,
-    _own: Option<TempDir>,
+    _temporary: Option<TempDir>,
     log: Arc<Log>,
-    fills: bool,
+    can_fill_disk: bool,
 }
 
 impl Process {
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.pid.as_raw_nonzero().get().unsigned_abs()
     }
 
-    /// Its working folder.
+    /// Returns the working folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// What it said and is kept, of both streams as it came. It does not wait: for a test whose stand-ins run on the
-    /// same thread.
+    /// Returns the output kept so far, of both streams in the order it was received. This does not wait, for
+    /// tests whose simulated servers run on the same thread.
     pub fn output(&self) -> String {
-        let said = lock(&self.log.said);
-        said.lines.iter().flat_map(|l| [l.as_str(), "\n"]).collect()
+        let output = lock(&self.log.output);
+        output.lines.iter().flat_map(|l| [l.as_str(), "\n"]).collect()
     }
 
-    /// How many lines it has said, and how many of them are no longer kept.
+    /// Returns the number of lines of output so far, and how many of them are no longer kept.
     pub fn lines(&self) -> (usize, usize) {
-        let said = lock(&self.log.said);
-        (said.gone + said.lines.len(), said.gone)
+        let output = lock(&self.log.output);
+        (output.dropped_lines + output.lines.len(), output.dropped_lines)
     }
 
-    /// The first line that holds this, of those that are kept.
+    /// Waits for a line that contains `what`, and returns the first one among those that are kept.
     ///
     /// # Errors
-    /// All that it said, where it ended or the deadline came.
+    /// The whole output, if the output ended or the deadline passed.
     pub fn wait_for_line(&self, what: &str, deadline: Instant) -> Result<String, String> {
         self.wait_for_line_after(0, what, deadline)
     }
 
-    /// The same of the lines after as many (see `lines`).
+    /// Like `wait_for_line`, but skips the first `n` lines (see `lines`).
     ///
     /// # Errors
-    /// As above.
+    /// As for `wait_for_line`.
     pub fn wait_for_line_after(&self, n: usize, what: &str, deadline: Instant) -> Result<String, String> {
-        let found =
-            |s: &Said| s.lines.iter().skip(n.saturating_sub(s.gone)).find(|l| l.contains(what)).cloned();
-        self.log.wait(deadline, found).ok_or_else(|| format!("never said '{what}':\n{}", self.output()))
+        let found = |o: &Output| {
+            o.lines.iter().skip(n.saturating_sub(o.dropped_lines)).find(|l| l.contains(what)).cloned()
+        };
+        self.log
+            .wait(deadline, found)
+            .ok_or_else(|| format!("no line of output contains '{what}':\n{}", self.output()))
     }
 
-    /// How it ended, if it did.
+    /// Returns the exit status, if the process has ended.
     pub fn exit_status(&self) -> Option<ExitStatus> {
         lock(&self.child).try_wait().ok().flatten()
     }
 
-    /// Waits for its end, and for the rest of what it said.
+    /// Waits for the end of the process and of its output.
     ///
     /// # Errors
-    /// All that it said, where it still runs at the deadline.
+    /// The output so far, if the process still runs at the deadline.
     pub fn wait(&self, deadline: Instant) -> Result<ExitStatus, String> {
         let mut status = None;
         eventually(deadline, || {
             status = self.exit_status();
             status.is_some()
         });
-        let status = status.ok_or_else(|| format!("still runs:\n{}", self.output()))?;
-        self.log.wait(deadline, |s| (s.open == 0).then_some(()));
+        let status = status.ok_or_else(|| format!("the process still runs:\n{}", self.output()))?;
+        self.log.wait(deadline, |o| (o.open_streams == 0).then_some(()));
         Ok(status)
     }
 
+    /// Sends a signal.
+    ///
     /// # Errors
-    /// Where it has ended.
+    /// If the process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let mut child = lock(&self.child);
         if child.try_wait()?.is_some() {
@@ -255,69 +282,70 @@
         Ok(kill_process(self.pid, signal)?)
     }
 
-    /// Stops it, and comes back once it stands still.
+    /// Stops the process with SIGSTOP, and returns once it has stopped.
     ///
     /// # Errors
-    /// Where it has ended, or does not stop.
+    /// If the process has ended or does not stop.
     pub fn stop(&self) -> io::Result<()> {
         self.signal(Signal::STOP)?;
-        let how = WaitIdOptions::STOPPED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
-        let stopped = || matches!(waitid(WaitId::Pid(self.pid), how), Ok(Some(_)));
-        let stands = eventually(after(STOPS), || stopped() || self.exit_status().is_some());
-        if !stands || self.exit_status().is_some() {
+        let options = WaitIdOptions::STOPPED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
+        let stopped = || matches!(waitid(WaitId::Pid(self.pid), options), Ok(Some(_)));
+        let settled = eventually(after(STOP_TIMEOUT_MS), || stopped() || self.exit_status().is_some());
+        if !settled || self.exit_status().is_some() {
             return Err(io::Error::other("the process did not stop"));
         }
         Ok(())
     }
 
-    /// Lets it go on.
+    /// Continues the stopped process with SIGCONT.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If the process has ended.
     pub fn cont(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks it to end.
+    /// Asks the process to end, with SIGTERM.
     ///
     /// # Errors
-    /// Where it has ended.
+    /// If the process has ended.
     pub fn term(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Ends it at once, as the loss of a machine would; comes back once it is gone.
+    /// Kills the process at once, as the loss of a machine would, and returns once it has ended.
     ///
     /// # Errors
-    /// Where the system says so.
+    /// If the system reports an error.
     pub fn kill(&self) -> io::Result<ExitStatus> {
         let mut child = lock(&self.child);
         child.kill()?;
         child.wait()
     }
 
-    /// From now on no file takes a byte (see `ProcessBuilder::full_disk`).
+    /// Makes every write to a file fail from now on (see [`ProcessBuilder::full_disk`]).
     ///
     /// # Errors
-    /// Where it was not started for that, or has ended.
+    /// If the process was started without `full_disk`, or has ended.
     pub fn fill_disk(&self) -> io::Result<()> {
-        self.limit_files(Some(0))
+        self.set_file_size_limit(Some(0))
     }
 
-    /// Files take bytes again.
+    /// Makes writes to files succeed again.
     ///
     /// # Errors
-    /// As above.
+    /// As for `fill_disk`.
     pub fn free_disk(&self) -> io::Result<()> {
-        self.limit_files(getrlimit(Resource::Fsize).maximum)
+        self.set_file_size_limit(getrlimit(Resource::Fsize).maximum)
     }
 
-    fn limit_files(&self, current: Option<u64>) -> io::Result<()> {
+    /// Sets the soft limit on the size of files.
+    fn set_file_size_limit(&self, current: Option<u64>) -> io::Result<()> {
         let mut child = lock(&self.child);
-        if !self.fills || child.try_wait()?.is_some() {
-            return Err(io::Error::other("not started for a full disk, or ended"));
+        if !self.can_fill_disk || child.try_wait()?.is_some() {
+            return Err(io::Error::other("the process was started without full_disk, or has ended"));
         }
-        // The hard limit stays as it was inherited: only then can the other be raised again.
+        // The hard limit stays as inherited: otherwise the soft limit could not be raised again.
         let maximum = getrlimit(Resource::Fsize).maximum;
         prlimit(Some(self.pid), Resource::Fsize, Rlimit { current, maximum })?;
         Ok(())
@@ -326,7 +354,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Its readers end with its streams.
+        // The threads that read the output end with the streams.
         self.kill().ok();
     }
 }
--- a/faults/src/relay.rs
+++ b/faults/src/relay.rs
@@ -1,6 +1,7 @@
-//! A relay between the parties of a test, for UDP and TCP, with faults on each link and direction that may change while
-//! it runs. It owns the sockets between them, in one thread, and the lots that say what is lost. It must never change a
-//! byte, swap bytes of a stream, block on a party that stands still, or hold more than its bounds.
+//! A relay between the parties of a test, for UDP and TCP, with faults on each link and direction that may
+//! change while it runs. It owns the sockets between them, in one thread, and the lots that say what is lost.
+//! It must never change a byte, swap bytes of a stream, block on a party that stands still, or hold more than
+//! its bounds.
 use crate::lock;
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -31,8 +32,8 @@
 /// A connection that `a` opened to `b` carries bytes both ways, each by the fault of its own direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Datagrams are lost. A connection's bytes wait, as the sender's system would repeat them, and a new connection
-    /// comes to stand once neither direction is cut.
+    /// Datagrams are lost. A connection's bytes wait, as the sender's system would repeat them, and a new
+    /// connection comes to stand once neither direction is cut.
     pub cut: bool,
     /// Held until this ends, then delivered in the order they came.
     pub stall: bool,
@@ -54,8 +55,8 @@
     pub dropped: u64,
     /// Datagrams lost in a cut.
     pub cut: u64,
-    /// Datagrams that found no room, connections that were too many, and times that a connection's sender had to wait
-    /// because as much was held as may be (none of its bytes is lost).
+    /// Datagrams that found no room, connections that were too many, and times that a connection's sender had
+    /// to wait because as much was held as may be (none of its bytes is lost).
     pub overflowed: u64,
     /// Datagrams of somebody who is not the party of this link: never handed on.
     pub unknown_sender: u64,
@@ -134,8 +135,8 @@
 }
 
 impl Relay {
-    /// A relay between as many parties, 0 and up. The same seed and calls give the same verdict for the n-th datagram of
-    /// each link, whatever else happens and whatever was set for those before it.
+    /// A relay between as many parties, 0 and up. The same seed and calls give the same verdict for the n-th
+    /// datagram of each link, whatever else happens and whatever was set for those before it.
     ///
     /// # Errors
     /// Where the system has no room for it.
@@ -153,9 +154,10 @@
         Ok(Relay { seed, parties, links, orders: Some(orders), wake, thread: Some(thread), streams })
     }
 
-    /// Relays datagrams between all parties, each of which sends from its own address and listens there. Gives, for each
-    /// party, where it reaches each of them: `[i][j]` is what party `i` has to know party `j` by. What `j` sends comes to
-    /// `i` from that very address. `[i][i]` is its own. Each kind of datagram (a socket of each party) is a call of its own.
+    /// Relays datagrams between all parties, each of which sends from its own address and listens there.
+    /// Gives, for each party, where it reaches each of them: `[i][j]` is what party `i` has to know party `j`
+    /// by. What `j` sends comes to `i` from that very address. `[i][i]` is its own. Each kind of datagram (a
+    /// socket of each party) is a call of its own.
     ///
     /// # Errors
     /// Where the system has no room for it.
@@ -279,7 +281,8 @@
     }
 }
 
-/// Lots of one socket or direction. Each thing takes two, needed or not: what is set never shifts those that follow.
+/// Lots of one socket or direction. Each thing takes two, needed or not: what is set never shifts those that
+/// follow.
 struct Lots {
     rng: ChaCha8Rng,
     stream: u64,
