--- a/faults/src/relay.rs
+++ b/faults/src/relay.rs
@@ -1,7 +1,8 @@
 //! A relay between the parties of a test, for UDP and TCP, with faults on each link and direction that may
-//! change while it runs. It owns the sockets between them, in one thread, and the lots that say what is lost.
-//! It must never change a byte, swap bytes of a stream, block on a party that stands still, or hold more than
-//! its bounds.
+//! change while it runs. One thread holds the sockets and draws which datagrams and connections are lost.
+//!
+//! The relay never changes a byte, never reorders the bytes of a stream, never blocks on a party that does
+//! not read, and never holds more than its limits.
 use crate::lock;
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -18,69 +19,77 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Bytes held of one link's datagrams, or of one direction of a connection.
-const HELD: usize = 1 << 20;
-/// What a datagram counts besides its bytes.
-const EACH: usize = 64;
-/// Connections open at a time.
-const OPEN: usize = 256;
-/// Datagrams or chunks taken of one socket before the others have their turn.
-const TURN: usize = 64;
+/// Largest number of bytes held of one link's datagrams, or of one direction of a connection.
+const MAX_HELD_BYTES: usize = 1 << 20;
+/// Bytes that each datagram or chunk held counts in addition to its own.
+const ITEM_OVERHEAD_BYTES: usize = 64;
+/// Largest number of connections open at a time.
+const MAX_CONNECTIONS: usize = 256;
+/// Largest number of datagrams or chunks read from one socket before the other sockets have their turn.
+const MAX_READS_PER_TURN: usize = 64;
 
-/// What befalls what one party sends to another. It acts on what the relay takes from now on.
+/// The faults on what one party sends to another. They apply to what the relay reads from then on.
 ///
-/// A connection that `a` opened to `b` carries bytes both ways, each by the fault of its own direction.
+/// A connection that `a` opened to `b` carries bytes both ways, and each direction has the faults of its own
+/// link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Datagrams are lost. A connection's bytes wait, as the sender's system would repeat them, and a new
-    /// connection comes to stand once neither direction is cut.
+    /// Datagrams are lost. The bytes of a connection wait, as the sender's system would retransmit them, and
+    /// a new connection is established once neither direction is cut.
     pub cut: bool,
-    /// Held until this ends, then delivered in the order they came.
+    /// Everything is held until the stall ends, and then delivered in the order it arrived.
     pub stall: bool,
-    /// The share of datagrams, or of new connections (reset at once), that is lost: 0 to 1.
+    /// The share of datagrams, or of new connections (which are reset at once), that is lost: 0 to 1.
     pub drop: f64,
+    /// How much later everything is delivered.
     pub delay: Duration,
-    /// Up to as much later; datagrams may pass each other, bytes of a connection do not.
+    /// Up to how much later still, at random. Datagrams may overtake each other, the bytes of a connection do
+    /// not.
     pub jitter: Duration,
 }
 
-/// What became of one direction's datagrams and, where it says so, connections.
+/// Counts what happened to the datagrams of one direction and, where it says so, to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounters {
-    /// Datagrams that wait for their time or the end of a stall now.
+    /// Datagrams that are held now, until they are due or a stall ends.
     pub held: u64,
-    /// Datagrams handed on.
+    /// Datagrams delivered.
     pub delivered: u64,
-    /// Datagrams and connections lost by lot.
+    /// Datagrams and connections lost at random.
     pub dropped: u64,
-    /// Datagrams lost in a cut.
+    /// Datagrams lost to a cut.
     pub cut: u64,
-    /// Datagrams that found no room, connections that were too many, and times that a connection's sender had
-    /// to wait because as much was held as may be (none of its bytes is lost).
+    /// Datagrams lost because the limit of held bytes was reached, connections refused because too many were
+    /// open, and times that the sender of a connection had to wait because of the limit of held bytes (none
+    /// of its bytes is lost).
     pub overflowed: u64,
-    /// Datagrams of somebody who is not the party of this link: never handed on.
+    /// Datagrams that did not come from the sending party of this link. They are never delivered.
     pub unknown_sender: u64,
 }
 
+/// The faults and counters of one direction between two parties.
 #[derive(Clone, Copy, Default)]
 struct Link {
     fault: Fault,
     counters: LinkCounters,
 }
 
-/// The links of all parties, by `from * parties + to`.
+/// The links of all parties. That from party `from` to party `to` has the index `from * parties + to`.
 type Links = Arc<Mutex<Vec<Link>>>;
 
-enum Order {
-    Doors(Vec<Door>),
+/// What the relay tells its thread to do.
+enum Command {
+    /// Relays datagrams at the endpoints of one call of `udp`.
+    AddUdp(Vec<UdpEndpoint>),
+    /// Relays the connections that a listener accepts.
     Listen(Box<Listener>),
-    /// Aborts the connections of a link; says how many.
+    /// Aborts the connections of a link, and sends back how many there were.
     Reset((usize, usize), Sender<usize>),
 }
 
-/// The relay. It ends with its thread and all connections when it is dropped.
+/// A relay. Its thread and all connections end when it is dropped.
 ///
-/// Every second datagram or so from party 0 to party 1 is lost, those back are not:
+/// About half of the datagrams from party 0 to party 1 are lost, those in the other direction are not:
 ///
 /// ```
 /// use std::net::UdpSocket;
@@ -97,7 +106,7 @@
 /// assert!(eventually(after(5_000), || relay.counters(1, 0).delivered == 20));
 /// let mut buf = [0; 8];
 /// let (n, from) = parties[0].recv_from(&mut buf).unwrap();
-/// // It comes from where party 0 sends to.
+/// // It comes from the address that party 0 sends to.
 /// assert_eq!((&buf[..n], from), (&b"back"[..], at[0][1]));
 /// assert!(eventually(after(5_000), || relay.counters(0, 1).delivered + relay.counters(0, 1).dropped == 20));
 /// assert!(relay.counters(0, 1).dropped > 0);
@@ -127,147 +136,167 @@
     seed: u64,
     parties: usize,
     links: Links,
-    orders: Option<Sender<Order>>,
+    commands: Option<Sender<Command>>,
+    /// A byte written here wakes the thread.
     wake: UnixStream,
     thread: Option<JoinHandle<()>>,
-    /// Streams of lots given so far.
+    /// Number of random streams assigned so far.
     streams: AtomicU64,
 }
 
 impl Relay {
-    /// A relay between as many parties, 0 and up. The same seed and calls give the same verdict for the n-th
-    /// datagram of each link, whatever else happens and whatever was set for those before it.
+    /// Starts a relay between `parties` parties, numbered from 0. With the same seed and the same calls, the
+    /// n-th datagram of each link is lost or delivered alike, whatever happens on other links and whatever
+    /// was set for the datagrams before it.
     ///
     /// # Errors
-    /// Where the system has no room for it.
+    /// If the system has no resources left for it.
     pub fn new(seed: u64, parties: usize) -> io::Result<Relay> {
         let links: Links = Arc::new(Mutex::new(vec![Link::default(); parties * parties]));
-        let (wake, woken) = UnixStream::pair()?;
+        let (wake, wake_receiver) = UnixStream::pair()?;
         wake.set_nonblocking(true)?;
-        woken.set_nonblocking(true)?;
-        let (orders, taken) = channel();
-        let (doors, listeners, pipes) = (Vec::new(), Vec::new(), Vec::new());
-        let worker =
-            Worker { seed, parties, links: links.clone(), orders: taken, woken, doors, listeners, pipes };
+        wake_receiver.set_nonblocking(true)?;
+        let (commands, command_receiver) = channel();
+        let (endpoints, listeners, connections) = (Vec::new(), Vec::new(), Vec::new());
+        let worker = Worker {
+            seed,
+            parties,
+            links: links.clone(),
+            commands: command_receiver,
+            wake_receiver,
+            endpoints,
+            listeners,
+            connections,
+        };
         let thread = std::thread::Builder::new().name("relay".into()).spawn(move || worker.run())?;
         let streams = AtomicU64::new(0);
-        Ok(Relay { seed, parties, links, orders: Some(orders), wake, thread: Some(thread), streams })
+        Ok(Relay { seed, parties, links, commands: Some(commands), wake, thread: Some(thread), streams })
     }
 
-    /// Relays datagrams between all parties, each of which sends from its own address and listens there.
-    /// Gives, for each party, where it reaches each of them: `[i][j]` is what party `i` has to know party `j`
-    /// by. What `j` sends comes to `i` from that very address. `[i][i]` is its own. Each kind of datagram (a
-    /// socket of each party) is a call of its own.
+    /// Relays datagrams between all parties. `own` holds the address that each party sends from and listens
+    /// at. Returns the addresses at which they reach each other: `[i][j]` is the address by which party `i`
+    /// has to know party `j`. What `j` sends reaches `i` from that very address. `[i][i]` is the party's own
+    /// address. For several kinds of datagrams (several sockets in each party) this is called once for each
+    /// kind.
     ///
     /// # Errors
-    /// Where the system has no room for it.
+    /// If the system has no resources left for it.
     ///
     /// # Panics
-    /// Unless there are as many addresses as parties.
+    /// If the number of addresses is not that of the parties.
     pub fn udp(&self, own: &[SocketAddr]) -> io::Result<Vec<Vec<SocketAddr>>> {
         assert_eq!(own.len(), self.parties, "an address for each party");
-        let (mut at, mut doors) = (Vec::new(), Vec::new());
+        let (mut addresses, mut endpoints) = (Vec::new(), Vec::new());
         for (i, own_i) in own.iter().enumerate() {
             let mut row = Vec::new();
             for j in 0..self.parties {
-                // One for itself stands empty, so that the place of each is plain.
+                // The endpoint of a party to itself stays unused, so that the index of each endpoint follows
+                // from its link.
                 let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
                 socket.set_nonblocking(true)?;
                 row.push(if i == j { *own_i } else { socket.local_addr()? });
-                let (lots, queue) = (self.lots(), Queue::default());
-                doors.push(Door { link: (i, j), socket, own: *own_i, lots, queue });
+                let (sampler, queue) = (self.new_sampler(), Queue::default());
+                endpoints.push(UdpEndpoint { link: (i, j), socket, party_addr: *own_i, sampler, queue });
             }
-            at.push(row);
+            addresses.push(row);
         }
-        self.order(Order::Doors(doors));
-        Ok(at)
+        self.send_command(Command::AddUdp(endpoints));
+        Ok(addresses)
     }
 
-    /// An address for party `from`, whose connections go on to `target`, a listening address of party `to`.
+    /// Opens an address for party `from`, whose connections are forwarded to `target`, a listening address of
+    /// party `to`.
     ///
     /// # Errors
-    /// Where the system has no room for it.
+    /// If the system has no resources left for it.
     pub fn tcp(&self, from: usize, to: usize, target: SocketAddr) -> io::Result<SocketAddr> {
-        self.place(from, to);
+        self.link_index(from, to);
         let socket = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.set_nonblocking(true)?;
-        let at = socket.local_addr()?;
-        self.order(Order::Listen(Box::new(Listener {
+        let addr = socket.local_addr()?;
+        self.send_command(Command::Listen(Box::new(Listener {
             link: (from, to),
             socket,
             target,
-            lots: self.lots(),
-            taken: 0,
+            sampler: self.new_sampler(),
+            streams_used: 0,
         })));
-        Ok(at)
+        Ok(addr)
     }
 
-    /// Sets what befalls what `from` sends to `to`. What has been taken before keeps its lateness.
+    /// Sets the faults on what `from` sends to `to`. The delay of what has already been read does not change.
     pub fn set_fault(&self, from: usize, to: usize, fault: Fault) {
         self.change_fault(from, to, |f| *f = fault);
     }
 
-    /// The same for a part of it.
+    /// Changes the faults on what `from` sends to `to`.
     pub fn change_fault(&self, from: usize, to: usize, change: impl FnOnce(&mut Fault)) {
-        change(&mut lock(&self.links)[self.place(from, to)].fault);
+        change(&mut lock(&self.links)[self.link_index(from, to)].fault);
         self.wake();
     }
 
-    /// Sets all links at once.
+    /// Sets the faults of all links at once, each to what `fault(from, to)` returns.
     pub fn set_all_faults(&self, fault: impl Fn(usize, usize) -> Fault) {
         let set = |(i, l): (usize, &mut Link)| l.fault = fault(i / self.parties, i % self.parties);
         lock(&self.links).iter_mut().enumerate().for_each(set);
         self.wake();
     }
 
-    /// Cuts both directions between each of these and each of those, at once; what else is set there stays.
+    /// Cuts both directions between each party of `these` and each of `those`, all at once. Other faults stay
+    /// as they are.
     pub fn cut(&self, these: &[usize], those: &[usize]) {
-        self.split(these, those, true);
+        self.set_cuts(these, those, true);
     }
 
-    /// Ends the cuts between them.
+    /// Ends the cuts between each party of `these` and each of `those`.
     pub fn heal(&self, these: &[usize], those: &[usize]) {
-        self.split(these, those, false);
+        self.set_cuts(these, those, false);
     }
 
-    fn split(&self, these: &[usize], those: &[usize], cut: bool) {
+    /// Sets or ends the cut of both directions between each party of `these` and each of `those`.
+    fn set_cuts(&self, these: &[usize], those: &[usize], cut: bool) {
         let mut links = lock(&self.links);
         for (a, b) in these.iter().flat_map(|a| those.iter().map(move |b| (*a, *b))) {
-            links[self.place(a, b)].fault.cut = cut;
-            links[self.place(b, a)].fault.cut = cut;
+            links[self.link_index(a, b)].fault.cut = cut;
+            links[self.link_index(b, a)].fault.cut = cut;
         }
         drop(links);
         self.wake();
     }
 
-    /// Aborts, at both ends, all connections that `from` opened to `to`; says how many.
+    /// Aborts all connections that `from` opened to `to`, at both ends, and returns how many there were.
     pub fn reset(&self, from: usize, to: usize) -> usize {
-        self.place(from, to);
-        let (done, many) = channel();
-        self.order(Order::Reset((from, to), done));
-        many.recv().unwrap_or(0)
+        self.link_index(from, to);
+        let (reply, count) = channel();
+        self.send_command(Command::Reset((from, to), reply));
+        count.recv().unwrap_or(0)
     }
 
+    /// Returns what has happened so far to what `from` sends to `to`.
     pub fn counters(&self, from: usize, to: usize) -> LinkCounters {
-        lock(&self.links)[self.place(from, to)].counters
+        lock(&self.links)[self.link_index(from, to)].counters
     }
 
-    fn place(&self, from: usize, to: usize) -> usize {
+    /// Returns the index of a link.
+    fn link_index(&self, from: usize, to: usize) -> usize {
         assert!(from < self.parties && to < self.parties, "no link from {from} to {to}");
         from * self.parties + to
     }
 
-    fn lots(&self) -> Lots {
-        Lots::new(self.seed, self.streams.fetch_add(1, Ordering::Relaxed) << 32)
+    /// Creates the random draws of a socket, from a stream of random numbers that no other socket has.
+    fn new_sampler(&self) -> FaultSampler {
+        FaultSampler::new(self.seed, self.streams.fetch_add(1, Ordering::Relaxed) << 32)
     }
 
-    fn order(&self, order: Order) {
-        // The thread ends only with this relay.
-        self.orders.as_ref().map(|o| o.send(order).ok());
+    /// Sends a command to the thread and wakes it.
+    fn send_command(&self, command: Command) {
+        // The thread ends only with this relay, so the command is always received.
+        self.commands.as_ref().map(|c| c.send(command).ok());
         self.wake();
     }
 
-    /// Where there is no room for it the thread has been woken already.
+    /// Wakes the thread. If the socket has no room for the byte, it already holds others that wake the
+    /// thread.
     fn wake(&self) {
         (&self.wake).write_all(&[1]).ok();
     }
@@ -275,152 +304,166 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.orders = None;
+        self.commands = None;
         self.wake();
         self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// Lots of one socket or direction. Each thing takes two, needed or not: what is set never shifts those that
-/// follow.
-struct Lots {
+/// Random draws for one socket or one direction of a connection. Each item draws two numbers, needed or not,
+/// so that a change of the faults never shifts the draws of the items after it.
+struct FaultSampler {
     rng: ChaCha8Rng,
     stream: u64,
 }
 
-impl Lots {
-    fn new(seed: u64, stream: u64) -> Lots {
+impl FaultSampler {
+    fn new(seed: u64, stream: u64) -> FaultSampler {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(stream);
-        Lots { rng, stream }
+        FaultSampler { rng, stream }
     }
 
-    /// Whether it is lost, and how late it is otherwise.
-    fn draw(&mut self, f: &Fault) -> (bool, Duration) {
+    /// Draws for one item whether it is lost and, if it is not, its delay.
+    fn sample(&mut self, f: &Fault) -> (bool, Duration) {
         let mut unit = || (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         (unit() < f.drop, f.delay + f.jitter.mul_f64(unit()))
     }
 }
 
-/// What waits for its time, in the order it will go.
+/// Items that wait until they are due, in the order of delivery.
 #[derive(Default)]
 struct Queue {
-    all: VecDeque<(Instant, Vec<u8>)>,
-    held: usize,
+    items: VecDeque<(Instant, Vec<u8>)>,
+    /// Bytes held, with the overhead of each item.
+    held_bytes: usize,
 }
 
 impl Queue {
-    fn put(&mut self, due: Instant, bytes: Vec<u8>) {
-        self.held += bytes.len() + EACH;
-        let place = self.all.partition_point(|(d, _)| *d <= due);
-        self.all.insert(place, (due, bytes));
+    /// Inserts an item not_before_last all that are due no later than it.
+    fn enqueue(&mut self, due: Instant, bytes: Vec<u8>) {
+        self.held_bytes += bytes.len() + ITEM_OVERHEAD_BYTES;
+        let position = self.items.partition_point(|(d, _)| *d <= due);
+        self.items.insert(position, (due, bytes));
     }
 
-    /// The time of the last one, if that is later: nothing put then passes another.
-    fn behind(&self, due: Instant) -> Instant {
-        self.all.back().map_or(due, |(d, _)| due.max(*d))
+    /// Returns `due`, or the time of the last item if that is later: an item put in with that time does not
+    /// overtake another.
+    fn not_before_last(&self, due: Instant) -> Instant {
+        self.items.back().map_or(due, |(d, _)| due.max(*d))
     }
 
-    fn due(&self) -> Option<Instant> {
-        self.all.front().map(|(d, _)| *d)
+    /// Returns when the first item is due.
+    fn next_due(&self) -> Option<Instant> {
+        self.items.front().map(|(d, _)| *d)
     }
 
-    fn take(&mut self) -> Option<Vec<u8>> {
-        let (_, bytes) = self.all.pop_front()?;
-        self.held -= bytes.len() + EACH;
+    /// Removes and returns the first item.
+    fn dequeue(&mut self) -> Option<Vec<u8>> {
+        let (_, bytes) = self.items.pop_front()?;
+        self.held_bytes -= bytes.len() + ITEM_OVERHEAD_BYTES;
         Some(bytes)
     }
 }
 
-/// Where party `link.0` reaches party `link.1`, and what waits on that way.
-struct Door {
+/// The socket at which party `link.0` reaches party `link.1`, and the datagrams that wait between them.
+struct UdpEndpoint {
     link: (usize, usize),
     socket: UdpSocket,
-    own: SocketAddr,
-    lots: Lots,
+    /// The address of party `link.0`.
+    party_addr: SocketAddr,
+    sampler: FaultSampler,
     queue: Queue,
 }
 
-impl Door {
+impl UdpEndpoint {
+    /// Reads datagrams and queues those that are not lost.
     fn read(&mut self, l: &mut Link, now: Instant) {
         let mut buf = [0; 1 << 16];
-        for _ in 0..TURN {
+        for _ in 0..MAX_READS_PER_TURN {
             let Ok((n, from)) = self.socket.recv_from(&mut buf) else { return };
-            if from != self.own {
+            if from != self.party_addr {
                 l.counters.unknown_sender += 1;
                 continue;
             }
-            let (lost, late) = self.lots.draw(&l.fault);
+            let (lost, lateness) = self.sampler.sample(&l.fault);
             if l.fault.cut {
                 l.counters.cut += 1;
             } else if lost {
                 l.counters.dropped += 1;
-            } else if self.queue.held + n + EACH > HELD {
+            } else if self.queue.held_bytes + n + ITEM_OVERHEAD_BYTES > MAX_HELD_BYTES {
                 l.counters.overflowed += 1;
             } else {
-                let due = if l.fault.stall { self.queue.behind(now) } else { now + late };
-                self.queue.put(due, buf[..n].to_vec());
+                let due = if l.fault.stall { self.queue.not_before_last(now) } else { now + lateness };
+                self.queue.enqueue(due, buf[..n].to_vec());
                 l.counters.held += 1;
             }
         }
     }
 }
 
+/// An address whose connections are forwarded to `target`.
 struct Listener {
     link: (usize, usize),
     socket: TcpListener,
     target: SocketAddr,
-    lots: Lots,
-    taken: u64,
+    sampler: FaultSampler,
+    /// Random streams that have been used by its connections, two by each.
+    streams_used: u64,
 }
 
-/// One direction of a connection; an empty chunk is its end.
-struct Flow {
-    lots: Lots,
+/// One direction of a connection. An empty chunk in its queue stands for the end.
+struct Direction {
+    sampler: FaultSampler,
     queue: Queue,
-    /// All was read, up to an abort if it is broken; all was handed on, its end too.
-    read: bool,
-    broken: bool,
-    done: bool,
-    /// The receiver takes no more now.
-    blocked: bool,
+    /// Whether everything has been read, up to the end or an abort.
+    read_finished: bool,
+    /// Whether it was an abort.
+    aborted: bool,
+    /// Whether everything has been delivered, the end included.
+    finished: bool,
+    /// Whether the receiver accepts no more bytes for now.
+    write_blocked: bool,
 }
 
-impl Flow {
-    fn room(&self) -> bool {
-        !self.read && self.queue.held < HELD
+impl Direction {
+    /// Returns whether more may be read: there is more to come and room to hold it.
+    fn can_read(&self) -> bool {
+        !self.read_finished && self.queue.held_bytes < MAX_HELD_BYTES
     }
 
+    /// Reads what the sender has sent, as long as there is room, and queues it.
     fn read(&mut self, mut from: &TcpStream, l: &mut Link, now: Instant) {
         let mut buf = [0; 16 << 10];
-        for _ in 0..TURN {
-            if !self.room() {
+        for _ in 0..MAX_READS_PER_TURN {
+            if !self.can_read() {
                 return;
             }
             let n = match from.read(&mut buf) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Ok(n) => n,
-                // An abort takes its time and is held like what came before it.
+                // An abort is delayed and held like the bytes before it.
                 Err(_) => {
-                    self.broken = true;
+                    self.aborted = true;
                     0
                 }
             };
-            let (_, late) = self.lots.draw(&l.fault);
-            self.queue.put(self.queue.behind(now + late), buf[..n].to_vec());
-            self.read = n == 0;
-            l.counters.overflowed += u64::from(self.queue.held >= HELD);
+            let (_, lateness) = self.sampler.sample(&l.fault);
+            self.queue.enqueue(self.queue.not_before_last(now + lateness), buf[..n].to_vec());
+            self.read_finished = n == 0;
+            l.counters.overflowed += u64::from(self.queue.held_bytes >= MAX_HELD_BYTES);
         }
     }
 
+    /// Delivers what is due. After an error both ends have to be aborted.
     fn write(&mut self, mut to: &TcpStream, f: &Fault, now: Instant) -> io::Result<()> {
-        self.blocked = false;
-        while !f.cut && !f.stall && self.queue.due().is_some_and(|due| due <= now) {
-            let Some((_, bytes)) = self.queue.all.front_mut() else { break };
+        self.write_blocked = false;
+        while !f.cut && !f.stall && self.queue.next_due().is_some_and(|due| due <= now) {
+            let Some((_, bytes)) = self.queue.items.front_mut() else { break };
             if bytes.is_empty() {
-                self.done = true;
-                self.queue.take();
-                if self.broken {
+                self.finished = true;
+                self.queue.dequeue();
+                if self.aborted {
                     return Err(ErrorKind::ConnectionReset.into());
                 }
                 return to.shutdown(std::net::Shutdown::Write);
@@ -428,11 +471,11 @@
             match to.write(bytes) {
                 Ok(n) if n < bytes.len() => {
                     bytes.drain(..n);
-                    self.queue.held -= n;
+                    self.queue.held_bytes -= n;
                 }
-                Ok(_) => drop(self.queue.take()),
+                Ok(_) => drop(self.queue.dequeue()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.blocked = true;
+                    self.write_blocked = true;
                     return Ok(());
                 }
                 Err(e) => return Err(e),
@@ -442,84 +485,92 @@
     }
 }
 
-/// A connection: the opener's end, the other one once it stands, and the bytes there and back.
-struct Pipe {
+/// A connection that is relayed.
+struct Connection {
     link: (usize, usize),
     target: SocketAddr,
-    near: TcpStream,
-    far: Option<TcpStream>,
-    stands: bool,
-    flows: [Flow; 2],
+    /// The end of the party that opened the connection.
+    client: TcpStream,
+    /// The end of the target, once connecting has begun.
+    server: Option<TcpStream>,
+    /// Whether the target has accepted the connection.
+    connected: bool,
+    /// The direction to the target and the one back.
+    directions: [Direction; 2],
 }
 
-impl Pipe {
-    /// What can be done now; an error ends both ends.
-    fn step(&mut self, there: &mut Link, back: &mut Link, now: Instant) -> io::Result<()> {
-        let Pipe { near, far, flows: [out, home], .. } = self;
-        out.read(near, there, now);
-        if far.is_none() && !there.fault.cut && !back.fault.cut {
-            *far = Some(begin(self.target)?);
+impl Connection {
+    /// Does what can be done now, with the links to the target and back. After an error both ends have to be
+    /// aborted.
+    fn step(&mut self, forward: &mut Link, backward: &mut Link, now: Instant) -> io::Result<()> {
+        let Connection { client, server, directions: [outbound, inbound], .. } = self;
+        outbound.read(client, forward, now);
+        if server.is_none() && !forward.fault.cut && !backward.fault.cut {
+            *server = Some(begin_connect(self.target)?);
         }
-        let Some(far) = far else { return Ok(()) };
-        if !self.stands {
-            if let Some(e) = far.take_error()? {
+        let Some(server) = server else { return Ok(()) };
+        if !self.connected {
+            if let Some(e) = server.take_error()? {
                 return Err(e);
             }
-            self.stands = far.peer_addr().is_ok();
+            self.connected = server.peer_addr().is_ok();
         }
-        if self.stands {
-            out.write(far, &there.fault, now)?;
-            home.read(far, back, now);
-            home.write(near, &back.fault, now)?;
+        if self.connected {
+            outbound.write(server, &forward.fault, now)?;
+            inbound.read(server, backward, now);
+            inbound.write(client, &backward.fault, now)?;
         }
         Ok(())
     }
 
-    /// A close with an abort, not an end, at both ends.
+    /// Makes closing abort the connection at both ends, instead of ending it in the usual way.
     fn abort(&self) {
-        for end in [Some(&self.near), self.far.as_ref()].into_iter().flatten() {
+        for end in [Some(&self.client), self.server.as_ref()].into_iter().flatten() {
             sockopt::set_socket_linger(end, Some(Duration::ZERO)).ok();
         }
     }
 }
 
-/// A connection that begins; a target that takes none now must not hold up the others.
-fn begin(target: SocketAddr) -> io::Result<TcpStream> {
+/// Begins a connection without waiting for it: a target that does not accept must not hold up the others.
+fn begin_connect(target: SocketAddr) -> io::Result<TcpStream> {
     let family =
         if matches!(target.ip(), IpAddr::V4(_)) { AddressFamily::INET } else { AddressFamily::INET6 };
-    let how = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-    let socket = socket_with(family, SocketType::STREAM, how, None)?;
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    let socket = socket_with(family, SocketType::STREAM, flags, None)?;
     match connect(&socket, &target) {
         Ok(()) | Err(Errno::INPROGRESS) => Ok(TcpStream::from(socket)),
         Err(e) => Err(e.into()),
     }
 }
 
+/// The state of the relay's thread.
 struct Worker {
     seed: u64,
     parties: usize,
     links: Links,
-    orders: Receiver<Order>,
-    woken: UnixStream,
-    doors: Vec<Door>,
+    commands: Receiver<Command>,
+    wake_receiver: UnixStream,
+    endpoints: Vec<UdpEndpoint>,
     listeners: Vec<Listener>,
-    pipes: Vec<Pipe>,
+    connections: Vec<Connection>,
 }
 
 impl Worker {
+    /// Runs until the relay is dropped.
     fn run(mut self) {
         loop {
-            while (&self.woken).read(&mut [0; 256]).is_ok_and(|n| n > 0) {}
+            while (&self.wake_receiver).read(&mut [0; 256]).is_ok_and(|n| n > 0) {}
             loop {
-                match self.orders.try_recv() {
-                    // All doors of a call stand together: `step` finds the way back by its place.
-                    Ok(Order::Doors(d)) => self.doors.extend(d),
-                    Ok(Order::Listen(l)) => self.listeners.push(*l),
-                    Ok(Order::Reset(link, done)) => {
-                        let before = self.pipes.len();
-                        self.pipes.iter().filter(|p| p.link == link).for_each(Pipe::abort);
-                        self.pipes.retain(|p| p.link != link);
-                        done.send(before - self.pipes.len()).ok();
+                match self.commands.try_recv() {
+                    // All endpoints of a call are stored together: `step` finds the one for the opposite
+                    // direction by its index.
+                    Ok(Command::AddUdp(endpoints)) => self.endpoints.extend(endpoints),
+                    Ok(Command::Listen(listener)) => self.listeners.push(*listener),
+                    Ok(Command::Reset(link, reply)) => {
+                        let before = self.connections.len();
+                        self.connections.iter().filter(|c| c.link == link).for_each(Connection::abort);
+                        self.connections.retain(|c| c.link != link);
+                        reply.send(before - self.connections.len()).ok();
                     }
                     Err(TryRecvError::Empty) => break,
                     Err(TryRecvError::Disconnected) => return,
@@ -530,95 +581,117 @@
         }
     }
 
-    /// Does what can be done now; says when more is due. Few sockets are here, so each is tried.
+    /// Does what can be done now, and returns when more is due. There are only a few sockets, so each one is
+    /// tried.
     fn step(&mut self) -> Option<Instant> {
         let (links, n, now) = (self.links.clone(), self.parties, Instant::now());
         let (mut links, mut next) = (lock(&links), None::<Instant>);
         let mut due_at = |due: Option<Instant>| next = next.into_iter().chain(due).min();
-        for i in 0..self.doors.len() {
-            let door = &mut self.doors[i];
-            let (from, to) = door.link;
+        for i in 0..self.endpoints.len() {
+            let endpoint = &mut self.endpoints[i];
+            let (from, to) = endpoint.link;
             let link = &mut links[from * n + to];
-            door.read(link, now);
+            endpoint.read(link, now);
             if link.fault.stall {
                 continue;
             }
-            // What goes to a party leaves where that one reaches the sender.
-            let back = i - (from * n + to) + to * n + from;
-            while self.doors[i].queue.due().is_some_and(|due| due <= now) {
-                let Some(bytes) = self.doors[i].queue.take() else { break };
-                let back = &self.doors[back];
-                back.socket.send_to(&bytes, back.own).ok();
+            // A datagram to a party is sent from the endpoint at which that party reaches the sender.
+            let opposite = i - (from * n + to) + to * n + from;
+            while self.endpoints[i].queue.next_due().is_some_and(|due| due <= now) {
+                let Some(bytes) = self.endpoints[i].queue.dequeue() else { break };
+                let sender = &self.endpoints[opposite];
+                sender.socket.send_to(&bytes, sender.party_addr).ok();
                 link.counters.held -= 1;
                 link.counters.delivered += 1;
             }
-            due_at(self.doors[i].queue.due());
+            due_at(self.endpoints[i].queue.next_due());
         }
         for l in &mut self.listeners {
             let link = &mut links[l.link.0 * n + l.link.1];
-            while let Ok((near, _)) = l.socket.accept() {
-                l.taken += 2;
-                let (lost, _) = l.lots.draw(&link.fault);
-                let flows = [0, 1].map(|way| {
-                    let (lots, queue) =
-                        (Lots::new(self.seed, l.lots.stream + l.taken + way), Queue::default());
-                    Flow { lots, queue, read: false, broken: false, done: false, blocked: false }
+            while let Ok((client, _)) = l.socket.accept() {
+                l.streams_used += 2;
+                let (lost, _) = l.sampler.sample(&link.fault);
+                let directions = [0, 1].map(|offset| {
+                    let (sampler, queue) = (
+                        FaultSampler::new(self.seed, l.sampler.stream + l.streams_used + offset),
+                        Queue::default(),
+                    );
+                    Direction {
+                        sampler,
+                        queue,
+                        read_finished: false,
+                        aborted: false,
+                        finished: false,
+                        write_blocked: false,
+                    }
                 });
-                let pipe = Pipe { link: l.link, target: l.target, near, far: None, stands: false, flows };
-                let many = self.pipes.len() >= OPEN;
+                let connection = Connection {
+                    link: l.link,
+                    target: l.target,
+                    client,
+                    server: None,
+                    connected: false,
+                    directions,
+                };
+                let too_many = self.connections.len() >= MAX_CONNECTIONS;
                 link.counters.dropped += u64::from(lost);
-                link.counters.overflowed += u64::from(many && !lost);
-                if lost || many || pipe.near.set_nonblocking(true).is_err() {
-                    pipe.abort();
+                link.counters.overflowed += u64::from(too_many && !lost);
+                if lost || too_many || connection.client.set_nonblocking(true).is_err() {
+                    connection.abort();
                 } else {
-                    self.pipes.push(pipe);
+                    self.connections.push(connection);
                 }
             }
         }
-        self.pipes.retain_mut(|p| {
-            let (a, b) = (p.link.0 * n + p.link.1, p.link.1 * n + p.link.0);
-            let (mut there, mut back) = (links[a], links[b]);
-            let done = p.step(&mut there, &mut back, now);
-            (links[a], links[b]) = (there, back);
-            if done.is_err() {
-                p.abort();
+        self.connections.retain_mut(|c| {
+            let (to_target, to_client) = (c.link.0 * n + c.link.1, c.link.1 * n + c.link.0);
+            let (mut forward, mut backward) = (links[to_target], links[to_client]);
+            let result = c.step(&mut forward, &mut backward, now);
+            (links[to_target], links[to_client]) = (forward, backward);
+            if result.is_err() {
+                c.abort();
                 return false;
             }
-            for (flow, l) in p.flows.iter().zip([there, back]) {
-                if p.stands && !l.fault.cut && !l.fault.stall && !flow.blocked {
-                    due_at(flow.queue.due());
+            for (direction, l) in c.directions.iter().zip([forward, backward]) {
+                if c.connected && !l.fault.cut && !l.fault.stall && !direction.write_blocked {
+                    due_at(direction.queue.next_due());
                 }
             }
-            !p.flows.iter().all(|f| f.done)
+            !c.directions.iter().all(|f| f.finished)
         });
         next
     }
 
-    /// Waits until a socket can do something, a queue is due, or somebody calls.
+    /// Waits until a socket is ready, a queue is due, or the relay has a command.
     fn wait(&self, next: Option<Instant>) {
-        let mut fds = vec![PollFd::new(&self.woken, PollFlags::IN)];
-        fds.extend(self.doors.iter().map(|d| PollFd::new(&d.socket, PollFlags::IN)));
+        let mut fds = vec![PollFd::new(&self.wake_receiver, PollFlags::IN)];
+        fds.extend(self.endpoints.iter().map(|udp| PollFd::new(&udp.socket, PollFlags::IN)));
         fds.extend(self.listeners.iter().map(|l| PollFd::new(&l.socket, PollFlags::IN)));
-        // A socket that nothing is wanted of is left out: its end would be told over and over.
-        let mut want = |end, read: bool, write: bool| {
-            let mut what = PollFlags::empty();
-            what.set(PollFlags::IN, read);
-            what.set(PollFlags::OUT, write);
-            if !what.is_empty() {
-                fds.push(PollFd::from_borrowed_fd(end, what));
+        // A socket with nothing to read or write is left out: poll would report the end of its connection
+        // over and over.
+        let mut poll_for = |end, read: bool, write: bool| {
+            let mut events = PollFlags::empty();
+            events.set(PollFlags::IN, read);
+            events.set(PollFlags::OUT, write);
+            if !events.is_empty() {
+                fds.push(PollFd::from_borrowed_fd(end, events));
             }
         };
-        for p in &self.pipes {
+        for c in &self.connections {
             use std::os::fd::AsFd;
-            let [out, home] = &p.flows;
-            want(p.near.as_fd(), out.room(), home.blocked);
-            if let Some(far) = &p.far {
-                want(far.as_fd(), p.stands && home.room(), out.blocked || !p.stands);
+            let [outbound, inbound] = &c.directions;
+            poll_for(c.client.as_fd(), outbound.can_read(), inbound.write_blocked);
+            if let Some(server) = &c.server {
+                poll_for(
+                    server.as_fd(),
+                    c.connected && inbound.can_read(),
+                    outbound.write_blocked || !c.connected,
+                );
             }
         }
-        let left = next.map(|t| t.saturating_duration_since(Instant::now()));
-        let left = left.and_then(|d| Timespec::try_from(d).ok());
-        // An error here is a signal's, or a lack of memory: the next round tries again.
-        poll(&mut fds, left.as_ref()).ok();
+        let timeout = next.map(|t| t.saturating_duration_since(Instant::now()));
+        let timeout = timeout.and_then(|d| Timespec::try_from(d).ok());
+        // An error is a signal or a lack of memory: the next round tries again.
+        poll(&mut fds, timeout.as_ref()).ok();
     }
 }
