--- a/faults/src/relay.rs
+++ b/faults/src/relay.rs
@@ -340,7 +340,7 @@
 }
 
 impl Queue {
-    /// Inserts an item not_before_last all that are due no later than it.
+    /// Inserts an item behind all that are due no later than it.
     fn enqueue(&mut self, due: Instant, bytes: Vec<u8>) {
         self.held_bytes += bytes.len() + ITEM_OVERHEAD_BYTES;
         let position = self.items.partition_point(|(d, _)| *d <= due);
@@ -665,7 +665,7 @@
     /// Waits until a socket is ready, a queue is due, or the relay has a command.
     fn wait(&self, next: Option<Instant>) {
         let mut fds = vec![PollFd::new(&self.wake_receiver, PollFlags::IN)];
-        fds.extend(self.endpoints.iter().map(|udp| PollFd::new(&udp.socket, PollFlags::IN)));
+        fds.extend(self.endpoints.iter().map(|datagrams| PollFd::new(&datagrams.socket, PollFlags::IN)));
         fds.extend(self.listeners.iter().map(|l| PollFd::new(&l.socket, PollFlags::IN)));
         // A socket with nothing to read or write is left out: poll would report the end of its connection
         // over and over.
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -7,7 +7,7 @@
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
-use crate::operators::{BudgetSettings, Division, TreeSettings, COLD, PROBE};
+use crate::operators::{BudgetSettings, Division, TreeSettings, COLD_UNITS, PROBE_UNITS};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use threadward_budgets::seal::{open, seal};
@@ -120,7 +120,8 @@
         let socket = ControlSocket::bind(listen, proxies)?;
         let mut entropy = [0; 32];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
-        let (index, totals, leaderships) = (division.place(), division.wholes(), Leadership::all(&division));
+        let (index, totals, leaderships) =
+            (division.own_index(), division.budget_totals(), Leadership::all(&division));
         let client = Rc::new(BudgetClient {
             node,
             socket,
@@ -132,6 +133,7 @@
             has_cold_budget: totals.len() > COLD_BUDGET,
         });
         client.limit_probes(totals.get(PROBE_BUDGET).copied().unwrap_or(0));
+
         let receiver = Rc::downgrade(&client);
         let on_datagram = move |datagram: &[u8]| {
             if let Some(client) = receiver.upgrade() {
@@ -154,7 +156,7 @@
         let client = self.clone();
         let pause = Rc::new(move || match client.share(PROBE_BUDGET) {
             0 => Micros::MAX,
-            units => (1_000_000 * PROBE).div_ceil(units.into()),
+            units => (1_000_000 * PROBE_UNITS).div_ceil(units.into()),
         });
         let probes_used = self.node.plan(|p, _| p.set_probe_pause(pause));
         if !probes_used {
@@ -221,11 +223,12 @@
     }
 
     /// Limits the requests to members that started recently to this proxy's share, and asks for as much as it
+
     /// would send them.
     fn limit_cold_requests(&self) {
         let share = self.share(COLD_BUDGET);
-        let demand_per_s = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
-        self.set_own_demand(COLD_BUDGET, demand_per_s.saturating_mul(COLD));
+        let demand_per_s = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD_UNITS));
+        self.set_own_demand(COLD_BUDGET, demand_per_s.saturating_mul(COLD_UNITS));
     }
 
     /// Logs changes of leadership and of the lease, and updates the counters.
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -8,7 +8,7 @@
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
-use crate::operators::Zoned;
+use crate::operators::ZoneSettings;
 use crate::pair_keys::PairKeys;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -35,11 +35,12 @@
 fn zones(node: &Node) -> Vec<Zone> {
     let (settings, names) = (&node.config.settings, &node.config.names);
     let has_proxies = |z: usize| settings.routers_by_zone.get(z).copied().unwrap_or(0) > 0;
-    let assigned_parent = |z: usize| names.hubs.get(z).copied().unwrap_or(u16::MAX);
-    let is_parent = |z: usize| !has_proxies(z) && names.hubs.iter().any(|h| usize::from(*h) == z);
+    let assigned_parent = |z: usize| names.zone_parents.get(z).copied().unwrap_or(u16::MAX);
+    let is_parent = |z: usize| !has_proxies(z) && names.zone_parents.iter().any(|h| usize::from(*h) == z);
     let other_parents = |except: usize| {
         (0..names.zones.len()).filter(|z| is_parent(*z) && *z != except).map(|z| z as u16).collect()
     };
+
     let zone = |z: usize| Zone {
         kind: if is_parent(z) { Kind::Parent } else { Kind::Location },
         region: if is_parent(z) { z as u16 } else { assigned_parent(z) },
@@ -53,10 +54,16 @@
     /// Starts the instance and registers it at the control socket.
     ///
     /// # Errors
+
     /// One line that says why zones cannot start.
-    pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: Zoned) -> Result<Rc<ZoneClient>, String> {
+    pub fn new(
+        node: Rc<Node>,
+        budgets: Rc<BudgetClient>,
+        zoned: ZoneSettings,
+    ) -> Result<Rc<ZoneClient>, String> {
         let identity = budgets.identity_and_settings();
         let (me, shared) = identity.ok_or("zones: they take no part in the tree of regions and sites")?;
+
         let settings = Settings {
             me,
             proxies: shared.proxies,
@@ -80,9 +87,10 @@
         Ok(client)
     }
 
-    /// Applies the public keys of a reloaded operators' file. A key that is no longer in it is no longer
+    /// Applies the public keys of a reloaded operators'file. A key that is no longer in it is no longer
+
     /// accepted.
-    pub fn reload(&self, zoned: Zoned) {
+    pub fn reload(&self, zoned: ZoneSettings) {
         self.pair_keys.borrow_mut().replace_public_keys(zoned.keys);
     }
 
