--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -1,5 +1,6 @@
-//! Terms of the protocol and of the standing test that no other test holds: the end on SIGTERM, a watch of the bulletin
-//! that falls silent, what waits unwritten meanwhile, and whose copy is called current. Each is played on real sockets.
+//! Requirements of the protocol that no other test covers, tested on real sockets: the shutdown on SIGTERM, a
+//! discovery connection that falls silent, attempts that wait unwritten while an event arrives, and when a
+//! client's copy is confirmed as current.
 mod common;
 use async_io::Async;
 use common::*;
@@ -14,43 +15,50 @@
 use threadward::{bulletin, config, wire};
 use threadward_core::{ClientRequest, Counter, Micros, UnixTime};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
-/// A configuration with another value at a place.
-fn with(json: &str, place: &str, value: Value) -> String {
+/// Returns the configuration with another value at a JSON pointer.
+fn with_value_at(json: &str, pointer: &str, value: Value) -> String {
     let mut v: Value = serde_json::from_str(json).unwrap();
-    *v.pointer_mut(place).unwrap() = value;
+    *v.pointer_mut(pointer).unwrap() = value;
     v.to_string()
 }
 
-/// Calls at the bulletin of this file: when each came, and the number of the last event that it named.
-type Calls = Rc<RefCell<Vec<(Micros, u64)>>>;
+/// The requests to the discovery server of this file: when each came, and the number of the last event it
+/// named.
+type DiscoveryRequests = Rc<RefCell<Vec<(Micros, u64)>>>;
 
-/// A bulletin whose first watch gets a comment each second for two seconds and then falls silent for good, whose second
-/// says nothing at all, and whose later ones tell this event.
-async fn falls_silent(l: Rc<Async<TcpListener>>, event: String, calls: Calls, mute: Rc<RefCell<Micros>>) {
+/// Runs a discovery server. Its first connection gets a comment each second for two seconds and then nothing
+/// more, the second gets nothing at all, and later ones get this event. `silent_since` is set when the first
+/// one falls silent.
+async fn serve_then_fall_silent(
+    listener: Rc<Async<TcpListener>>,
+    event: String,
+    requests: DiscoveryRequests,
+    silent_since: Rc<RefCell<Micros>>,
+) {
     let mut open = Vec::new();
     loop {
-        let (stream, _) = l.accept().await.unwrap();
+        let (stream, _) = listener.accept().await.unwrap();
         let (mut buf, mut chunk) = (Vec::new(), [0u8; 1024]);
         while wire::parse_http_head(&buf).unwrap().is_none() {
             let n = (&stream).read(&mut chunk).await.unwrap();
-            assert!(n > 0, "a call without its end");
+            assert!(n > 0, "the connection ended in the middle of its request");
             buf.extend_from_slice(&chunk[..n]);
         }
         let (head, _) = wire::parse_http_head(&buf).unwrap().unwrap();
-        calls.borrow_mut().push((now(), head.header("last-event-id").unwrap().parse().unwrap()));
-        let n = calls.borrow().len();
+        requests.borrow_mut().push((now(), head.header("last-event-id").unwrap().parse().unwrap()));
+        let n = requests.borrow().len();
         if n != 2 {
             (&stream).write_all(b"HTTP/1.1 200 OK\r\n\r\n:\n\n").await.unwrap();
         }
         match n {
             1 => {
                 for _ in 0..2 {
-                    sleep_until(now() + S).await;
+                    sleep_until(now() + SECOND).await;
                     (&stream).write_all(b":\n\n").await.unwrap();
                 }
-                *mute.borrow_mut() = now();
+                *silent_since.borrow_mut() = now();
             }
             2 => {}
             _ => (&stream).write_all(format!("id: 1\ndata: {event}\n\n").as_bytes()).await.unwrap(),
@@ -59,151 +67,166 @@
     }
 }
 
-/// A watch with a comment each second is kept. One that falls silent is noticed and called anew from the last event, also
-/// where the next one is silent too, long before a drain counts as told; from then on the drain is kept.
+/// A discovery connection with a comment each second is kept. One that falls silent is noticed and replaced
+/// by one that reads on from the last event, also where the next one is silent too. This happens long before
+/// a drain counts as announced, and from then on nothing is sent to the draining member.
 #[test]
-fn a_silent_watch_is_called_anew_before_what_it_missed_counts_as_told() {
+fn a_silent_discovery_connection_is_replaced_before_what_it_missed_counts_as_announced() {
     run(|ex| async move {
-        let (l, at) = listen();
-        let w =
-            start_testbed_with_config(ex, 2, |json| with(&json, "/bulletin", at.to_string().into())).await;
-        w.set_behavior(served());
-        let drain = server_entry("s-0", w.caches[0].addr, "std", "leaving", 0);
+        let (listener, at) = listen();
+        let testbed =
+            start_testbed_with_config(ex, 2, |json| with_value_at(&json, "/bulletin", at.to_string().into()))
+                .await;
+        testbed.set_behavior(served());
+        let drain = server_entry("s-0", testbed.caches[0].addr, "std", "leaving", 0);
         let event = format!(r#"{{"no":1,"roster":{{"version":2,"full":false,"servers":[{drain}]}}}}"#);
-        let (calls, mute) = (Calls::default(), Rc::new(RefCell::new(0)));
-        ex.spawn(falls_silent(l, event, calls.clone(), mute.clone())).detach();
-        wait_until("the silence", || *mute.borrow() > 0).await;
-        assert_eq!(calls.borrow().len(), 1, "a watch with comments was left");
-        wait_until("the drain", || w.node.last_event.get() == 1).await;
-        assert!(now() < *mute.borrow() + 7 * S, "called anew too late: {:?}", calls.borrow());
-        assert!(calls.borrow().iter().all(|c| c.1 == 0) && calls.borrow().len() == 3);
-        let mut c = Client::connect(w.front).await;
+        let (requests, silent_since) = (DiscoveryRequests::default(), Rc::new(RefCell::new(0)));
+        ex.spawn(serve_then_fall_silent(listener, event, requests.clone(), silent_since.clone())).detach();
+        wait_until("the silence", || *silent_since.borrow() > 0).await;
+        assert_eq!(requests.borrow().len(), 1, "a connection with comments was given up");
+        wait_until("the drain", || testbed.node.last_event.get() == 1).await;
+        assert!(now() < *silent_since.borrow() + 7 * SECOND, "reconnected too late: {:?}", requests.borrow());
+        assert!(requests.borrow().iter().all(|c| c.1 == 0) && requests.borrow().len() == 3);
+        let mut c = Client::connect(testbed.front).await;
         for id in 1..30 {
             c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
             assert_eq!(c.answer().await.unwrap().1, None);
         }
-        assert_eq!((w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len()), (0, 29));
+        assert_eq!(
+            (testbed.caches[0].commands.borrow().len(), testbed.caches[1].commands.borrow().len()),
+            (0, 29)
+        );
     });
 }
 
-/// What waits unwritten while a purge is told, for as long as the settings let sends count as made before it, goes out
-/// anew and asks for no copy from before the purge.
+/// An attempt that waits unwritten while a purge arrives, for longer than the `purge_slack` of the settings
+/// lets a send count as made before the purge, is decided again and then accepts no copy from before the
+/// purge.
 #[test]
-fn what_waits_unwritten_follows_the_graces_of_the_settings() {
+fn an_attempt_that_waits_unwritten_follows_the_purge_slack_of_the_settings() {
     run(|ex| async move {
-        let w = start_testbed_with_config(ex, 2, |j| {
-            with(&j, "/settings/family_info/purge_slack", json!(50_000))
+        let testbed = start_testbed_with_config(ex, 2, |j| {
+            with_value_at(&j, "/settings/family_info/purge_slack", json!(50_000))
         })
         .await;
-        let ask = ClientRequest {
+        let client_request = ClientRequest {
             call_id: "00".into(),
             object_name: OBJECT.into(),
             object: u64::from_str_radix(OBJECT, 16).unwrap(),
             group: 17,
-            expires_at: now() + 2 * S,
+            expires_at: now() + 2 * SECOND,
             ..ClientRequest::default()
         };
-        w.node.plan(|p, now| p.accept_request(now, 0, ask, Box::new(|_| {})));
-        // No task has its turn meanwhile: the attempt stands in the queue of a connection that is not up.
+        testbed.node.plan(|p, now| p.accept_request(now, 0, client_request, Box::new(|_| {})));
+        // This blocks the executor, so no task runs: the attempt waits in the queue of a connection that is
+        // not yet up.
         std::thread::sleep(std::time::Duration::from_millis(120));
         let (issued, at) = (UnixTime::default(), now());
-        bulletin::apply(&w.node, config::Bulletin::Recall { issued, object: None, group: 17 }, false);
-        wait_until("an attempt", || !w.received_requests().is_empty()).await;
-        let newer = w.received_requests()[0][2].split(',').any(|f| f.starts_with("newer="));
-        assert!(newer, "sent {} us after the purge: {:?}", now() - at, w.received_requests());
+        bulletin::apply(&testbed.node, config::Bulletin::Recall { issued, object: None, group: 17 }, false);
+        wait_until("an attempt", || !testbed.received_requests().is_empty()).await;
+        let newer = testbed.received_requests()[0][2].split(',').any(|f| f.starts_with("newer="));
+        assert!(newer, "sent {} us after the purge: {:?}", now() - at, testbed.received_requests());
     });
 }
 
-/// A client's copy is called current only where the cache named that very copy.
+/// A client's copy is confirmed as current only where the cache named that very version.
 #[rstest]
 #[case::that_copy("4be0c1927d55a6f3", None)]
 #[case::another("00000000000000ff", Some("Full"))]
-fn a_copy_is_current_only_by_a_caches_word(#[case] held: &str, #[case] word: Option<&str>) {
+fn a_copy_is_current_only_if_the_cache_says_so(#[case] held_version: &str, #[case] error_word: Option<&str>) {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        w.set_behavior(CacheBehavior::Answer(
+        let testbed = start_testbed(ex, 1).await;
+        testbed.set_behavior(CacheBehavior::Answer(
             "still_good",
             "version=4be0c1927d55a6f3,stamp=1,detail=HIT",
             vec![],
         ));
-        let mut c = Client::connect(w.front).await;
-        c.send(&request(1, "media", &[("etag", held)])).await;
-        assert_eq!(c.answer().await, Some((1, word.map(str::to_owned), vec![])));
-        let unchanged = w.node.plan(|p, _| p.counters.get(Counter::Unchanged));
+        let mut c = Client::connect(testbed.front).await;
+        c.send(&request(1, "media", &[("etag", held_version)])).await;
+        assert_eq!(c.answer().await, Some((1, error_word.map(str::to_owned), vec![])));
+        let unchanged = testbed.node.plan(|p, _| p.counters.get(Counter::Unchanged));
         assert_eq!(
-            (unchanged == 1, w.received_requests()[0][2].contains(&format!("holds={held}"))),
-            (word.is_none(), true)
+            (unchanged == 1, testbed.received_requests()[0][2].contains(&format!("holds={held_version}"))),
+            (error_word.is_none(), true)
         );
     });
 }
 
-/// The front is told yes once there is a list to serve by, and no longer after the order to end.
+/// The health check `alive` is answered with true once there is a member list, and with false after SIGTERM.
 #[rstest]
 #[case::listed(None, false, true)]
 #[case::no_list(Some("/known/items"), false, false)]
-#[case::told_to_end(None, true, false)]
-fn alive(#[case] emptied: Option<&str>, #[case] stopping: bool, #[case] yes: bool) {
+#[case::stopping(None, true, false)]
+fn alive(#[case] emptied_list: Option<&str>, #[case] stopping: bool, #[case] expected: bool) {
     run(|ex| async move {
-        let w = start_testbed_with_config(ex, 1, |j| emptied.map_or(j.clone(), |at| with(&j, at, json!([]))))
-            .await;
-        w.node.stopping.set(stopping.then(now));
+        let testbed = start_testbed_with_config(ex, 1, |j| {
+            emptied_list.map_or(j.clone(), |at| with_value_at(&j, at, json!([])))
+        })
+        .await;
+        testbed.node.stopping.set(stopping.then(now));
         let mut frame = vec![0x94, 0x00, 0x07];
         put_text(&mut frame, "alive");
         frame.extend([0x91, 0x80]);
-        let c = Client::connect(w.front).await;
+        let c = Client::connect(testbed.front).await;
         c.send(&frame).await;
-        let mut said = [0; 11];
-        (&c.stream).read_exact(&mut said).await.unwrap();
-        assert_eq!(said, [0x94, 0x01, 0xce, 0, 0, 0, 7, 0xc0, 0x92, 0xc2 | u8::from(yes), 0x80]);
+        let mut answer = [0; 11];
+        (&c.stream).read_exact(&mut answer).await.unwrap();
+        assert_eq!(answer, [0x94, 0x01, 0xce, 0, 0, 0, 7, 0xc0, 0x92, 0xc2 | u8::from(expected), 0x80]);
     });
 }
 
-/// A connection that stays open after the order to end: what comes for 0.6 s is served, with some room; what comes once
-/// clients have gone elsewhere is refused at once and sent nowhere.
+/// On a connection that stays open after SIGTERM, requests are served for 0.6 s and a margin. Those that come
+/// once clients have moved to other proxies are refused at once and not sent to a cache.
 #[rstest]
 #[case::among_the_last(600_000, None, 1)]
 #[case::long_after(1_000_000, Some("Full"), 0)]
-fn requests_on_open_connections_after_the_order_to_end(
+fn requests_on_open_connections_after_sigterm(
     #[case] after: Micros,
-    #[case] word: Option<&str>,
+    #[case] error_word: Option<&str>,
     #[case] sent: usize,
 ) {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        w.set_behavior(served());
-        let mut c = Client::connect(w.front).await;
+        let testbed = start_testbed(ex, 1).await;
+        testbed.set_behavior(served());
+        let mut c = Client::connect(testbed.front).await;
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
-        w.node.stopping.set(Some(now() - after));
+        testbed.node.stopping.set(Some(now() - after));
         c.send(&request(2, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1.as_deref(), word);
-        assert_eq!(w.received_requests().len(), 1 + sent);
+        assert_eq!(c.answer().await.unwrap().1.as_deref(), error_word);
+        assert_eq!(testbed.received_requests().len(), 1 + sent);
     });
 }
 
-/// What is taken after the order to end has its answer before the kill, 0.7 s and the longest deadline after the order,
-/// that counted as 3 s where it is longer; however long the client would wait.
+/// A request that is accepted after SIGTERM is answered before the SIGKILL, however long the client would
+/// wait. The kill comes 0.7 s plus the longest deadline of the settings after SIGTERM, where a deadline
+/// counts as 3 s at most.
 #[rstest]
 #[case::short_deadlines(1_000_000)]
 #[case::long_deadlines(6_000_000)]
-fn what_is_taken_after_the_order_to_end_is_answered_before_the_kill(#[case] longest: Micros) {
+fn requests_accepted_after_sigterm_are_answered_before_the_kill(#[case] longest: Micros) {
     run(|ex| async move {
         let deadlines = |json: String| {
-            let json = with(&json, "/settings/classes/0/hard_limit", longest.into());
-            with(&json, "/settings/classes/1/hard_limit", json!(900_000))
+            let json = with_value_at(&json, "/settings/classes/0/hard_limit", longest.into());
+            with_value_at(&json, "/settings/classes/1/hard_limit", json!(900_000))
         };
-        let w = start_testbed_with_config(ex, 1, deadlines).await;
+        let testbed = start_testbed_with_config(ex, 1, deadlines).await;
         let ttl = (longest / 1000).to_string();
-        let (mut c, ordered) = (Client::connect(w.front).await, now() - 800_000);
-        w.node.stopping.set(Some(ordered));
+        let (mut c, stopped_at) = (Client::connect(testbed.front).await, now() - 800_000);
+        testbed.node.stopping.set(Some(stopped_at));
         c.send(&request(1, "media", &[("ttl", &ttl)])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
-        assert!(now() < ordered + longest.min(3 * S) + 700_000, "{} us after the order", now() - ordered);
+        assert!(
+            now() < stopped_at + longest.min(3 * SECOND) + 700_000,
+            "{} us after the order",
+            now() - stopped_at
+        );
     });
 }
 
-/// The program itself, told to end: a connection that was open before is served for as long as requests may come on it,
-/// and what came last is still answered. The file it is says how it is run: linked dynamically, by `exec`, alone.
+/// On SIGTERM the program serves a connection that was open before for as long as requests may come on it,
+/// and still answers the last of them. Also checks how the program is run: it is linked dynamically, and the
+/// deploy file starts it by `exec` as the only process.
 #[test]
 fn the_program_ends_only_once_clients_have_gone_elsewhere() {
     let program = env!("CARGO_BIN_EXE_threadward");
@@ -215,8 +238,8 @@
         let c = start_cache(ex);
         *c.behavior.borrow_mut() = served();
         let (_, _, at) = start_discovery(ex);
-        let (l, front) = listen();
-        drop(l);
+        let (listener, front) = listen();
+        drop(listener);
         let path = std::env::temp_dir().join(format!("threadward-standing-{}.json", std::process::id()));
         std::fs::write(&path, configuration(front, at, &[server_entry("s-0", c.addr, "std", "active", 0)]))
             .unwrap();
@@ -229,9 +252,9 @@
         assert_eq!(open.answer().await.unwrap().1, None);
         let killed = Command::new("sh").args(["-c", &format!("kill -TERM {}", child.id())]).status();
         assert!(killed.unwrap().success());
-        let ordered = now();
+        let stopped_at = now();
         let mut id = 1;
-        while now() < ordered + 500_000 {
+        while now() < stopped_at + 500_000 {
             id += 1;
             open.send(&request(id, "media", &[])).await;
             assert_eq!(open.answer().await, Some((id, None, b"whole".to_vec())));
@@ -239,13 +262,13 @@
         }
         *c.behavior.borrow_mut() = CacheBehavior::Silent;
         open.send(&request(id + 1, "media", &[])).await;
-        wait_until("the last one", || c.commands.borrow().len() == id as usize + 1).await;
-        sleep_until(ordered + 1_200_000).await;
+        wait_until("the last request", || c.commands.borrow().len() == id as usize + 1).await;
+        sleep_until(stopped_at + 1_200_000).await;
         let call = c.commands.borrow().last().unwrap()[1].clone();
         c.reply(&call, b"last").await;
         assert_eq!(open.answer().await, Some((id + 1, None, b"last".to_vec())));
         wait_until("the end", || child.try_wait().unwrap().is_some()).await;
         assert!(child.wait().unwrap().success());
-        assert!(now() < ordered + 3_700_000, "the kill would have come first");
+        assert!(now() < stopped_at + 3_700_000, "SIGKILL would have come first");
     });
 }
