--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -1,5 +1,5 @@
-//! Where two events of discovery cross: each order is forced by a stand-in bulletin whose calls follow a script, on real
-//! sockets. It owns that stand-in; what a row of a table shows stands in its name.
+//! Races between two events of discovery, on real sockets. A stand-in discovery server whose connections
+//! follow a script forces each order of the two. The name of each case says which order it covers.
 mod common;
 use async_io::Async;
 use common::*;
@@ -14,19 +14,21 @@
 use threadward::{bulletin, config, wire};
 use threadward_core::{Counter, Micros};
 
-const S: Micros = 1_000_000;
-const OK: &str = "HTTP/1.1 200 OK\r\n\r\n";
+const SECOND: Micros = 1_000_000;
+const OK_HEAD: &str = "HTTP/1.1 200 OK\r\n\r\n";
 
-/// What the stand-in does on one call, in order.
+/// One step of what the stand-in does on a connection.
 #[derive(Clone)]
 enum Step {
+    /// Sends a text.
     Say(String),
+    /// Sends bytes.
     Raw(Vec<u8>),
-    /// Waits for the test.
+    /// Waits for a signal from the test.
     Gate(Rc<Signal>),
-    /// Says these bytes one by one, 0.2 s apart.
+    /// Sends these bytes one by one, 0.2 s apart.
     Drip(&'static str),
-    /// Keeps the connection until the other side leaves it.
+    /// Keeps the connection open until the other side closes it.
     Hold,
 }
 use Step::{Drip, Gate, Hold, Raw, Say};
@@ -35,36 +37,40 @@
     Say(text.to_owned())
 }
 
-/// An event's block.
-fn told(no: u64, what: &str) -> String {
+/// Returns the block of an event in the stream.
+fn event_block(no: u64, what: &str) -> String {
     format!("id: {no}\ndata: {{\"no\":{no},{what}}}\n\n")
 }
 
-fn purge(no: u64) -> String {
-    told(no, &format!(r#""recall":{{"lot":1,"issued":{no}}}"#))
+fn purge_block(no: u64) -> String {
+    event_block(no, &format!(r#""recall":{{"lot":1,"issued":{no}}}"#))
 }
 
-/// The calls that came: when, and the last event that each named.
-type Calls = Rc<RefCell<Vec<(Micros, u64)>>>;
-type Ex = &'static async_executor::LocalExecutor<'static>;
+/// The requests that came: when, and the number of the last event that each named.
+type DiscoveryRequests = Rc<RefCell<Vec<(Micros, u64)>>>;
+type Executor = &'static async_executor::LocalExecutor<'static>;
 
-/// A bulletin whose first call is served by the first script and so on; the last one serves all that come after. What
-/// has been said is closed, unless the script holds it.
-fn scripted(ex: Ex, l: Rc<Async<TcpListener>>, scripts: Vec<Vec<Step>>) -> Calls {
-    let calls = Calls::default();
-    let seen = calls.clone();
+/// Runs a discovery server whose first connection follows the first script and so on; the last script serves
+/// all later ones. A connection is closed at the end of its script, unless the script holds it open.
+fn run_script(ex: Executor, listener: Rc<Async<TcpListener>>, scripts: Vec<Vec<Step>>) -> DiscoveryRequests {
+    let requests = DiscoveryRequests::default();
+    let received = requests.clone();
     ex.spawn(async move {
         loop {
-            let Ok((stream, _)) = l.accept().await else { return };
-            let (seen, scripts) = (seen.clone(), scripts.clone());
-            ex.spawn(async move { serve(stream, &scripts, &seen).await.unwrap_or_default() }).detach();
+            let Ok((stream, _)) = listener.accept().await else { return };
+            let (received, scripts) = (received.clone(), scripts.clone());
+            ex.spawn(async move { serve(stream, &scripts, &received).await.unwrap_or_default() }).detach();
         }
     })
     .detach();
-    calls
+    requests
 }
 
-async fn serve(mut s: Async<TcpStream>, scripts: &[Vec<Step>], seen: &Calls) -> std::io::Result<()> {
+async fn serve(
+    mut s: Async<TcpStream>,
+    scripts: &[Vec<Step>],
+    received: &DiscoveryRequests,
+) -> std::io::Result<()> {
     let (mut buf, mut chunk) = (Vec::new(), [0u8; 1024]);
     let last = loop {
         let n = s.read(&mut chunk).await?;
@@ -76,8 +82,8 @@
             break head.header("last-event-id").unwrap().parse().unwrap();
         }
     };
-    let n = seen.borrow().len();
-    seen.borrow_mut().push((now(), last));
+    let n = received.borrow().len();
+    received.borrow_mut().push((now(), last));
     for step in &scripts[n.min(scripts.len() - 1)] {
         match step {
             Say(text) => s.write_all(text.as_bytes()).await?,
@@ -86,7 +92,7 @@
             Drip(text) => {
                 for b in text.as_bytes() {
                     s.write_all(&[*b]).await?;
-                    sleep_until(now() + S / 5).await;
+                    sleep_until(now() + SECOND / 5).await;
                 }
             }
             Hold => while s.read(&mut chunk).await? > 0 {},
@@ -95,134 +101,143 @@
     Ok(())
 }
 
-fn listening(ex: Ex, scripts: Vec<Vec<Step>>) -> (Calls, SocketAddr) {
-    let (l, at) = listen();
-    (scripted(ex, l, scripts), at)
+fn start_scripted(ex: Executor, scripts: Vec<Vec<Step>>) -> (DiscoveryRequests, SocketAddr) {
+    let (listener, at) = listen();
+    (run_script(ex, listener, scripts), at)
 }
 
-/// The configuration with discovery elsewhere.
-fn with_bulletin(json: &str, at: SocketAddr) -> String {
+/// Returns the configuration with discovery at another address.
+fn with_discovery(json: &str, at: SocketAddr) -> String {
     let mut v: serde_json::Value = serde_json::from_str(json).unwrap();
     v["bulletin"] = at.to_string().into();
     v.to_string()
 }
 
-async fn world_at(ex: Ex, caches: usize, at: SocketAddr) -> Testbed {
-    let w = start_testbed_with_config(ex, caches, |json| with_bulletin(&json, at)).await;
-    w.set_behavior(served());
-    w
+async fn start_testbed_at(ex: Executor, caches: usize, at: SocketAddr) -> Testbed {
+    let testbed = start_testbed_with_config(ex, caches, |json| with_discovery(&json, at)).await;
+    testbed.set_behavior(served());
+    testbed
 }
 
-fn move_to(node: &Node, at: SocketAddr) -> String {
+fn reload_with_discovery_at(node: &Node, at: SocketAddr) -> String {
     node.reload(&config::parse(&configuration(node.config.listen, at, &[])).unwrap())
 }
 
-fn count(w: &Testbed, c: Counter) -> u64 {
-    w.node.plan(|p, _| p.counters.get(c))
+fn count(testbed: &Testbed, c: Counter) -> u64 {
+    testbed.node.plan(|p, _| p.counters.get(c))
 }
 
-async fn heard(w: &Testbed, no: u64) {
-    wait_until("the event", || w.node.last_event.get() == no).await;
+async fn wait_for_event(testbed: &Testbed, no: u64) {
+    wait_until("the event", || testbed.node.last_event.get() == no).await;
 }
 
-fn drain(w: &Testbed, no: u64) -> String {
-    told(no, &list(false, &[server_entry("s-0", w.caches[0].addr, "std", "leaving", 0)]))
+fn drain_block(testbed: &Testbed, no: u64) -> String {
+    event_block(no, &list_event(false, &[server_entry("s-0", testbed.caches[0].addr, "std", "leaving", 0)]))
 }
 
-fn list(full: bool, servers: &[String]) -> String {
+fn list_event(full: bool, servers: &[String]) -> String {
     format!(r#""roster":{{"version":2,"full":{full},"servers":[{}]}}"#, servers.join(","))
 }
 
-/// From here on the first of two caches gets nothing.
-async fn drain_is_kept(w: &Testbed) {
-    let before = w.caches[0].commands.borrow().len();
-    let mut c = Client::connect(w.front).await;
+/// Checks that the first of two caches gets no requests from now on.
+async fn assert_drain_is_kept(testbed: &Testbed) {
+    let before = testbed.caches[0].commands.borrow().len();
+    let mut c = Client::connect(testbed.front).await;
     for id in 1..20 {
         c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
         assert_eq!(c.answer().await.unwrap().1, None);
     }
-    assert_eq!(w.caches[0].commands.borrow().len(), before, "sent to a cache that drains");
+    assert_eq!(testbed.caches[0].commands.borrow().len(), before, "sent to a cache that drains");
 }
 
-/// However the first calls go, a drain told meanwhile is applied before it counts as told, once, and calls keep apart.
+/// However the first connections fail, a drain that is announced meanwhile is applied once, before it counts
+/// as announced, and reconnections keep a minimum interval.
 #[rstest]
 #[case::never_a_byte(vec![vec![Hold]])]
-#[case::a_head_alone(vec![vec![say(OK), Hold]])]
-#[case::a_head_and_a_comment(vec![vec![say(OK), say(":\n\n"), Hold]])]
-#[case::two_silent_in_turn(vec![vec![say(OK), Hold], vec![Hold]])]
+#[case::a_head_alone(vec![vec![say(OK_HEAD), Hold]])]
+#[case::a_head_and_a_comment(vec![vec![say(OK_HEAD), say(":\n\n"), Hold]])]
+#[case::two_silent_in_turn(vec![vec![say(OK_HEAD), Hold], vec![Hold]])]
 #[case::a_head_that_never_ends(vec![vec![Drip("HTTP/1.1 200 OK\r\nX-Long: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")]])]
 #[case::closed_at_once(vec![vec![], vec![], vec![]])]
 #[case::refused(vec![vec![say("HTTP/1.1 503 No\r\n\r\n"), Hold], vec![say("HTTP/1.1 503 No\r\n\r\n"), Hold]])]
 #[case::garbage(vec![vec![say("]garbage\0\r\n\r\n"), Hold], vec![say("\r\n\r\n")]])]
-#[case::cut_in_an_event(vec![vec![say(OK), say("id: 1\ndata: {\"no\":1,\"recall\":{\"lot\":1,")]])]
-#[case::cut_before_an_events_empty_line(vec![vec![say(OK), say(purge(1).trim_end())]])]
+#[case::cut_in_an_event(vec![vec![say(OK_HEAD), say("id: 1\ndata: {\"no\":1,\"recall\":{\"lot\":1,")]])]
+#[case::cut_before_an_events_empty_line(vec![vec![say(OK_HEAD), say(purge_block(1).trim_end())]])]
 #[case::cut_in_the_size_of_a_chunk(vec![vec![say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1")]])]
 #[case::cut_in_a_chunk(vec![vec![say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1f\r\nid: 1\ndata:")]])]
-fn a_drain_is_heard_in_time(#[case] first: Vec<Vec<Step>>) {
+fn a_drain_is_applied_in_time(#[case] first: Vec<Vec<Step>>) {
     run(|ex| async move {
-        let (l, at) = listen();
-        let begun = now();
-        let w = world_at(ex, 2, at).await;
+        let (listener, at) = listen();
+        let started_at = now();
+        let testbed = start_testbed_at(ex, 2, at).await;
         let mut scripts = first.clone();
-        scripts.push(vec![say(OK), say(&purge(1)), say(&drain(&w, 2)), Hold]);
-        let calls = scripted(ex, l, scripts);
-        heard(&w, 2).await;
-        assert!(now() < begun + 7 * S, "{:?}", calls.borrow());
-        assert_eq!((count(&w, Counter::Purges), count(&w, Counter::Lists)), (1, 2));
-        let calls = calls.borrow().clone();
-        assert!(calls.len() <= first.len() + 3 && calls.iter().all(|c| c.1 == 0), "{calls:?}");
-        drain_is_kept(&w).await;
+        scripts.push(vec![say(OK_HEAD), say(&purge_block(1)), say(&drain_block(&testbed, 2)), Hold]);
+        let requests = run_script(ex, listener, scripts);
+        wait_for_event(&testbed, 2).await;
+        assert!(now() < started_at + 7 * SECOND, "{:?}", requests.borrow());
+        assert_eq!((count(&testbed, Counter::Purges), count(&testbed, Counter::Lists)), (1, 2));
+        let requests = requests.borrow().clone();
+        assert!(requests.len() <= first.len() + 3 && requests.iter().all(|c| c.1 == 0), "{requests:?}");
+        assert_drain_is_kept(&testbed).await;
     });
 }
 
-/// Events in one segment with the end of the stream are all taken, and the next call names the last.
+/// Events that come in one segment with the end of the stream are all applied, and the next request names the
+/// last.
 #[rstest]
-#[case::to_the_end_of_the_stream(|body: String| format!("{OK}{body}"))]
+#[case::to_the_end_of_the_stream(|body: String| format!("{OK_HEAD}{body}"))]
 #[case::in_chunks(|body: String| format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len()))]
 fn events_in_one_segment_with_the_end(#[case] answer: fn(String) -> String) {
     run(|ex| async move {
-        let all = answer(format!("{}{}", purge(1), purge(2)));
-        let (calls, at) =
-            listening(ex, vec![vec![say(&all)], vec![say(OK), say(&purge(2)), say(&purge(3)), Hold]]);
-        let w = world_at(ex, 1, at).await;
-        heard(&w, 3).await;
-        assert_eq!(count(&w, Counter::Purges), 3);
-        assert_eq!(calls.borrow().iter().map(|c| c.1).collect::<Vec<_>>(), [0, 2]);
+        let all = answer(format!("{}{}", purge_block(1), purge_block(2)));
+        let (requests, at) = start_scripted(
+            ex,
+            vec![vec![say(&all)], vec![say(OK_HEAD), say(&purge_block(2)), say(&purge_block(3)), Hold]],
+        );
+        let testbed = start_testbed_at(ex, 1, at).await;
+        wait_for_event(&testbed, 3).await;
+        assert_eq!(count(&testbed, Counter::Purges), 3);
+        assert_eq!(requests.borrow().iter().map(|c| c.1).collect::<Vec<_>>(), [0, 2]);
     });
 }
 
-/// A connection that never comes up, as the queue of the listener is full: calls are made anew, a move in the middle
-/// goes at once, and the first is not waited for.
+/// A connection that is never established because the listen backlog is full: further attempts are made.
+/// Where the configuration moves discovery meanwhile, the new address is used at once, without waiting for
+/// the first attempt.
 #[rstest]
 #[case::moved_meanwhile(true)]
 #[case::makes_room_later(false)]
-fn a_connection_that_never_comes_up(#[case] moved: bool) {
+fn a_connection_that_is_never_established(#[case] moved: bool) {
     run(|ex| async move {
-        let l = net_listener();
-        let at = l.local_addr().unwrap();
+        let listener = listener_with_full_backlog();
+        let at = listener.local_addr().unwrap();
         let full = TcpStream::connect(at).unwrap();
-        let (calls, other) = listening(ex, vec![vec![say(OK), say(&purge(1)), Hold]]);
-        let w = world_at(ex, 1, at).await;
-        sleep_until(now() + S / 2).await;
-        let begun = now();
+        let (requests, other_server) =
+            start_scripted(ex, vec![vec![say(OK_HEAD), say(&purge_block(1)), Hold]]);
+        let testbed = start_testbed_at(ex, 1, at).await;
+        sleep_until(now() + SECOND / 2).await;
+        let started_at = now();
         if moved {
-            assert!(move_to(&w.node, other).contains("moved to"));
+            assert!(reload_with_discovery_at(&testbed.node, other_server).contains("moved to"));
         } else {
-            wait_until("given up", || count(&w, Counter::DiscoveryLosses) > 0).await;
+            wait_until("given up", || count(&testbed, Counter::DiscoveryLosses) > 0).await;
             drop(full);
-            let calls =
-                scripted(ex, Rc::new(Async::new(l).unwrap()), vec![vec![say(OK), say(&purge(1)), Hold]]);
-            heard(&w, 1).await;
-            assert!(now() < begun + 7 * S, "{:?}", calls.borrow());
+            let requests = run_script(
+                ex,
+                Rc::new(Async::new(listener).unwrap()),
+                vec![vec![say(OK_HEAD), say(&purge_block(1)), Hold]],
+            );
+            wait_for_event(&testbed, 1).await;
+            assert!(now() < started_at + 7 * SECOND, "{:?}", requests.borrow());
             return;
         }
-        heard(&w, 1).await;
-        assert!(now() < begun + S, "{:?}", calls.borrow());
+        wait_for_event(&testbed, 1).await;
+        assert!(now() < started_at + SECOND, "{:?}", requests.borrow());
     });
 }
 
-/// A listener whose queue holds one connection that waits and no more.
-fn net_listener() -> TcpListener {
+/// Returns a listener whose backlog holds a single waiting connection.
+fn listener_with_full_backlog() -> TcpListener {
     use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
     let s = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&s, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -230,204 +245,231 @@
     TcpListener::from(s)
 }
 
-/// What an old watch says once there is a new one is not heard: neither the rest of an event that was cut by a move,
-/// nor what a silent one says later.
+/// Once there is a new discovery connection, nothing from the old one is applied: neither the rest of an
+/// event that was cut by a move to another address, nor what a silent connection sends later.
 #[rstest]
 #[case::silent(false)]
 #[case::moved_in_an_event(true)]
-fn an_old_watch_is_dead(#[case] moved: bool) {
+fn an_old_connection_is_ignored(#[case] moved: bool) {
     run(|ex| async move {
         let (late, more) = (Rc::new(Signal::default()), Rc::new(Signal::default()));
-        let event = purge(1);
+        let event = purge_block(1);
         let (begin, rest) = event.split_at(20);
-        let new = vec![say(OK), say(&purge(1)), Gate(more.clone()), say(&purge(2)), Hold];
-        let old =
-            vec![say(OK), say(begin), Gate(late.clone()), say(rest), say(&purge(2)), say(&purge(3)), Hold];
-        let (calls, w) = if moved {
-            let (calls, at) = listening(ex, vec![old]);
-            let w = world_at(ex, 1, at).await;
-            wait_until("half an event", || w.node.heard.get()).await;
-            let (new, to) = listening(ex, vec![new]);
-            move_to(&w.node, to);
+        let new = vec![say(OK_HEAD), say(&purge_block(1)), Gate(more.clone()), say(&purge_block(2)), Hold];
+        let old = vec![
+            say(OK_HEAD),
+            say(begin),
+            Gate(late.clone()),
+            say(rest),
+            say(&purge_block(2)),
+            say(&purge_block(3)),
+            Hold,
+        ];
+        let (requests, testbed) = if moved {
+            let (requests, at) = start_scripted(ex, vec![old]);
+            let testbed = start_testbed_at(ex, 1, at).await;
+            wait_until("half an event", || testbed.node.heard.get()).await;
+            let (new, to) = start_scripted(ex, vec![new]);
+            reload_with_discovery_at(&testbed.node, to);
             wait_until("the new watch", || !new.borrow().is_empty()).await;
-            (calls, w)
+            (requests, testbed)
         } else {
-            let (calls, at) = listening(ex, vec![old, new]);
-            (calls, world_at(ex, 1, at).await)
+            let (requests, at) = start_scripted(ex, vec![old, new]);
+            (requests, start_testbed_at(ex, 1, at).await)
         };
-        heard(&w, 1).await;
+        wait_for_event(&testbed, 1).await;
         late.notify();
-        sleep_until(now() + S / 10).await;
-        assert_eq!((w.node.last_event.get(), count(&w, Counter::Purges)), (1, 1), "{:?}", calls.borrow());
+        sleep_until(now() + SECOND / 10).await;
+        assert_eq!(
+            (testbed.node.last_event.get(), count(&testbed, Counter::Purges)),
+            (1, 1),
+            "{:?}",
+            requests.borrow()
+        );
         more.notify();
-        heard(&w, 2).await;
-        assert_eq!(count(&w, Counter::Purges), 2);
+        wait_for_event(&testbed, 2).await;
+        assert_eq!(count(&testbed, Counter::Purges), 2);
     });
 }
 
-/// Two calls wait for their answer at once: the one that is answered first is the watch, whichever it is, and what the
-/// other says is not heard.
+/// Two requests to discovery wait for their answer at once: whichever is answered first becomes the
+/// connection in use, and nothing from the other is applied.
 #[rstest]
 #[case::the_older(0)]
 #[case::the_newer(1)]
-fn of_two_calls_one_is_heard(#[case] first: usize) {
+fn of_two_requests_one_is_used(#[case] first: usize) {
     run(|ex| async move {
         let gates: [[Rc<Signal>; 2]; 2] = Default::default();
         let script = |g: &[Rc<Signal>; 2]| {
             let (head, more) = (Gate(g[0].clone()), Gate(g[1].clone()));
-            vec![head, say(OK), say(&purge(1)), more, say(&purge(2)), Hold]
+            vec![head, say(OK_HEAD), say(&purge_block(1)), more, say(&purge_block(2)), Hold]
         };
-        let (calls, at) = listening(ex, vec![script(&gates[0]), script(&gates[1])]);
-        let w = world_at(ex, 1, at).await;
-        wait_until("the second call", || calls.borrow().len() == 2).await;
+        let (requests, at) = start_scripted(ex, vec![script(&gates[0]), script(&gates[1])]);
+        let testbed = start_testbed_at(ex, 1, at).await;
+        wait_until("the second call", || requests.borrow().len() == 2).await;
         gates[first][0].notify();
-        heard(&w, 1).await;
+        wait_for_event(&testbed, 1).await;
         gates[1 - first].iter().for_each(|g| g.notify());
-        sleep_until(now() + S / 10).await;
-        assert_eq!((w.node.last_event.get(), count(&w, Counter::Purges)), (1, 1));
+        sleep_until(now() + SECOND / 10).await;
+        assert_eq!((testbed.node.last_event.get(), count(&testbed, Counter::Purges)), (1, 1));
         gates[first][1].notify();
-        heard(&w, 2).await;
-        assert_eq!((count(&w, Counter::Purges), calls.borrow().len()), (2, 2));
+        wait_for_event(&testbed, 2).await;
+        assert_eq!((count(&testbed, Counter::Purges), requests.borrow().len()), (2, 2));
     });
 }
 
-/// Moves in a row: there and back before anything else has its turn changes nothing; back after the other was called
-/// goes on from the last event; one to where nobody listens is tried with pauses, and back from it at once.
+/// Several moves of discovery in a row. A move there and back before another task runs changes nothing. A
+/// move back after the other server was contacted reads on from the last event. An address where nobody
+/// listens is retried with pauses, and the move back from it takes effect at once.
 #[rstest]
-#[case::before_a_turn(0)]
-#[case::after_the_other_was_called(1)]
+#[case::before_another_task_runs(0)]
+#[case::after_the_other_was_contacted(1)]
 #[case::from_one_that_is_down(2)]
-fn moves_in_a_row(#[case] how: u8) {
+fn several_moves_in_a_row(#[case] variant: u8) {
     run(|ex| async move {
         let more = Rc::new(Signal::default());
-        let first = vec![say(OK), say(&purge(1)), Gate(more.clone()), say(&purge(2)), Hold];
-        let (calls, at) = listening(ex, vec![first, vec![say(OK), say(&purge(2)), Hold]]);
-        let (other, to) = listening(ex, vec![vec![say(OK), Hold]]);
-        let w = world_at(ex, 1, at).await;
-        heard(&w, 1).await;
-        let begun = now();
+        let first = vec![say(OK_HEAD), say(&purge_block(1)), Gate(more.clone()), say(&purge_block(2)), Hold];
+        let (requests, at) = start_scripted(ex, vec![first, vec![say(OK_HEAD), say(&purge_block(2)), Hold]]);
+        let (other_server, to) = start_scripted(ex, vec![vec![say(OK_HEAD), Hold]]);
+        let testbed = start_testbed_at(ex, 1, at).await;
+        wait_for_event(&testbed, 1).await;
+        let started_at = now();
         let down: SocketAddr = free_addresses(1)[0];
-        move_to(&w.node, if how == 2 { down } else { to });
-        match how {
+        reload_with_discovery_at(&testbed.node, if variant == 2 { down } else { to });
+        match variant {
             0 => {}
-            1 => wait_until("the other", || !other.borrow().is_empty()).await,
-            _ => wait_until("some tries", || count(&w, Counter::DiscoveryLosses) >= 4).await,
+            1 => wait_until("the other", || !other_server.borrow().is_empty()).await,
+            _ => wait_until("some tries", || count(&testbed, Counter::DiscoveryLosses) >= 4).await,
         }
-        let (took, tries) = (now() - begun, count(&w, Counter::DiscoveryLosses));
-        assert!(tries <= 2 + took / 50_000, "{tries} tries in {took} us");
-        move_to(&w.node, at);
+        let (elapsed, tries) = (now() - started_at, count(&testbed, Counter::DiscoveryLosses));
+        assert!(tries <= 2 + elapsed / 50_000, "{tries} tries in {elapsed} us");
+        reload_with_discovery_at(&testbed.node, at);
         more.notify();
-        heard(&w, 2).await;
-        assert_eq!(count(&w, Counter::Purges), 2);
-        let named: Vec<u64> = calls.borrow().iter().map(|c| c.1).collect();
-        assert_eq!(named, if how == 0 { vec![0] } else { vec![0, 1] });
+        wait_for_event(&testbed, 2).await;
+        assert_eq!(count(&testbed, Counter::Purges), 2);
+        let last_events: Vec<u64> = requests.borrow().iter().map(|c| c.1).collect();
+        assert_eq!(last_events, if variant == 0 { vec![0] } else { vec![0, 1] });
     });
 }
 
-/// A bulletin that accepts and closes at once, and moves without end, make no more calls than one in 0.05 s.
+/// Neither a discovery server that accepts and closes at once nor endless moves cause more than one request
+/// in 0.05 s.
 #[rstest]
 #[case::closes(false)]
 #[case::moves(true)]
-fn calls_keep_apart(#[case] moves: bool) {
+fn requests_to_discovery_keep_an_interval(#[case] moves: bool) {
     run(|ex| async move {
-        let script = if moves { vec![say(OK), Hold] } else { vec![] };
-        let ((a, at), (b, to)) = (listening(ex, vec![script.clone()]), listening(ex, vec![script]));
-        let w = world_at(ex, 1, at).await;
-        let end = now() + S;
+        let script = if moves { vec![say(OK_HEAD), Hold] } else { vec![] };
+        let ((a, at), (b, to)) = (start_scripted(ex, vec![script.clone()]), start_scripted(ex, vec![script]));
+        let testbed = start_testbed_at(ex, 1, at).await;
+        let end = now() + SECOND;
         while now() < end {
             if moves {
-                move_to(&w.node, if w.node.bulletin.get() == at { to } else { at });
+                reload_with_discovery_at(
+                    &testbed.node,
+                    if testbed.node.bulletin.get() == at { to } else { at },
+                );
             }
             sleep_until(now() + 5_000).await;
         }
-        let calls = a.borrow().len() + b.borrow().len();
-        assert!((4..=21).contains(&calls), "{calls} calls in a second");
+        let requests = a.borrow().len() + b.borrow().len();
+        assert!((4..=21).contains(&requests), "{requests} calls in a second");
     });
 }
 
-/// Discovery refuses for 8 s and tells a drain in the moment it is back: it is kept within a second.
+/// Discovery refuses connections for 8 s and announces a drain as soon as it is back: the drain is applied
+/// within a second.
 #[test]
-fn a_drain_within_the_second_of_the_return() {
+fn a_drain_is_applied_within_a_second_of_the_return() {
     run(|ex| async move {
         let at: SocketAddr = free_addresses(1)[0];
-        let w = world_at(ex, 2, at).await;
-        sleep_until(now() + 8 * S).await;
+        let testbed = start_testbed_at(ex, 2, at).await;
+        sleep_until(now() + 8 * SECOND).await;
         let back = now();
-        let l = Rc::new(Async::<TcpListener>::bind(at).unwrap());
-        let calls = scripted(ex, l, vec![vec![say(OK), say(&drain(&w, 1)), Hold]]);
-        heard(&w, 1).await;
-        assert!(now() < back + S, "{:?}", calls.borrow());
-        drain_is_kept(&w).await;
+        let listener = Rc::new(Async::<TcpListener>::bind(at).unwrap());
+        let requests =
+            run_script(ex, listener, vec![vec![say(OK_HEAD), say(&drain_block(&testbed, 1)), Hold]]);
+        wait_for_event(&testbed, 1).await;
+        assert!(now() < back + SECOND, "{:?}", requests.borrow());
+        assert_drain_is_kept(&testbed).await;
     });
 }
 
-/// Numbers that leave some out are asked for once and then taken, also where each call begins further on; one that no
-/// number can follow is passed over, and so is what starts anew, as it cannot be told from what is sent again.
+/// Where event numbers have a gap, the missing events are requested once and then the gap is accepted, also
+/// where each answer begins further on. An event with the highest number possible, which none can follow, is
+/// skipped. So is a numbering that starts again, as it cannot be distinguished from events that are sent
+/// again.
 #[test]
-fn unusual_numbers() {
+fn unusual_event_numbers() {
     run(|ex| async move {
-        let live = |no: u64| vec![say(OK), say(&purge(no)), say(&purge(no + 1)), Hold];
-        let last = format!("{}{}{}", purge(u64::MAX), purge(1), purge(12));
+        let live = |no: u64| vec![say(OK_HEAD), say(&purge_block(no)), say(&purge_block(no + 1)), Hold];
+        let last = format!("{}{}{}", purge_block(u64::MAX), purge_block(1), purge_block(12));
         let mut scripts: Vec<_> = [5, 8, 11].into_iter().map(live).collect();
         scripts[1].insert(3, say(&last));
-        scripts[1].insert(4, say(&purge(10)));
-        let (calls, at) = listening(ex, scripts);
-        let w = world_at(ex, 1, at).await;
-        heard(&w, 12).await;
-        let named: Vec<u64> = calls.borrow().iter().map(|c| c.1).collect();
-        assert!(named.len() <= 3, "{named:?}");
-        assert_eq!(count(&w, Counter::Panics), 0);
+        scripts[1].insert(4, say(&purge_block(10)));
+        let (requests, at) = start_scripted(ex, scripts);
+        let testbed = start_testbed_at(ex, 1, at).await;
+        wait_for_event(&testbed, 12).await;
+        let last_events: Vec<u64> = requests.borrow().iter().map(|c| c.1).collect();
+        assert!(last_events.len() <= 3, "{last_events:?}");
+        assert_eq!(count(&testbed, Counter::Panics), 0);
     });
 }
 
-/// An event that cannot be read, however often it is asked for, does not stand before the next one for good.
+/// An event that stays unreadable however often it is requested does not block the next one for good.
 #[rstest]
 #[case::no_json(b"data: {\n\n".to_vec())]
 #[case::no_text(b"id: 1\ndata: \xff\xfe\ndata: {}\n\n".to_vec())]
 #[case::too_long([b"data: ", &vec![b'7'; wire::MAX_EVENT_BYTES + 100_000][..], b"\r\n\r\n"].concat())]
-fn what_cannot_be_read(#[case] event: Vec<u8>) {
+fn an_unreadable_event_is_skipped(#[case] event: Vec<u8>) {
     run(|ex| async move {
-        let (calls, at) = listening(ex, vec![vec![say(OK), Raw(event), say(&purge(2)), Hold]]);
-        let w = world_at(ex, 1, at).await;
-        heard(&w, 2).await;
-        assert_eq!((count(&w, Counter::Purges), calls.borrow().len()), (1, 3), "{:?}", calls.borrow());
+        let (requests, at) =
+            start_scripted(ex, vec![vec![say(OK_HEAD), Raw(event), say(&purge_block(2)), Hold]]);
+        let testbed = start_testbed_at(ex, 1, at).await;
+        wait_for_event(&testbed, 2).await;
+        assert_eq!(
+            (count(&testbed, Counter::Purges), requests.borrow().len()),
+            (1, 3),
+            "{:?}",
+            requests.borrow()
+        );
     });
 }
 
-/// A stream that sends without pause leaves the other tasks their turns, and a move is heeded in it.
+/// A stream that sends without pause does not starve the other tasks, and a move takes effect while it sends.
 #[rstest]
 #[case::comments(":\n\n")]
 #[case::events("data: {\"no\":0}\n\n")]
 fn a_stream_without_pause(#[case] block: &str) {
-    let l = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = l.local_addr().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = listener.local_addr().unwrap();
     let flood = block.repeat(64 * 1024 / block.len());
     let writer = std::thread::spawn(move || {
-        let (mut s, _) = l.accept().unwrap();
-        s.write_all(OK.as_bytes()).unwrap();
-        // The bound only ends a test that fails.
-        let end = now() + 8 * S;
+        let (mut s, _) = listener.accept().unwrap();
+        s.write_all(OK_HEAD.as_bytes()).unwrap();
+        // The timeout is there only to end a test that fails.
+        let end = now() + 8 * SECOND;
         while now() < end && s.write_all(flood.as_bytes()).is_ok() {}
         now() < end
     });
     run(|ex| async move {
-        let (_, to) = listening(ex, vec![vec![say(OK), say(&purge(1)), Hold]]);
-        let w = world_at(ex, 1, at).await;
-        wait_until("the flood", || w.node.heard.get()).await;
+        let (_, to) = start_scripted(ex, vec![vec![say(OK_HEAD), say(&purge_block(1)), Hold]]);
+        let testbed = start_testbed_at(ex, 1, at).await;
+        wait_until("the flood", || testbed.node.heard.get()).await;
         let mut longest = 0;
         for _ in 0..10 {
             let before = now();
             sleep_until(before + 10_000).await;
             longest = longest.max(now() - before);
         }
-        assert!(longest < S / 2, "no turn for {longest} us");
-        move_to(&w.node, to);
-        heard(&w, 1).await;
+        assert!(longest < SECOND / 2, "no other task ran for {longest} us");
+        reload_with_discovery_at(&testbed.node, to);
+        wait_for_event(&testbed, 1).await;
     });
-    assert!(writer.join().unwrap(), "the stream was left at the move");
+    assert!(writer.join().unwrap(), "the stream was not closed at the move");
 }
 
-/// Values that nobody sends as a rule: nothing panics, and what can serve serves.
+/// Unusual values in a member list cause no panic, and the servers that can serve do so.
 #[rstest]
 #[case::no_zone(r#""zone":"east","#, "")]
 #[case::unknown_zone("\"east\"", "\"nowhere\"")]
@@ -440,38 +482,42 @@
 #[case::starts_in_the_future("\"started_ms\":0", "\"started_ms\":18446744073709551")]
 fn unusual_values_in_a_list(#[case] usual: &str, #[case] value: &str) {
     run(|ex| async move {
-        let w = start_testbed(ex, 2).await;
-        w.set_behavior(served());
-        let odd = server_entry("s-0", w.caches[0].addr, "std", "active", 0).replace(usual, value);
-        let usual = server_entry("s-1", w.caches[1].addr, "std", "active", 0);
-        w.publish_event(&list(true, &[odd, usual])).await;
-        let mut c = Client::connect(w.front).await;
+        let testbed = start_testbed(ex, 2).await;
+        testbed.set_behavior(served());
+        let odd = server_entry("s-0", testbed.caches[0].addr, "std", "active", 0).replace(usual, value);
+        let usual = server_entry("s-1", testbed.caches[1].addr, "std", "active", 0);
+        testbed.publish_event(&list_event(true, &[odd, usual])).await;
+        let mut c = Client::connect(testbed.front).await;
         for id in 1..20 {
             c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
             assert_eq!(c.answer().await.unwrap().0, id);
         }
-        assert_eq!((count(&w, Counter::Panics), count(&w, Counter::Malformed)), (0, 0));
-        assert!(!w.caches[1].commands.borrow().is_empty(), "the usual one serves");
+        assert_eq!((count(&testbed, Counter::Panics), count(&testbed, Counter::Malformed)), (0, 0));
+        assert!(
+            !testbed.caches[1].commands.borrow().is_empty(),
+            "the server with usual values does not serve"
+        );
     });
 }
 
-/// A change that names servers which are held already adds none: most of a very long list may leave at once.
+/// A change that names servers which are listed already adds none: most servers of a very long list may leave
+/// at once.
 #[test]
 fn a_change_of_a_very_long_list() {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
+        let testbed = start_testbed(ex, 1).await;
         let at = |i: usize| ([127, 1, (i >> 8) as u8, i as u8], 9).into();
         for state in ["active", "left"] {
             let all: Vec<String> =
                 (0..11_000).map(|i| server_entry(&format!("x-{i}"), at(i), "unheard-of", state, 0)).collect();
-            w.publish_event(&list(false, &all)).await;
+            testbed.publish_event(&list_event(false, &all)).await;
         }
-        assert_eq!((w.node.pool.member_count(), count(&w, Counter::Malformed)), (2, 0));
+        assert_eq!((testbed.node.pool.member_count(), count(&testbed, Counter::Malformed)), (2, 0));
     });
 }
 
-/// A list takes a server away, or puts another at its address, while an attempt is out at it: its answer is the one
-/// final answer, and the next request goes by the new list.
+/// A member list removes a server, or puts another one at its address, while an attempt is in flight there:
+/// the answer to that attempt is the one final answer, and the next request is routed by the new list.
 #[rstest]
 #[case::whole_list_without_it("whole")]
 #[case::left("left")]
@@ -481,33 +527,37 @@
 #[case::another_then_left_in_one_event("new,left")]
 #[case::left_then_another_in_two("left;new")]
 #[case::another_then_left_in_two("new;left")]
-fn a_list_takes_a_server_with_an_attempt_out(#[case] how: &str) {
+fn a_list_removes_a_server_with_an_attempt_in_flight(#[case] variant: &str) {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        let (at, other) = (w.caches[0].addr, start_cache(ex));
-        *other.behavior.borrow_mut() =
+        let testbed = start_testbed(ex, 1).await;
+        let (at, other_server) = (testbed.caches[0].addr, start_cache(ex));
+        *other_server.behavior.borrow_mut() =
             CacheBehavior::Answer("served", "version=bb,stamp=1,detail=HIT", b"other".to_vec());
-        let mut c = Client::connect(w.front).await;
+        let mut c = Client::connect(testbed.front).await;
         c.send(&request(1, "media", &[("ttl", "5900")])).await;
-        wait_until("the attempt", || !w.received_requests().is_empty()).await;
-        let call = w.received_requests()[0][1].clone();
-        for part in how.split(';') {
+        wait_until("the attempt", || !testbed.received_requests().is_empty()).await;
+        let call = testbed.received_requests()[0][1].clone();
+        for part in variant.split(';') {
             let one = |word: &str| match word {
-                "whole" => server_entry("s-9", other.addr, "std", "active", 0),
+                "whole" => server_entry("s-9", other_server.addr, "std", "active", 0),
                 "new" => server_entry("s-9", at, "std", "active", 1),
                 "again" => server_entry("s-0", at, "std", "active", 1),
                 word => server_entry("s-0", at, "std", word, 0),
             };
             let servers: Vec<String> = part.split(',').map(one).collect();
-            w.publish_event(&list(part == "whole", &servers)).await;
+            testbed.publish_event(&list_event(part == "whole", &servers)).await;
         }
-        w.caches[0].reply(&call, b"of before").await;
+        testbed.caches[0].reply(&call, b"of before").await;
         assert_eq!(c.answer().await, Some((1, None, b"of before".to_vec())));
-        w.caches[0].reply(&call, b"once more").await;
-        w.set_behavior(CacheBehavior::Answer("served", "version=cc,stamp=1,detail=HIT", b"new".to_vec()));
+        testbed.caches[0].reply(&call, b"once more").await;
+        testbed.set_behavior(CacheBehavior::Answer(
+            "served",
+            "version=cc,stamp=1,detail=HIT",
+            b"new".to_vec(),
+        ));
         c.send(&request(2, "media", &[])).await;
         let (id, word, body) = c.answer().await.unwrap();
-        let wanted: (Option<&str>, &[u8]) = match how {
+        let wanted: (Option<&str>, &[u8]) = match variant {
             "whole" => (None, b"other"),
             "left" | "leaving" => (Some("Full"), b""),
             _ => (None, b"new"),
@@ -516,46 +566,49 @@
     });
 }
 
-/// A drain or an end is told against an attempt that was decided and is not yet written: it reaches that server only
-/// within the grace, and the request gets one final answer.
+/// A drain or a removal arrives while an attempt has been decided and is not yet written: the attempt is sent
+/// to that server only within the grace, and the request gets one final answer.
 #[rstest]
 #[case::drains("leaving", 150_000, false)]
 #[case::drains_within_the_grace("leaving", 0, true)]
 #[case::left("left", 150_000, false)]
-fn a_drain_against_an_attempt_unwritten(#[case] state: &str, #[case] waits: Micros, #[case] sent: bool) {
+fn a_drain_before_an_attempt_is_written(#[case] state: &str, #[case] waits: Micros, #[case] sent: bool) {
     run(|ex| async move {
-        let w = start_testbed_with_config(ex, 2, |json| {
+        let testbed = start_testbed_with_config(ex, 2, |json| {
             json.replace("\"drain_grace\":1000000", "\"drain_grace\":50000")
         })
         .await;
-        w.set_behavior(served());
+        testbed.set_behavior(served());
         let answers = Rc::new(RefCell::new(Vec::new()));
-        let into = answers.clone();
-        let ask = threadward_core::ClientRequest {
+        let collected = answers.clone();
+        let client_request = threadward_core::ClientRequest {
             call_id: "00".into(),
             object_name: OBJECT.into(),
             object: u64::from_str_radix(OBJECT, 16).unwrap(),
-            expires_at: now() + 2 * S,
+            expires_at: now() + 2 * SECOND,
             ..threadward_core::ClientRequest::default()
         };
-        w.node
-            .plan(|p, now| p.accept_request(now, 0, ask, Box::new(move |last| into.borrow_mut().push(last))));
-        // No task has its turn meanwhile: the attempt stands in the queue of a connection that is not up.
+        testbed.node.plan(|p, now| {
+            p.accept_request(now, 0, client_request, Box::new(move |last| collected.borrow_mut().push(last)))
+        });
+        // This blocks the executor, so no task runs: the attempt waits in the queue of a connection that is
+        // not yet up.
         std::thread::sleep(std::time::Duration::from_micros(waits));
-        // Both are told, as it is not known which was chosen; the origin stays.
-        let both: Vec<String> = w
+        // Both servers are named, as it is not known which was chosen; the origin stays.
+        let both: Vec<String> = testbed
             .caches
             .iter()
             .enumerate()
             .map(|(i, c)| server_entry(&format!("s-{i}"), c.addr, "std", state, 0))
             .collect();
-        let text = format!(r#"{{"no":1,{}}}"#, list(false, &both));
-        let (_, b) = config::event(&serde_json::from_str(&text).unwrap(), &w.node.config.names).unwrap();
-        bulletin::apply(&w.node, b.unwrap(), false);
+        let text = format!(r#"{{"no":1,{}}}"#, list_event(false, &both));
+        let (_, b) =
+            config::event(&serde_json::from_str(&text).unwrap(), &testbed.node.config.names).unwrap();
+        bulletin::apply(&testbed.node, b.unwrap(), false);
         wait_until("the answer", || !answers.borrow().is_empty()).await;
 
         assert_eq!(
-            (answers.borrow().len(), !w.received_requests().is_empty()),
+            (answers.borrow().len(), !testbed.received_requests().is_empty()),
             (1, sent),
             "{:?}",
             answers.borrow()
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! Descriptors under a limit: however many clients come, the program reaches the bulletin and the caches.
+//! File descriptors under a limit: however many clients connect, the program reaches discovery and the
+//! caches.
 mod common;
 use async_io::Async;
 use common::*;
@@ -9,58 +10,69 @@
 use threadward::net::{now, sleep_until};
 use threadward_faults::{Process, Start};
 
-const LIMIT: usize = 96;
+/// The limit on descriptors that the program runs with.
+const DESCRIPTOR_LIMIT: usize = 96;
 
-fn held(p: &Process) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", p.id())).map_or(0, Iterator::count)
+fn open_descriptors(process: &Process) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", process.id())).map_or(0, Iterator::count)
 }
 
-/// Idle and half-written clients fill all that they can, many at once, while the bulletin refuses connections. Once it is
-/// there the list is read and a request served, though none of them has gone; no descriptor was ever missed.
+/// Idle clients and clients with half a request take every connection they can, many at once, while discovery
+/// refuses connections. Once discovery is up, the member list is read and a request is served although none
+/// of these clients has gone. The program never runs out of descriptors.
 #[test]
-fn the_bulletin_is_reached_however_many_clients_come() {
+fn discovery_is_reached_however_many_clients_connect() {
     run(|ex| async move {
-        let c = start_cache(ex);
-        *c.behavior.borrow_mut() = served();
-        let at = free_addresses(2);
+        let cache = start_cache(ex);
+        *cache.behavior.borrow_mut() = served();
+        let addrs = free_addresses(2);
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("config.json");
-        let json = configuration(at[0], at[1], &[]);
-        let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{LIMIT}"));
+        let json = configuration(addrs[0], addrs[1], &[]);
+        let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTOR_LIMIT}"));
         std::fs::write(&path, json).unwrap();
-        let limited = format!("ulimit -n {LIMIT}; exec \"$0\"");
+        let limited = format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\"");
         let start = Start::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
-        let p = start.env("LB_CONFIG", &path).spawn().unwrap();
-        wait_until("the front", || TcpStream::connect(at[0]).is_ok()).await;
-        let own = held(&p);
+        let process = start.env("LB_CONFIG", &path).spawn().unwrap();
+        wait_until("the front", || TcpStream::connect(addrs[0]).is_ok()).await;
+        let before_clients = open_descriptors(&process);
         let (mut crowd, frame) = (Vec::new(), request(1, "media", &[]));
         for wave in 0..3 {
-            // A whole wave lies in the backlog before one of it is accepted.
-            p.stop().unwrap();
+            // The program is stopped, so a whole wave is in the listen backlog before the first of it is
+            // accepted.
+            process.stop().unwrap();
             for n in 0..150 {
-                let mut s = TcpStream::connect(at[0]).unwrap();
+                let mut s = TcpStream::connect(addrs[0]).unwrap();
                 if (n + wave) % 2 == 0 {
                     s.write_all(&frame[..60]).unwrap();
                 }
                 crowd.push(s);
             }
-            p.cont().unwrap();
+            process.cont().unwrap();
             let end = now() + 700_000;
             while now() < end {
-                assert!(held(&p) < LIMIT, "{} descriptors", held(&p));
+                assert!(
+                    open_descriptors(&process) < DESCRIPTOR_LIMIT,
+                    "{} descriptors",
+                    open_descriptors(&process)
+                );
                 sleep_until(now() + 2_000).await;
             }
-            assert!(held(&p) > LIMIT / 2, "the clients did not fill their part: {}", held(&p));
+            assert!(
+                open_descriptors(&process) > DESCRIPTOR_LIMIT / 2,
+                "the clients did not use up their part: {}",
+                open_descriptors(&process)
+            );
         }
-        let up = now();
-        let bulletin = Rc::new(Async::<TcpListener>::bind(at[1]).unwrap());
-        let list = server_entry("s-0", c.addr, "std", "active", 0);
-        let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{list}]}}}}"#);
+        let discovery_up_at = now();
+        let discovery = Rc::new(Async::<TcpListener>::bind(addrs[1]).unwrap());
+        let entry = server_entry("s-0", cache.addr, "std", "active", 0);
+        let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{entry}]}}}}"#);
         ex.spawn(async move {
             loop {
-                let (mut s, _) = bulletin.accept().await.unwrap();
-                let said = format!("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: {event}\n\n");
-                s.write_all(said.as_bytes()).await.ok();
+                let (mut s, _) = discovery.accept().await.unwrap();
+                let response = format!("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: {event}\n\n");
+                s.write_all(response.as_bytes()).await.ok();
                 while s.read(&mut [0; 1024]).await.unwrap_or(0) > 0 {
                     s.write_all(b":\n\n").await.ok();
                 }
@@ -70,17 +82,20 @@
         let mut id = 0;
         loop {
             id += 1;
-            let mut good = Client::connect(at[0]).await;
-            good.send(&request(id, "media", &[])).await;
-            if good.answer().await == Some((id, None, b"whole".to_vec())) {
+            let mut client = Client::connect(addrs[0]).await;
+            client.send(&request(id, "media", &[])).await;
+            if client.answer().await == Some((id, None, b"whole".to_vec())) {
                 break;
             }
-            assert!(now() < up + 10_000_000, "not served:\n{}", p.text());
+            assert!(now() < discovery_up_at + 10_000_000, "not served:\n{}", process.text());
             sleep_until(now() + 10_000).await;
         }
-        println!("served {} ms after the bulletin came up", (now() - up) / 1000);
-        println!("{own} descriptors before the clients, {} with them, of {LIMIT}", held(&p));
-        assert!(!p.text().contains("accept: "), "{}", p.text());
+        println!("served {} ms after discovery came up", (now() - discovery_up_at) / 1000);
+        println!(
+            "{before_clients} descriptors before the clients, {} with them, of {DESCRIPTOR_LIMIT}",
+            open_descriptors(&process)
+        );
+        assert!(!process.text().contains("accept: "), "{}", process.text());
         drop(crowd);
     });
 }
--- a/node/tests/interrupted_calls.rs
+++ b/node/tests/interrupted_calls.rs
@@ -1,17 +1,17 @@
-//! System calls of the real program that fail for a moment: interrupted, short, or with an error that passes. Every request
-//! has its one answer, and the program ends only when it is told to.
+//! System calls of the real program that fail transiently: interrupted, short, or with an error that passes.
+//! Every request gets its one answer, and the program ends only on SIGTERM.
 mod common;
 use common::*;
 use tempfile::tempdir;
 use threadward_faults::{Failure, Shim, Signal, Start};
 
-/// One call in ten, in calls of a million.
-const ONE_IN_TEN: u32 = 100_000;
+/// One call in ten, in failures per million calls.
+const ONE_IN_TEN_PER_MILLION: u32 = 100_000;
 
 #[test]
-fn calls_that_fail_for_a_moment_change_no_answer() {
+fn transient_failures_of_system_calls_change_no_answer() {
     use Failure::{Accept, ReadInterrupted, ReadShort, WriteInterrupted, WriteShort};
-    let every = [
+    let failure_sets = [
         &[ReadInterrupted][..],
         &[ReadShort],
         &[WriteInterrupted],
@@ -19,29 +19,29 @@
         &[Accept],
         &[ReadInterrupted, ReadShort, WriteInterrupted, WriteShort, Accept],
     ];
-    for kinds in every {
+    for kinds in failure_sets {
         run(|ex| async move {
             let caches = [start_cache(ex), start_cache(ex)];
             let body = vec![7u8; 40_000];
-            let whole =
+            let answer_whole =
                 CacheBehavior::Answer("served", "version=4be0c1927d55a6f3,stamp=1,detail=HIT", body.clone());
-            caches.iter().for_each(|c| *c.behavior.borrow_mut() = whole.clone());
-            let (_, _, bulletin) = start_discovery(ex);
+            caches.iter().for_each(|c| *c.behavior.borrow_mut() = answer_whole.clone());
+            let (_, _, discovery) = start_discovery(ex);
             let front = free_addresses(1)[0];
             let folder = tempdir().unwrap();
-            let file = folder.path().join("config.json");
-            let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
-            std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
+            let config_path = folder.path().join("config.json");
+            let entries = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
+            std::fs::write(&config_path, configuration(front, discovery, &entries)).unwrap();
             let shim = Shim::new(7).unwrap();
-            let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
+            let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
             let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
             wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
-            kinds.iter().for_each(|kind| shim.fail(*kind, ONE_IN_TEN).unwrap());
+            kinds.iter().for_each(|kind| shim.fail(*kind, ONE_IN_TEN_PER_MILLION).unwrap());
             for number in 1..=60u32 {
                 let mut client = Client::connect(front).await;
                 for id in 1..=3 {
-                    let text = format!("{:016x}", number * 10 + id);
-                    client.send(&request(id, "media", &[("call", &text), ("row", &text)])).await;
+                    let call_id = format!("{:016x}", number * 10 + id);
+                    client.send(&request(id, "media", &[("call", &call_id), ("row", &call_id)])).await;
                     let answer = with_timeout("an answer", client.answer()).await;
                     assert_eq!(
                         answer.as_ref().map(|a| (a.0, a.1.clone())),
@@ -51,7 +51,7 @@
                     );
                     assert_eq!(answer.map(|a| a.2.len()), Some(body.len()));
                 }
-                // Signals are heard all the while, and none is heard that was not sent.
+                // Signals are handled all the while, and none is handled that was not sent.
                 process.signal(Signal::HUP).unwrap();
             }
             for kind in kinds {
@@ -59,14 +59,14 @@
                 shim.fail(*kind, 0).unwrap();
             }
             assert!(!process.text().contains("stop: "), "{}", process.text());
-            // The log takes so many lines in a second.
+            // Waits until the log accepts lines again: it limits the lines per second.
             sleep(1_100).await;
             let reloads = read_counter(&process, "reloads").await;
             process.signal(Signal::HUP).unwrap();
             sleep(50).await;
             assert!(
                 read_counter(&process, "reloads").await > reloads,
-                "no reload is read any more:\n{}",
+                "SIGHUP no longer reloads the configuration:\n{}",
                 process.text()
             );
             process.term().unwrap();
@@ -76,27 +76,29 @@
     }
 }
 
-/// A client that waited while no connection could be accepted has its time to ask, as any other.
+/// A client that waited while no connection could be accepted then has as much time to send its request as
+/// any other: the time limit on silent connections does not count from before the accept.
 #[test]
-fn a_client_accepted_after_a_long_failure_has_time_to_ask() {
+fn a_client_accepted_after_a_long_failure_has_time_to_send_its_request() {
     run(|ex| async move {
         let cache = start_cache(ex);
         *cache.behavior.borrow_mut() = served();
-        let (_, _, bulletin) = start_discovery(ex);
+        let (_, _, discovery) = start_discovery(ex);
         let front = free_addresses(1)[0];
         let folder = tempdir().unwrap();
-        let file = folder.path().join("config.json");
-        let list = [server_entry("s-0", cache.addr, "std", "active", 0)];
-        std::fs::write(&file, configuration(front, bulletin, &list)).unwrap();
+        let config_path = folder.path().join("config.json");
+        let entries = [server_entry("s-0", cache.addr, "std", "active", 0)];
+        std::fs::write(&config_path, configuration(front, discovery, &entries)).unwrap();
         let shim = Shim::new(7).unwrap();
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &file);
+        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
         let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
         wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
-        // That connection is taken, so that the place made next is the client's.
+        // By then the connection made above has been accepted, so the next one to be accepted is the
+        // client's.
         sleep(200).await;
         shim.fail(Failure::Accept, 1_000_000).unwrap();
         let mut client = Client::connect(front).await;
-        // Longer than a client that says nothing is kept.
+        // Longer than a silent connection is kept.
         sleep(2_500).await;
         shim.fail(Failure::Accept, 0).unwrap();
         sleep(200).await;
--- a/node/tests/restarts.rs
+++ b/node/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Thirty processes started together against one slow bulletin: the time until each is ready. It owns the processes that
-//! it starts, and ends each by its own handle.
+//! Thirty processes started together against one slow discovery server: the time until each is ready. Each
+//! process is ended by its own handle.
 mod common;
 use async_io::Async;
 use common::*;
@@ -13,100 +13,109 @@
 use threadward_core::Micros;
 use threadward_faults::{Process, Start};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 const PROCESSES: usize = 30;
-/// The bulletin takes so long for each call, also where nobody waits for its answer any longer, and the first so many
-/// get none.
-const EACH: Micros = S / 5;
-const SILENT: usize = 2;
+/// How long the discovery server takes for each connection, also where the other side no longer waits for its
+/// answer.
+const DISCOVERY_DELAY: Micros = SECOND / 5;
+/// The number of first connections that the discovery server never answers.
+const UNANSWERED_CONNECTIONS: usize = 2;
 
-async fn slow_bulletin(
+async fn serve_discovery_slowly(
     ex: &'static async_executor::LocalExecutor<'static>,
-    l: Rc<Async<TcpListener>>,
+    listener: Rc<Async<TcpListener>>,
     event: String,
-    calls: Rc<RefCell<usize>>,
+    connections: Rc<RefCell<usize>>,
 ) {
     let mut silent = Vec::new();
     loop {
-        let (mut s, _) = l.accept().await.unwrap();
-        let n = calls.replace_with(|n| *n + 1);
-        sleep_until(now() + EACH).await;
-        if n < SILENT {
+        let (mut s, _) = listener.accept().await.unwrap();
+        let n = connections.replace_with(|n| *n + 1);
+        sleep_until(now() + DISCOVERY_DELAY).await;
+        if n < UNANSWERED_CONNECTIONS {
             silent.push(s);
             continue;
         }
         let head = format!("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: {event}\n\n");
         ex.spawn(async move {
-            let mut said = s.write_all(head.as_bytes()).await;
-            while said.is_ok() {
-                sleep_until(now() + S).await;
-                said = s.write_all(b":\n\n").await;
+            let mut written = s.write_all(head.as_bytes()).await;
+            while written.is_ok() {
+                sleep_until(now() + SECOND).await;
+                written = s.write_all(b":\n\n").await;
             }
         })
         .detach();
     }
 }
 
-/// Asks as the platform does until the answer is yes, and says when that was.
-async fn ready(front: SocketAddr) -> Micros {
+/// Sends the health check `alive` as the platform does until the answer is true, and returns the time of
+/// that.
+async fn wait_until_ready(front: SocketAddr) -> Micros {
     let mut frame = vec![0x94, 0x00, 0x07];
     put_text(&mut frame, "alive");
     frame.extend([0x91, 0x80]);
-    let ask = async || {
+    let check_alive = async || {
         let mut s = Async::<TcpStream>::connect(front).await?;
-        let mut said = [0; 11];
+        let mut answer = [0; 11];
         s.write_all(&frame).await?;
-        s.read_exact(&mut said).await?;
-        Ok::<_, std::io::Error>(said[9] == 0xc3)
+        s.read_exact(&mut answer).await?;
+        Ok::<_, std::io::Error>(answer[9] == 0xc3)
     };
-    while !ask().await.unwrap_or(false) {
-        sleep_until(now() + S / 10).await;
+    while !check_alive().await.unwrap_or(false) {
+        sleep_until(now() + SECOND / 10).await;
     }
     now()
 }
 
-/// Nine in ten are ready within 10 s, whether they are given a list at the start or have to wait for one.
+/// Nine processes in ten are ready in time: within 3 s where their configuration has a member list, and
+/// within 10 s where they have to wait for one.
 #[rstest]
-#[case::with_a_list(true, 3 * S)]
-#[case::with_none(false, 10 * S)]
-fn thirty_restarts_together(#[case] known: bool, #[case] within: Micros) {
-    // One after the other: the machine is shared.
-    static ALONE: Mutex<()> = Mutex::new(());
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+#[case::with_a_list(true, 3 * SECOND)]
+#[case::with_none(false, 10 * SECOND)]
+fn thirty_restarts_together(#[case] with_list: bool, #[case] time_limit: Micros) {
+    // The cases run one after the other, as they share the machine and would slow each other down.
+    static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     run(|ex| async move {
-        let (l, at) = listen();
+        let (listener, at) = listen();
         let fronts = free_addresses(PROCESSES);
-        let one = server_entry("s-0", fronts[0], "std", "active", 0);
-        let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{one}]}}}}"#);
-        let calls = Rc::new(RefCell::new(0));
-        ex.spawn(slow_bulletin(ex, l, event, calls.clone())).detach();
+        let entry = server_entry("s-0", fronts[0], "std", "active", 0);
+        let event = format!(r#"{{"no":1,"roster":{{"version":1,"full":true,"servers":[{entry}]}}}}"#);
+        let connections = Rc::new(RefCell::new(0));
+        ex.spawn(serve_discovery_slowly(ex, listener, event, connections.clone())).detach();
         let folder = tempfile::tempdir().unwrap();
-        let (begun, times) = (now(), Rc::new(RefCell::new(Vec::new())));
+        let (started_at, ready_after) = (now(), Rc::new(RefCell::new(Vec::new())));
         let start = |(i, front): (usize, &SocketAddr)| {
-            let mut v: serde_json::Value =
-                serde_json::from_str(&configuration(*front, at, std::slice::from_ref(&one))).unwrap();
-            v["seed"] = format!("{i:016x}").into();
-            if !known {
-                v["known"] = serde_json::json!({ "no": 0, "items": [] });
+            let mut config: serde_json::Value =
+                serde_json::from_str(&configuration(*front, at, std::slice::from_ref(&entry))).unwrap();
+            config["seed"] = format!("{i:016x}").into();
+            if !with_list {
+                config["known"] = serde_json::json!({ "no": 0, "items": [] });
             }
             let path = folder.path().join(format!("{i}.json"));
-            std::fs::write(&path, v.to_string()).unwrap();
-            let p = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).spawn().unwrap();
-            let (times, front) = (times.clone(), *front);
+            std::fs::write(&path, config.to_string()).unwrap();
+            let process =
+                Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).spawn().unwrap();
+            let (ready_after, front) = (ready_after.clone(), *front);
             ex.spawn(async move {
-                let at = ready(front).await;
-                times.borrow_mut().push(at - begun);
+                let at = wait_until_ready(front).await;
+                ready_after.borrow_mut().push(at - started_at);
             })
             .detach();
-            p
+            process
         };
         let processes: Vec<Process> = fronts.iter().enumerate().map(start).collect();
-        while times.borrow().len() < PROCESSES && now() < begun + within {
-            sleep_until(now() + S / 50).await;
+        while ready_after.borrow().len() < PROCESSES && now() < started_at + time_limit {
+            sleep_until(now() + SECOND / 50).await;
         }
-        let at = times.borrow().iter().map(|t| format!("{:.2}", *t as f64 / 1e6)).collect::<Vec<_>>();
-        println!("ready after s: {} ({} calls taken)", at.join(" "), calls.borrow());
-        assert!(processes.iter().all(|p| p.ended().is_none()));
-        assert!(at.len() >= PROCESSES * 9 / 10, "{} of {PROCESSES} ready within {within} us", at.len());
+        let seconds =
+            ready_after.borrow().iter().map(|t| format!("{:.2}", *t as f64 / 1e6)).collect::<Vec<_>>();
+        println!("ready after s: {} ({} discovery connections)", seconds.join(" "), connections.borrow());
+        assert!(processes.iter().all(|process| process.ended().is_none()));
+        assert!(
+            seconds.len() >= PROCESSES * 9 / 10,
+            "{} of {PROCESSES} ready within {time_limit} us",
+            seconds.len()
+        );
     });
 }
