--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -209,7 +209,7 @@
 #[case::makes_room_later(false)]
 fn a_connection_that_is_never_established(#[case] moved: bool) {
     run(|ex| async move {
-        let listener = listener_with_full_backlog();
+        let listener = listener_with_backlog_of_one();
         let at = listener.local_addr().unwrap();
         let full = TcpStream::connect(at).unwrap();
         let (requests, other_server) =
@@ -220,7 +220,7 @@
         if moved {
             assert!(reload_with_discovery_at(&testbed.node, other_server).contains("moved to"));
         } else {
-            wait_until("given up", || count(&testbed, Counter::DiscoveryLosses) > 0).await;
+            wait_until("the connection is given up", || count(&testbed, Counter::DiscoveryLosses) > 0).await;
             drop(full);
             let requests = run_script(
                 ex,
@@ -237,7 +237,7 @@
 }
 
 /// Returns a listener whose backlog holds a single waiting connection.
-fn listener_with_full_backlog() -> TcpListener {
+fn listener_with_backlog_of_one() -> TcpListener {
     use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
     let s = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&s, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
@@ -306,7 +306,7 @@
         };
         let (requests, at) = start_scripted(ex, vec![script(&gates[0]), script(&gates[1])]);
         let testbed = start_testbed_at(ex, 1, at).await;
-        wait_until("the second call", || requests.borrow().len() == 2).await;
+        wait_until("the second request", || requests.borrow().len() == 2).await;
         gates[first][0].notify();
         wait_for_event(&testbed, 1).await;
         gates[1 - first].iter().for_each(|g| g.notify());
@@ -339,10 +339,10 @@
         match variant {
             0 => {}
             1 => wait_until("the other", || !other_server.borrow().is_empty()).await,
-            _ => wait_until("some tries", || count(&testbed, Counter::DiscoveryLosses) >= 4).await,
+            _ => wait_until("some attempts", || count(&testbed, Counter::DiscoveryLosses) >= 4).await,
         }
-        let (elapsed, tries) = (now() - started_at, count(&testbed, Counter::DiscoveryLosses));
-        assert!(tries <= 2 + elapsed / 50_000, "{tries} tries in {elapsed} us");
+        let (elapsed, attempts) = (now() - started_at, count(&testbed, Counter::DiscoveryLosses));
+        assert!(attempts <= 2 + elapsed / 50_000, "{attempts} attempts in {elapsed} us");
         reload_with_discovery_at(&testbed.node, at);
         more.notify();
         wait_for_event(&testbed, 2).await;
@@ -373,7 +373,7 @@
             sleep_until(now() + 5_000).await;
         }
         let requests = a.borrow().len() + b.borrow().len();
-        assert!((4..=21).contains(&requests), "{requests} calls in a second");
+        assert!((4..=21).contains(&requests), "{requests} requests in a second");
     });
 }
 
@@ -530,8 +530,8 @@
 fn a_list_removes_a_server_with_an_attempt_in_flight(#[case] variant: &str) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let (at, other_server) = (testbed.caches[0].addr, start_cache(ex));
-        *other_server.behavior.borrow_mut() =
+        let (at, other_cache) = (testbed.caches[0].addr, start_cache(ex));
+        *other_cache.behavior.borrow_mut() =
             CacheBehavior::Answer("served", "version=bb,stamp=1,detail=HIT", b"other".to_vec());
         let mut c = Client::connect(testbed.front).await;
         c.send(&request(1, "media", &[("ttl", "5900")])).await;
@@ -539,7 +539,7 @@
         let call = testbed.received_requests()[0][1].clone();
         for part in variant.split(';') {
             let one = |word: &str| match word {
-                "whole" => server_entry("s-9", other_server.addr, "std", "active", 0),
+                "whole" => server_entry("s-9", other_cache.addr, "std", "active", 0),
                 "new" => server_entry("s-9", at, "std", "active", 1),
                 "again" => server_entry("s-0", at, "std", "active", 1),
                 word => server_entry("s-0", at, "std", word, 0),
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -1,5 +1,6 @@
-//! Where two events cross on the way to the caches: connections that end, come up late or say too much, against attempts
-//! that are written, withdrawn, out of date or repeated. Each bad order is forced by a stand-in that acts step by step.
+//! Races on the connections to the caches: connections that end, are established late or bring unrequested
+//! bytes, while attempts are written, withdrawn, outdated or retried. A stand-in cache that acts step by step
+//! forces each bad order.
 mod common;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -21,56 +22,60 @@
     Progress, Report, UnixTime,
 };
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
-/// A cache that does only what the test says, a step at a time.
-struct Hand {
-    l: Async<TcpListener>,
+/// A stand-in cache that does only what the test says, a step at a time.
+struct ManualCache {
+    listener: Async<TcpListener>,
     at: SocketAddr,
 }
 
-/// One connection of the proxy, at the cache's end.
-struct Line {
-    s: Async<TcpStream>,
+/// One connection of the proxy, on the cache's side.
+struct ProxyConnection {
+    stream: Async<TcpStream>,
     buf: Vec<u8>,
 }
 
-impl Hand {
-    fn new() -> Hand {
-        let l = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
-        let at = l.get_ref().local_addr().unwrap();
-        Hand { l, at }
+impl ManualCache {
+    fn new() -> ManualCache {
+        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+        let at = listener.get_ref().local_addr().unwrap();
+        ManualCache { listener, at }
     }
-    /// One at which no connection comes up until [`Hand::open`]: its queue is full.
-    fn shut() -> (Hand, TcpStream) {
+    /// Returns a cache at which no connection is established until [`ManualCache::make_room`], as its listen
+    /// backlog is full. The stream is what fills the backlog.
+    fn with_full_backlog() -> (ManualCache, TcpStream) {
         let s = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
         rustix::net::bind(&s, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         rustix::net::listen(&s, 0).unwrap();
-        let l = TcpListener::from(s);
-        let at = l.local_addr().unwrap();
-        (Hand { l: Async::new(l).unwrap(), at }, TcpStream::connect(at).unwrap())
+        let listener = TcpListener::from(s);
+        let at = listener.local_addr().unwrap();
+        (ManualCache { listener: Async::new(listener).unwrap(), at }, TcpStream::connect(at).unwrap())
     }
-    /// Takes what filled the queue; the next one asks again after a second or three.
-    async fn open(&self) {
-        drop(self.line().await);
+    /// Accepts the connection that filled the backlog. The system retries a waiting connection one to three
+    /// seconds later.
+    async fn make_room(&self) {
+        drop(self.accept().await);
     }
-    async fn line(&self) -> Line {
-        let late = async { (sleep_until(now() + 10_000 * MS).await, None).1 };
-        let (s, _) = async { self.l.accept().await.ok() }.or(late).await.expect("a connection");
-        Line { s, buf: Vec::new() }
+    async fn accept(&self) -> ProxyConnection {
+        let timeout = async { (sleep_until(now() + 10_000 * MILLISECOND).await, None).1 };
+        let (stream, _) =
+            async { self.listener.accept().await.ok() }.or(timeout).await.expect("a connection");
+        ProxyConnection { stream, buf: Vec::new() }
     }
 }
 
-impl Line {
-    /// Waits, without letting the proxy run, until the system has acknowledged the end of what is written here: only then
-    /// does the proxy's next look at the connection show it. The states are those of `/proc/net/tcp`.
-    fn end_has_arrived(&self) {
+impl ProxyConnection {
+    /// Waits, without letting the proxy run, until the system has acknowledged the end of the stream sent
+    /// here: only then does the proxy see it when it next checks the connection. The states are those of
+    /// `/proc/net/tcp`.
+    fn block_until_end_has_arrived(&self) {
         const FIN_WAIT_1: &str = "04";
         const ESTABLISHED: &str = "01";
         let port = |at: SocketAddr| format!(":{:04X}", at.port());
-        let local = port(self.s.get_ref().local_addr().unwrap());
-        let remote = port(self.s.get_ref().peer_addr().unwrap());
-        let on_its_way = || {
+        let local = port(self.stream.get_ref().local_addr().unwrap());
+        let remote = port(self.stream.get_ref().peer_addr().unwrap());
+        let end_in_transit = || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             table.lines().any(|row| {
                 let cells: Vec<&str> = row.split_whitespace().collect();
@@ -79,14 +84,14 @@
                 ends(1, &local) && ends(2, &remote) && [Some(FIN_WAIT_1), Some(ESTABLISHED)].contains(&state)
             })
         };
-        let end = now() + 10_000 * MS;
-        while on_its_way() {
-            assert!(now() < end, "the end never arrived");
+        let end = now() + 10_000 * MILLISECOND;
+        while end_in_transit() {
+            assert!(now() < end, "the end of the stream never arrived");
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
     }
 
-    /// The next command, as texts; nothing at the end.
+    /// Returns the next command as its parts, or `None` at the end of the stream.
     async fn next(&mut self) -> Option<Vec<String>> {
         loop {
             if let Some((parts, used)) = wire::parse_resp(&self.buf).unwrap() {
@@ -95,28 +100,34 @@
                 return Some(parts);
             }
             let mut chunk = [0u8; 4096];
-            let n = (&self.s).read(&mut chunk).await.unwrap_or(0);
+            let n = (&self.stream).read(&mut chunk).await.unwrap_or(0);
             if n == 0 {
                 return None;
             }
             self.buf.extend_from_slice(&chunk[..n]);
         }
     }
-    async fn say(&self, call: &str, word: &str, fields: &str, body: &[u8]) {
-        let answer = [call.as_bytes(), word.as_bytes(), fields.as_bytes(), body];
-        (&self.s).write_all(&wire::encode_resp(&answer)).await.unwrap();
+    async fn answer_with(&self, call_id: &str, word: &str, fields: &str, body: &[u8]) {
+        let answer = [call_id.as_bytes(), word.as_bytes(), fields.as_bytes(), body];
+        (&self.stream).write_all(&wire::encode_resp(&answer)).await.unwrap();
     }
-    async fn serve(&self, call: &str, body: &[u8]) {
-        self.say(call, "served", "version=ab,stamp=1,detail=HIT", body).await;
+    async fn serve(&self, call_id: &str, body: &[u8]) {
+        self.answer_with(call_id, "served", "version=ab,stamp=1,detail=HIT", body).await;
     }
-    /// What has come and was not asked for, at this moment.
-    fn waiting(&self) -> usize {
-        self.s.get_ref().peek(&mut [0; 4096]).unwrap_or(0) + self.buf.len()
+    /// Returns how many bytes have come and were not read as commands yet.
+    fn unread_bytes(&self) -> usize {
+        self.stream.get_ref().peek(&mut [0; 4096]).unwrap_or(0) + self.buf.len()
     }
 }
 
-/// A node before these caches, with values changed in its settings. `booking` is keyed: window and deadline 2 s.
-async fn before(ex: &'static LocalExecutor<'static>, caches: &[&Hand], more: &[(&str, Value)]) -> Testbed {
+/// Starts a node in front of these caches, with some values of its configuration changed (JSON pointer and
+/// value). The class `booking` has idempotency keys, with a window of 2 s, which is also how long a
+/// client waits unless a test says otherwise.
+async fn start_testbed_before(
+    ex: &'static LocalExecutor<'static>,
+    caches: &[&ManualCache],
+    more: &[(&str, Value)],
+) -> Testbed {
     let servers: Vec<Value> = caches
         .iter()
         .enumerate()
@@ -140,8 +151,8 @@
     .await
 }
 
-fn count(w: &Testbed, c: Counter) -> u64 {
-    w.node.plan(|p, _| p.counters.get(c))
+fn count(testbed: &Testbed, c: Counter) -> u64 {
+    testbed.node.plan(|p, _| p.counters.get(c))
 }
 
 fn cancel(id: u32) -> Vec<u8> {
@@ -152,45 +163,51 @@
     out
 }
 
-fn call(id: u32) -> String {
+fn call_id(id: u32) -> String {
     format!("{id:016x}")
 }
 
-/// A connection that rested and ends, or says what nobody asked, just as it is taken for the next request: that goes out
-/// once, on another connection, and what was said is not believed. The executor has no turn between the two.
+/// An idle connection ends, or brings bytes that were not requested, just as it is taken for the next
+/// request. The request is sent once, on another connection, and those bytes are not taken as its answer. The
+/// executor does not run between the two events.
 #[rstest]
 #[case::closed(None)]
 #[case::half_a_line(Some("*4\r\n$16\r\n00"))]
 #[case::half_an_answer_to_it(Some("*4\r\n$16\r\n0000000000000002\r\n$6\r\nserved\r\n"))]
 #[case::an_answer_to_it(Some("*4\r\n$16\r\n0000000000000002\r\n$8\r\nnot_here\r\n$1\r\n-\r\n$0\r\n\r\n"))]
-fn a_resting_connection_that_ends_or_speaks_as_it_is_taken(#[case] said: Option<&str>) {
+fn an_idle_connection_that_ends_or_brings_bytes_as_it_is_taken(#[case] said: Option<&str>) {
     run(|ex| async move {
-        let h = Hand::new();
-        let w = before(ex, &[&h], &[]).await;
-        let mut c = Client::connect(w.front).await;
+        let cache = ManualCache::new();
+        let testbed = start_testbed_before(ex, &[&cache], &[]).await;
+        let mut c = Client::connect(testbed.front).await;
         c.send(&request(1, "booking", &[("dedupe", "k")])).await;
-        let mut first = h.line().await;
-        assert_eq!(first.next().await.unwrap()[1], call(1));
-        first.serve(&call(1), b"one").await;
+        let mut first = cache.accept().await;
+        assert_eq!(first.next().await.unwrap()[1], call_id(1));
+        first.serve(&call_id(1), b"one").await;
         assert_eq!(c.answer().await, Some((1, None, b"one".to_vec())));
         match said {
-            // Blocking calls: nothing of the proxy runs before both stand in its sockets.
-            Some(text) => drop(std::io::Write::write_all(&mut first.s.get_ref(), text.as_bytes())),
-            None => first.s.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
+            // Blocking calls: the proxy does not run before both are in its sockets.
+            Some(text) => drop(std::io::Write::write_all(&mut first.stream.get_ref(), text.as_bytes())),
+            None => first.stream.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
         }
         std::io::Write::write_all(&mut c.stream.get_ref(), &request(2, "booking", &[("dedupe", "l")]))
             .unwrap();
         std::thread::sleep(std::time::Duration::from_millis(20));
-        let mut second = h.line().await;
-        assert_eq!(second.next().await.unwrap()[1], call(2));
-        assert_eq!(first.waiting(), 0, "written on the connection that had ended or spoken");
-        second.serve(&call(2), b"two").await;
+        let mut second = cache.accept().await;
+        assert_eq!(second.next().await.unwrap()[1], call_id(2));
+        assert_eq!(
+            first.unread_bytes(),
+            0,
+            "written on the connection that had ended or brought unrequested bytes"
+        );
+        second.serve(&call_id(2), b"two").await;
         assert_eq!(c.answer().await, Some((2, None, b"two".to_vec())));
-        assert_eq!((count(&w, Counter::Sent), count(&w, Counter::EndMiss)), (2, 0));
+        assert_eq!((count(&testbed, Counter::Sent), count(&testbed, Counter::EndMiss)), (2, 0));
     });
 }
 
-/// A connection comes up after what waited for it is over or must not go any more: nothing of it is written.
+/// A connection is established after the attempt that waited for it has ended or must not be sent any more:
+/// nothing of the attempt is written.
 #[rstest]
 #[case::client_closed("close")]
 #[case::client_reset("reset")]
@@ -199,97 +216,107 @@
 #[case::gone("left")]
 #[case::replaced("replaced")]
 #[case::started_anew("anew")]
-fn a_dial_that_comes_up_too_late(#[case] how: &'static str) {
+fn a_connection_that_is_established_too_late(#[case] variant: &'static str) {
     run(|ex| async move {
-        let (h, full) = Hand::shut();
-        let w = before(ex, &[&h], &[]).await;
-        let mut c = Some(Client::connect(w.front).await);
+        let (cache, backlog_filler) = ManualCache::with_full_backlog();
+        let testbed = start_testbed_before(ex, &[&cache], &[]).await;
+        let mut c = Some(Client::connect(testbed.front).await);
         c.as_ref().unwrap().send(&request(1, "media", &[("ttl", "6000")])).await;
-        wait_until("the attempt", || count(&w, Counter::Sent) == 1).await;
-        let told = |state, started| server_entry("c-0", h.at, "std", state, started);
+        wait_until("the attempt", || count(&testbed, Counter::Sent) == 1).await;
+        let list_entry = |state, started| server_entry("c-0", cache.at, "std", state, started);
         let list = |s: String| format!(r#""roster":{{"version":2,"full":false,"servers":[{s}]}}"#);
-        match how {
+        match variant {
             "close" => c = None,
             "reset" => {
                 let c = c.take().unwrap();
                 sockopt::set_socket_linger(c.stream.get_ref(), Some(std::time::Duration::ZERO)).unwrap();
             }
             "cancel" => c.as_ref().unwrap().send(&cancel(1)).await,
-            "anew" => w.publish_event(&list(told("active", unix_ms()))).await,
-            "replaced" => w.publish_event(&list(server_entry("c-9", h.at, "std", "active", unix_ms()))).await,
-            state => w.publish_event(&list(told(state, 0))).await,
+            "anew" => testbed.publish_event(&list(list_entry("active", unix_ms()))).await,
+            "replaced" => {
+                testbed.publish_event(&list(server_entry("c-9", cache.at, "std", "active", unix_ms()))).await
+            }
+            state => testbed.publish_event(&list(list_entry(state, 0))).await,
         }
-        let left = matches!(how, "close" | "reset" | "cancel");
-        wait_until("what ended it", || !left || count(&w, Counter::Left) == 1).await;
-        h.open().await;
-        drop(full);
-        let mut line = h.line().await;
-        if left {
-            // Another request shows that the writer has had its turn.
-            let other = Client::connect(w.front).await;
+        let client_left = matches!(variant, "close" | "reset" | "cancel");
+        wait_until("what ended it", || !client_left || count(&testbed, Counter::Left) == 1).await;
+        cache.make_room().await;
+        drop(backlog_filler);
+        let mut connection = cache.accept().await;
+        if client_left {
+            // Another request shows that the writer has run.
+            let other = Client::connect(testbed.front).await;
             other.send(&request(2, "media", &[("row", "0000000000000abc")])).await;
-            assert_eq!(line.next().await.unwrap()[1], call(2), "the one that was given up was written");
-        } else if how == "leaving" {
+            assert_eq!(
+                connection.next().await.unwrap()[1],
+                call_id(2),
+                "the request that was given up was written"
+            );
+        } else if variant == "leaving" {
             assert_eq!(c.unwrap().answer().await.unwrap().1.as_deref(), Some("Full"));
-            assert_eq!(line.waiting(), 0, "written to a server that drains");
+            assert_eq!(connection.unread_bytes(), 0, "written to a server that drains");
         } else {
-            assert_eq!(line.next().await, None, "written to the server that is there now");
+            assert_eq!(connection.next().await, None, "written to the server that is there now");
         }
     });
 }
 
-/// A repeat of a keyed request was decided within its window and waits for a connection past the end of that: its first
-/// byte does not leave; where the connection comes up in time it does.
+/// The retry of a request with an idempotency key is decided within the dedup window and then waits for a
+/// connection. Its first byte is sent where the connection is established within the window, and not after
+/// the window has ended.
 #[rstest]
 #[case::past_the_window(300_000, false)]
 #[case::within_it(5_900_000, true)]
-fn a_keyed_repeat_leaves_within_its_window(#[case] window: Micros, #[case] leaves: bool) {
+fn a_retry_with_a_key_is_sent_within_its_window(#[case] window: Micros, #[case] is_sent: bool) {
     run(|ex| async move {
-        let (h, (late, full)) = (Hand::new(), Hand::shut());
+        let (cache, (slow_cache, backlog_filler)) = (ManualCache::new(), ManualCache::with_full_backlog());
         let window = json!(window);
-        let w = before(ex, &[&h, &late], &[("/settings/classes/1/dedup_window", window)]).await;
-        let mut c = Client::connect(w.front).await;
-        // An object whose first cache is the one that answers.
+        let testbed =
+            start_testbed_before(ex, &[&cache, &slow_cache], &[("/settings/classes/1/dedup_window", window)])
+                .await;
+        let mut c = Client::connect(testbed.front).await;
+        // Finds an object whose first cache is the one that answers.
         let mut id = 0;
-        let mut line = loop {
+        let mut connection = loop {
             id += 1;
             let row = format!("{id:016x}");
             let more = [("dedupe", "k"), ("row", row.as_str()), ("ttl", "4000")];
             c.send(&request(id, "booking", &more)).await;
-            wait_until("the attempt", || count(&w, Counter::Sent) == u64::from(id)).await;
-            let got = async { Some(h.line().await) };
-            let other = async { (sleep_until(now() + 30 * MS).await, None).1 };
-            match got.or(other).await {
-                Some(line) => break line,
+            wait_until("the attempt", || count(&testbed, Counter::Sent) == u64::from(id)).await;
+            let accepted = async { Some(cache.accept().await) };
+            let other = async { (sleep_until(now() + 30 * MILLISECOND).await, None).1 };
+            match accepted.or(other).await {
+                Some(connection) => break connection,
                 None => c.send(&cancel(id)).await,
             }
         };
-        assert_eq!(line.next().await.unwrap()[1], call(id));
-        line.say(&call(id), "crashed", "-", b"").await;
-        wait_until("the repeat is decided", || count(&w, Counter::Sent) == u64::from(id) + 1).await;
-        late.open().await;
-        drop(full);
-        let mut second = late.line().await;
-        if leaves {
-            assert_eq!(second.next().await.unwrap()[1], call(id));
-            second.serve(&call(id), b"once").await;
+        assert_eq!(connection.next().await.unwrap()[1], call_id(id));
+        connection.answer_with(&call_id(id), "crashed", "-", b"").await;
+        wait_until("the retry is decided", || count(&testbed, Counter::Sent) == u64::from(id) + 1).await;
+        slow_cache.make_room().await;
+        drop(backlog_filler);
+        let mut second = slow_cache.accept().await;
+        if is_sent {
+            assert_eq!(second.next().await.unwrap()[1], call_id(id));
+            second.serve(&call_id(id), b"once").await;
             assert_eq!(c.answer().await, Some((id, None, b"once".to_vec())));
         } else {
             let (_, word, _) = c.answer().await.unwrap();
             assert!(word.is_some());
-            assert_eq!(second.waiting(), 0, "written past its window");
+            assert_eq!(second.unread_bytes(), 0, "written after its dedup window");
         }
     });
 }
 
-/// A pool that is played by itself, before one cache: what it reports, and how many list changes it takes to be told.
-struct Alone {
+/// The owner of a pool that is tested by itself with one cache. Records what the pool reports, and gives it
+/// the epoch of the member list.
+struct RecordingOwner {
     ex: &'static LocalExecutor<'static>,
     ends: RefCell<Vec<(u64, u16, AttemptEnd)>>,
     epoch: Cell<u64>,
 }
 
-impl PoolOwner for Alone {
+impl PoolOwner for RecordingOwner {
     fn spawn_task(self: Rc<Self>, _: &'static str, task: Pin<Box<dyn Future<Output = ()>>>) {
         self.ex.spawn(task).detach();
     }
@@ -306,35 +333,40 @@
     fn report_probe_end(&self, _: Addr, _: Outcome, _: Report) {}
 }
 
-fn pool(ex: &'static LocalExecutor<'static>, h: &Hand) -> (Rc<Alone>, Rc<dyn PoolOwner>, PoolTransport) {
+fn pool(
+    ex: &'static LocalExecutor<'static>,
+    cache: &ManualCache,
+) -> (Rc<RecordingOwner>, Rc<dyn PoolOwner>, PoolTransport) {
     let names = config::Names {
         classes: vec!["booking".into()],
-        connect: 1_000 * MS,
-        keepalive: 30_000 * MS,
-        grace: 300 * MS,
+        connect: 1_000 * MILLISECOND,
+        keepalive: 30_000 * MILLISECOND,
+        grace: 300 * MILLISECOND,
         streams: 10_000,
         ..config::Names::default()
     };
-    let (pool, alone) =
-        (CachePool::new(names, 1024), Rc::new(Alone { ex, ends: RefCell::default(), epoch: Cell::new(0) }));
-    let home: Rc<dyn PoolOwner> = alone.clone();
-    pool.set_owner(&home);
+    let (pool, owner) = (
+        CachePool::new(names, 1024),
+        Rc::new(RecordingOwner { ex, ends: RefCell::default(), epoch: Cell::new(0) }),
+    );
+    let pool_owner: Rc<dyn PoolOwner> = owner.clone();
+    pool.set_owner(&pool_owner);
     let entry = Entry { addr: config::stand_in("c-0"), ..Entry::default() };
     let started = UnixTime::default();
     let listed = config::ListedServer {
         id: "c-0".into(),
-        socket_addr: h.at,
+        socket_addr: cache.at,
         entry,
         started_at: started,
         lifted_at: None,
     };
     pool.update_listed(ListForm::Full, &[listed]);
-    (alone, home, PoolTransport(pool))
+    (owner, pool_owner, PoolTransport(pool))
 }
 
-fn attempt(request: u64, attempt: u16, body: usize, id_once: bool) -> Dispatch {
-    let ask = ClientRequest {
-        call_id: call(request as u32).into(),
+fn attempt(request: u64, attempt: u16, body: usize, exclusive: bool) -> Dispatch {
+    let client_request = ClientRequest {
+        call_id: call_id(request as u32).into(),
         object_name: OBJECT.into(),
         body: vec![7; body],
         ..ClientRequest::default()
@@ -350,141 +382,146 @@
         only_held: false,
         parent_keeps_none: false,
         refresh_in_background: false,
-        expires_at: now() + 4_000 * MS,
+        expires_at: now() + 4_000 * MILLISECOND,
         send_by: Micros::MAX,
-        exclusive_connection: id_once,
+        exclusive_connection: exclusive,
         decided_at: now(),
         epoch: 0,
-        client_request: Rc::new(ask),
+        client_request: Rc::new(client_request),
     }
 }
 
-/// Attempts wait behind others on a connection that takes no more bytes, and are withdrawn or fall out of date before the
-/// cache reads on: what was half written is finished, nothing else begins, and only what had begun is called off.
+/// Attempts wait behind others on a connection that takes no more bytes, and are withdrawn or become outdated
+/// before the cache reads on. An attempt that was half written is finished, no other is begun, and a cancel
+/// is sent only for those that had been begun.
 #[rstest]
 #[case::withdrawn(true)]
-#[case::a_list_was_told(false)]
-fn what_waits_for_a_full_connection(#[case] withdrawn: bool) {
+#[case::the_list_changed(false)]
+fn attempts_that_wait_for_a_full_connection(#[case] withdrawn: bool) {
     const LAST: u64 = 5_000;
     run(|ex| async move {
-        let h = Hand::new();
-        sockopt::set_socket_recv_buffer_size(h.l.get_ref(), 4096).unwrap();
-        let (alone, _home, mut way) = pool(ex, &h);
-        way.send(attempt(1, 0, 0, false));
-        let mut line = h.line().await;
-        assert_eq!(line.next().await.unwrap()[1], call(1));
-        // No further connection comes up, which some find out; all that follows is packed onto the one, until it takes no
-        // more. Small ones: it is full at the end of one, and of the next no byte has left.
-        drop(h);
-        (2..20).for_each(|n| way.send(attempt(n, 0, 2_000, false)));
-        sleep_until(now() + 200 * MS).await;
-        (20..LAST).for_each(|n| way.send(attempt(n, 0, 2_000, false)));
-        sleep_until(now() + 300 * MS).await;
-        let mut begun = 0;
+        let cache = ManualCache::new();
+        sockopt::set_socket_recv_buffer_size(cache.listener.get_ref(), 4096).unwrap();
+        let (owner, _pool_owner, mut transport) = pool(ex, &cache);
+        transport.send(attempt(1, 0, 0, false));
+        let mut connection = cache.accept().await;
+        assert_eq!(connection.next().await.unwrap()[1], call_id(1));
+        // No further connection can be established, and the first attempts fail to open one. All later ones
+        // are queued on the single connection until it takes no more bytes. The attempts are small, so that
+        // the connection is full at the end of one and no byte of the next has been written.
+        drop(cache);
+        (2..20).for_each(|n| transport.send(attempt(n, 0, 2_000, false)));
+        sleep_until(now() + 200 * MILLISECOND).await;
+        (20..LAST).for_each(|n| transport.send(attempt(n, 0, 2_000, false)));
+        sleep_until(now() + 300 * MILLISECOND).await;
+        let mut started_count = 0;
         if withdrawn {
-            begun = (2..LAST).filter(|n| way.withdraw(*n, 0)).count();
-            assert!(begun > 0 && begun < LAST as usize - 2, "{begun} had begun");
+            started_count = (2..LAST).filter(|n| transport.withdraw(*n, 0)).count();
+            assert!(started_count > 0 && started_count < LAST as usize - 2, "{started_count} were begun");
         } else {
-            alone.epoch.set(1);
+            owner.epoch.set(1);
         }
-        let (mut served, mut off) = (0, 0);
+        let (mut served, mut cancelled) = (0, 0);
         loop {
-            let next = async { line.next().await };
-            let quiet = async { (sleep_until(now() + 500 * MS).await, None).1 };
+            let next = async { connection.next().await };
+            let quiet = async { (sleep_until(now() + 500 * MILLISECOND).await, None).1 };
             let Some(parts) = next.or(quiet).await else { break };
             served += usize::from(parts[0] == "serve");
-            off += usize::from(parts[0] == "cancel");
+            cancelled += usize::from(parts[0] == "cancel");
         }
-        let ended = |of: &AttemptEnd| alone.ends.borrow().iter().filter(|e| e.2 == *of).count();
-        let (stale, refused) =
+        let ended = |of: &AttemptEnd| owner.ends.borrow().iter().filter(|e| e.2 == *of).count();
+        let (outdated, refused) =
             (ended(&AttemptEnd::Outdated), ended(&AttemptEnd::ConnectionFailed(Progress::NotConnected)));
         if withdrawn {
-            assert_eq!((served, off, stale), (begun, begun, 0));
+            assert_eq!((served, cancelled, outdated), (started_count, started_count, 0));
         } else {
-            assert_eq!((served + stale + refused, off), (LAST as usize - 2, 0));
-            assert!(served > 0 && stale > 0, "{served} were written, {stale} not");
+            assert_eq!((served + outdated + refused, cancelled), (LAST as usize - 2, 0));
+            assert!(served > 0 && outdated > 0, "{served} were written, {outdated} not");
         }
     });
 }
 
-/// A second answer to the first attempt comes when a second one is out at the same cache. Where that may not run twice it
-/// is on a connection of its own, and the second answer proves nothing of it; else one connection carries both.
+/// A second answer to the first attempt arrives while a second attempt is in flight at the same cache. Where
+/// the request may not run twice, the second attempt has a connection of its own and that answer is not taken
+/// for its answer. Otherwise one connection carries both attempts.
 #[rstest]
 #[case::must_not_run_twice(true)]
 #[case::may(false)]
-fn a_second_answer_against_a_later_attempt(#[case] id_once: bool) {
+fn a_second_answer_during_a_later_attempt(#[case] exclusive: bool) {
     run(|ex| async move {
-        let h = Hand::new();
-        let (alone, _home, mut way) = pool(ex, &h);
-        way.send(attempt(1, 0, 0, id_once));
-        let mut first = h.line().await;
-        assert_eq!(first.next().await.unwrap()[1], call(1));
-        first.say(&call(1), "not_here", "-", b"").await;
-        wait_until("the first end", || alone.ends.borrow().len() == 1).await;
-        way.send(attempt(1, 1, 0, id_once));
-        if id_once {
-            let mut second = h.line().await;
-            assert_eq!(second.next().await.unwrap()[1], call(1));
-            first.say(&call(1), "not_here", "-", b"").await;
-            assert_eq!(first.next().await, None, "what speaks unasked is not used again");
-            second.serve(&call(1), b"own").await;
+        let cache = ManualCache::new();
+        let (owner, _pool_owner, mut transport) = pool(ex, &cache);
+        transport.send(attempt(1, 0, 0, exclusive));
+        let mut first = cache.accept().await;
+        assert_eq!(first.next().await.unwrap()[1], call_id(1));
+        first.answer_with(&call_id(1), "not_here", "-", b"").await;
+        wait_until("the first end", || owner.ends.borrow().len() == 1).await;
+        transport.send(attempt(1, 1, 0, exclusive));
+        if exclusive {
+            let mut second = cache.accept().await;
+            assert_eq!(second.next().await.unwrap()[1], call_id(1));
+            first.answer_with(&call_id(1), "not_here", "-", b"").await;
+            assert_eq!(first.next().await, None, "a connection with an unrequested answer was kept");
+            second.serve(&call_id(1), b"own").await;
         } else {
-            assert_eq!(first.next().await.unwrap()[1], call(1));
-            first.serve(&call(1), b"own").await;
+            assert_eq!(first.next().await.unwrap()[1], call_id(1));
+            first.serve(&call_id(1), b"own").await;
         }
-        wait_until("the second end", || alone.ends.borrow().len() == 2).await;
-        let ends = alone.ends.borrow();
+        wait_until("the second end", || owner.ends.borrow().len() == 2).await;
+        let ends = owner.ends.borrow();
         let served = |e: &AttemptEnd| matches!(e, AttemptEnd::Answered(t) if t.outcome == Outcome::Ok);
         assert!(ends[0].1 == 0 && !served(&ends[0].2) && ends[1].1 == 1 && served(&ends[1].2));
     });
 }
 
-/// An answer to what has not yet gone out whole is nobody's: the attempt stays, goes out and has its own.
+/// An answer to an attempt that is not yet written in full belongs to no attempt: the attempt remains, is
+/// written and gets its own answer.
 #[test]
 fn an_answer_before_its_request() {
     run(|ex| async move {
-        let h = Hand::new();
-        let w = before(ex, &[&h], &[]).await;
-        let mut c = Client::connect(w.front).await;
+        let cache = ManualCache::new();
+        let testbed = start_testbed_before(ex, &[&cache], &[]).await;
+        let mut c = Client::connect(testbed.front).await;
         c.send(&request(1, "media", &[])).await;
-        let mut line = h.line().await;
-        assert_eq!(line.next().await.unwrap()[1], call(1));
-        // Two stand in the sockets before the proxy runs: an answer to a request, and that request.
+        let mut connection = cache.accept().await;
+        assert_eq!(connection.next().await.unwrap()[1], call_id(1));
+        // Before the proxy runs, its sockets hold an answer to a request and that request.
         let early: [&[u8]; 4] = [b"0000000000000002", b"not_here", b"-", b""];
-        std::io::Write::write_all(&mut line.s.get_ref(), &wire::encode_resp(&early)).unwrap();
+        std::io::Write::write_all(&mut connection.stream.get_ref(), &wire::encode_resp(&early)).unwrap();
         c.send(&request(2, "media", &[("row", "0000000000000abc")])).await;
         std::thread::sleep(std::time::Duration::from_millis(20));
-        let parts = line.next().await.unwrap();
-        assert_eq!(parts[1], call(2));
-        line.serve(&call(2), b"own").await;
+        let parts = connection.next().await.unwrap();
+        assert_eq!(parts[1], call_id(2));
+        connection.serve(&call_id(2), b"own").await;
         assert_eq!(c.answer().await, Some((2, None, b"own".to_vec())));
-        assert_eq!(count(&w, Counter::EndMiss), 0);
+        assert_eq!(count(&testbed, Counter::EndMiss), 0);
     });
 }
 
-/// A cache answers and resets the connection, with more requests half written on it: the answer that came counts.
+/// A cache answers and then ends the connection, while another request is about to be written on it: the
+/// answer that came is used.
 #[test]
-fn what_was_answered_before_a_reset_is_answered() {
+fn an_answer_before_the_connection_ends_is_used() {
     run(|ex| async move {
-        let h = Hand::new();
-        let w = before(ex, &[&h], &[]).await;
-        let mut c = Client::connect(w.front).await;
+        let cache = ManualCache::new();
+        let testbed = start_testbed_before(ex, &[&cache], &[]).await;
+        let mut c = Client::connect(testbed.front).await;
         c.send(&request(1, "booking", &[("dedupe", "k")])).await;
-        let mut line = h.line().await;
-        assert_eq!(line.next().await.unwrap()[1], call(1));
-        let id = call(1);
+        let mut connection = cache.accept().await;
+        assert_eq!(connection.next().await.unwrap()[1], call_id(1));
+        let id = call_id(1);
         let answer: [&[u8]; 4] = [id.as_bytes(), b"served", b"version=ab,stamp=1,detail=HIT", b"one"];
-        std::io::Write::write_all(&mut line.s.get_ref(), &wire::encode_resp(&answer)).unwrap();
-        line.s.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
-        line.end_has_arrived();
+        std::io::Write::write_all(&mut connection.stream.get_ref(), &wire::encode_resp(&answer)).unwrap();
+        connection.stream.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
+        connection.block_until_end_has_arrived();
         c.send(&request(2, "booking", &[("dedupe", "l")])).await;
         std::thread::sleep(std::time::Duration::from_millis(20));
-        let mut second = h.line().await;
+        let mut second = cache.accept().await;
         let parts = second.next().await.unwrap();
         second.serve(&parts[1], b"two").await;
-        let mut got = vec![c.answer().await.unwrap(), c.answer().await.unwrap()];
-        got.sort();
-        assert_eq!(got, [(1, None, b"one".to_vec()), (2, None, b"two".to_vec())]);
-        assert_eq!(parts[1], call(2), "what was answered was sent again");
+        let mut answers = vec![c.answer().await.unwrap(), c.answer().await.unwrap()];
+        answers.sort();
+        assert_eq!(answers, [(1, None, b"one".to_vec()), (2, None, b"two".to_vec())]);
+        assert_eq!(parts[1], call_id(2), "the answered request was sent again");
     });
 }
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -1,5 +1,6 @@
-//! Where two events of a client's connection cross: its close by either side, its requests and answers, and the end of the
-//! process. What is to meet is written before the node has a turn, or after it has shown that it shut down its side.
+//! Races on a client's connection: its close by either side, its requests and answers, and the shutdown of
+//! the process. The events that have to coincide are written before the node runs, or after the node has shut
+//! down its side.
 mod common;
 use async_io::Async;
 use common::*;
@@ -20,255 +21,283 @@
     out
 }
 
-fn call(id: u32) -> String {
+fn call_id(id: u32) -> String {
     format!("{id:016x}")
 }
 
-/// Writes without giving the node a turn.
-fn at_once(c: &Client, bytes: &[u8]) {
+/// Writes without letting the node run.
+fn write_without_yielding(c: &Client, bytes: &[u8]) {
     assert_eq!(c.stream.get_ref().write(bytes).unwrap(), bytes.len());
 }
 
-/// Reads to the end of the stream, and how much; nothing where it was reset.
-async fn rest(c: &Client) -> Option<usize> {
-    let (mut chunk, mut all) = ([0; 16384], 0);
+/// Reads to the end of the stream and returns the number of bytes, or `None` where the connection was reset.
+async fn bytes_to_end(c: &Client) -> Option<usize> {
+    let (mut chunk, mut crowd_streams) = ([0; 16384], 0);
     loop {
         match (&c.stream).read(&mut chunk).await {
-            Ok(0) => return Some(all),
-            Ok(n) => all += n,
+            Ok(0) => return Some(crowd_streams),
+            Ok(n) => crowd_streams += n,
             Err(_) => return None,
         }
     }
 }
 
+/// Reads to the end of the stream; returns false where the connection was reset.
 async fn ends(c: &Client) -> bool {
-    rest(c).await.is_some()
+    bytes_to_end(c).await.is_some()
 }
 
-/// Ends the connection with a reset.
+/// Closes the connection with a reset.
 fn reset(c: Client) {
     let linger = Some(std::time::Duration::ZERO);
     rustix::net::sockopt::set_socket_linger(&c.stream, linger).unwrap();
 }
 
-/// Why our side closes a connection that was answered.
+/// Why the proxy closes a connection on which a request was answered.
 #[derive(Clone, Copy, PartialEq)]
-enum Why {
+enum CloseReason {
+    /// Another process takes over.
     GivesWay,
+    /// The process shuts down.
     Ends,
+    /// Other clients need the slot.
     Evicted,
 }
 
-impl Why {
-    /// Brings it about before any task has a turn; gives what has to be held meanwhile.
-    fn come(self, w: &Testbed) -> Vec<TcpStream> {
+impl CloseReason {
+    /// Makes the proxy close the connection for this reason, before any task runs. Returns the connections
+    /// that have to stay open meanwhile.
+    fn apply(self, testbed: &Testbed) -> Vec<TcpStream> {
         match self {
-            Why::GivesWay => w.node.give_way(),
-            Why::Ends => {
-                w.node.stopping.set(Some(now() - 950_000));
-                let n = w.node.clone();
-                w.ex.spawn(async move { n.drained().await }).detach();
+            CloseReason::GivesWay => testbed.node.give_way(),
+            CloseReason::Ends => {
+                testbed.node.stopping.set(Some(now() - 950_000));
+                let n = testbed.node.clone();
+                testbed.ex.spawn(async move { n.drained().await }).detach();
+            }
+            CloseReason::Evicted => {
+                return (0..4).map(|_| TcpStream::connect(testbed.front).unwrap()).collect()
             }
-            Why::Evicted => return (0..4).map(|_| TcpStream::connect(w.front).unwrap()).collect(),
         }
         Vec::new()
     }
 }
 
-/// A client that was answered once, in a world with four places.
-async fn answered(ex: &'static async_executor::LocalExecutor<'static>) -> (Testbed, Client) {
-    let w = start_testbed_with_sockets(ex, 1, 8).await;
-    w.set_behavior(served());
-    let mut c = Client::connect(w.front).await;
+/// Starts a testbed with room for four clients, and a client that was answered once.
+async fn testbed_with_answered_client(
+    ex: &'static async_executor::LocalExecutor<'static>,
+) -> (Testbed, Client) {
+    let testbed = start_testbed_with_sockets(ex, 1, 8).await;
+    testbed.set_behavior(served());
+    let mut c = Client::connect(testbed.front).await;
     c.send(&request(1, "media", &[])).await;
     assert_eq!(c.answer().await, Some((1, None, b"whole".to_vec())));
-    (w, c)
+    (testbed, c)
 }
 
-/// A request that has come, also behind more messages than are handled in a turn, is answered before our side is shut down.
+/// A request that has arrived, also behind more messages than are handled in one go, is answered before the
+/// proxy shuts down its side.
 #[rstest]
-#[case::gives_way(Why::GivesWay, 0, None)]
-#[case::gives_way_behind_others(Why::GivesWay, 900, None)]
-#[case::ends(Why::Ends, 0, Some("Full"))]
-#[case::ends_behind_others(Why::Ends, 900, Some("Full"))]
-#[case::evicted(Why::Evicted, 0, None)]
-#[case::evicted_behind_others(Why::Evicted, 900, None)]
-fn what_comes_before_our_close_is_answered(
-    #[case] why: Why,
-    #[case] notices: usize,
+#[case::gives_way(CloseReason::GivesWay, 0, None)]
+#[case::gives_way_behind_others(CloseReason::GivesWay, 900, None)]
+#[case::ends(CloseReason::Ends, 0, Some("Full"))]
+#[case::ends_behind_others(CloseReason::Ends, 900, Some("Full"))]
+#[case::evicted(CloseReason::Evicted, 0, None)]
+#[case::evicted_behind_others(CloseReason::Evicted, 900, None)]
+fn a_request_before_the_proxy_closes_is_answered(
+    #[case] reason: CloseReason,
+    #[case] messages_before: usize,
     #[case] word: Option<&str>,
 ) {
     run(|ex| async move {
-        let (w, mut c) = answered(ex).await;
-        // With others at work, our side looks whether to close while not all that was read is made out.
-        for _ in 0..if notices > 0 { 20 } else { 0 } {
-            let n = w.node.clone();
+        let (testbed, mut c) = testbed_with_answered_client(ex).await;
+        // With other tasks running, the proxy checks whether to close before it has parsed all that was read.
+        for _ in 0..if messages_before > 0 { 20 } else { 0 } {
+            let n = testbed.node.clone();
             ex.spawn(async move {
-                while n.plan(|p, _| p.counters.get(Counter::Taken)) < 2 {
+                while n.plan(|process, _| process.counters.get(Counter::Taken)) < 2 {
                     std::thread::sleep(std::time::Duration::from_micros(200));
                     future::yield_now().await;
                 }
             })
             .detach();
         }
-        at_once(&c, &[cancel(9).repeat(notices), request(2, "media", &[])].concat());
-        let _held = why.come(&w);
-        let (id, said, _) = c.answer().await.expect("an answer before the close");
-        assert_eq!((id, said.as_deref()), (2, word));
+        write_without_yielding(&c, &[cancel(9).repeat(messages_before), request(2, "media", &[])].concat());
+        let _held = reason.apply(&testbed);
+        let (id, error_word, _) = c.answer().await.expect("an answer before the close");
+        assert_eq!((id, error_word.as_deref()), (2, word));
         assert!(ends(&c).await, "reset");
     });
 }
 
-/// What comes after our side was shut down is read and sent nowhere, the connection is not reset by it, and it is closed by
-/// a point on the clock though the client never does.
+/// What arrives after the proxy shut down its side is read and not sent to a cache, and does not make the
+/// proxy reset the connection. The connection is closed by a deadline although the client never closes it.
 #[rstest]
-#[case::gives_way(Why::GivesWay)]
-#[case::ends(Why::Ends)]
-#[case::evicted(Why::Evicted)]
-fn what_comes_after_our_close_goes_nowhere(#[case] why: Why) {
+#[case::gives_way(CloseReason::GivesWay)]
+#[case::ends(CloseReason::Ends)]
+#[case::evicted(CloseReason::Evicted)]
+fn a_request_after_the_proxy_closes_is_not_sent(#[case] reason: CloseReason) {
     run(|ex| async move {
-        let (w, c) = answered(ex).await;
-        let held = why.come(&w);
+        let (testbed, c) = testbed_with_answered_client(ex).await;
+        let held = reason.apply(&testbed);
         assert!(ends(&c).await, "reset");
-        at_once(&c, &request(2, "media", &[]));
+        write_without_yielding(&c, &request(2, "media", &[]));
         let last = now() + 400_000;
         while now() < last {
             assert!((&mut c.stream.get_ref()).write(&cancel(2)).is_ok(), "reset");
             sleep_until(now() + 20_000).await;
         }
         drop(held);
-        wait_until("the close", || w.node.connections() == 0).await;
-        let took = |c| w.node.plan(|p, _| p.counters.get(c));
-        assert_eq!((w.received_requests().len(), took(Counter::Taken)), (1, 1));
+        wait_until("the close", || testbed.node.connections() == 0).await;
+        let counter_value = |c| testbed.node.plan(|process, _| process.counters.get(c));
+        assert_eq!((testbed.received_requests().len(), counter_value(Counter::Taken)), (1, 1));
     });
 }
 
-/// A connection that is closed for what cannot be read gives out what was answered before, and is not reset over the rest.
+/// A connection that is closed for a malformed message first delivers the answers made before it, and is not
+/// reset because of the bytes that follow.
 #[rstest]
 #[case::garbage(vec![], 0)]
 #[case::many_unusable((2..=9).flat_map(|id| request(id, "nothing", &[])).collect(), 8)]
-#[case::an_id_anew_after_its_cancel([request(2, "media", &[]), cancel(2), request(2, "media", &[])].concat(), 0)]
+#[case::a_call_id_again_after_its_cancel([request(2, "media", &[]), cancel(2), request(2, "media", &[])].concat(), 0)]
 fn a_malformed_message_costs_no_answer_made_before(#[case] before: Vec<u8>, #[case] errors: u32) {
     run(|ex| async move {
-        let (w, mut c) = answered(ex).await;
-        at_once(&c, &[before, vec![0xc1; 40_000]].concat());
-        wait_until("its end", || w.node.plan(|p, _| p.counters.get(Counter::Malformed)) == 1).await;
+        let (testbed, mut c) = testbed_with_answered_client(ex).await;
+        write_without_yielding(&c, &[before, vec![0xc1; 40_000]].concat());
+        wait_until("its end", || {
+            testbed.node.plan(|process, _| process.counters.get(Counter::Malformed)) == 1
+        })
+        .await;
         for id in 2..2 + errors {
             assert_eq!(c.answer().await, Some((id, Some("Error".into()), vec![])));
         }
         assert!(ends(&c).await, "reset");
-        assert_eq!((w.node.plan(|p, _| p.open_requests()), w.received_requests().len()), (0, 1));
+        assert_eq!(
+            (testbed.node.plan(|process, _| process.open_requests()), testbed.received_requests().len()),
+            (0, 1)
+        );
     });
 }
 
-/// How a client goes.
+/// How a client ends its requests.
 #[derive(Clone, Copy)]
-enum Goes {
+enum ClientEnd {
     Closes,
     Resets,
     HalfCloses,
     Cancels,
 }
 
-/// The end of a client is seen while it has all its requests open, also where it takes none of the answers that are
-/// written and where half a message lies before it: all of them have left, and nothing is held for it.
+/// The end of a client is noticed while all its requests are open, also where it reads none of its answers
+/// and where half a message comes before the end. All the requests count as left by their client, and no
+/// memory is kept for it.
 #[rstest]
-fn a_client_that_goes_has_left(
-    #[values(Goes::Closes, Goes::Resets, Goes::HalfCloses, Goes::Cancels)] how: Goes,
+fn the_end_of_a_client_ends_its_requests(
+    #[values(ClientEnd::Closes, ClientEnd::Resets, ClientEnd::HalfCloses, ClientEnd::Cancels)]
+    client_end: ClientEnd,
     #[values(false, true)] blocked: bool,
 ) {
     run(|ex| async move {
-        let w = start_testbed(ex, 8).await;
-        let c = Client::connect(w.front).await;
+        let testbed = start_testbed(ex, 8).await;
+        let c = Client::connect(testbed.front).await;
         let mut n = 0;
         if blocked {
-            w.set_behavior(CacheBehavior::Answer(
+            testbed.set_behavior(CacheBehavior::Answer(
                 "served",
                 "version=ab,stamp=1,detail=HIT",
                 vec![7; 240_000],
             ));
             rustix::net::sockopt::set_socket_recv_buffer_size(&c.stream, 4096).unwrap();
-            while w.node.unwritten_bytes.get() < 500_000 {
+            while testbed.node.unwritten_bytes.get() < 500_000 {
                 n += 1;
                 c.send(&request(n, "media", &[])).await;
                 wait_until("its answer", || {
-                    w.node.plan(|p, _| p.counters.get(Counter::Served)) == u64::from(n)
+                    testbed.node.plan(|process, _| process.counters.get(Counter::Served)) == u64::from(n)
                 })
                 .await;
             }
-            w.set_behavior(CacheBehavior::Silent);
+            testbed.set_behavior(CacheBehavior::Silent);
         }
         let first = n + 1;
         c.send(&(first..first + 32).flat_map(|id| request(id, "media", &[])).collect::<Vec<_>>()).await;
-        let counted = |c| w.node.plan(|p, _| p.counters.get(c));
+        let counter_value = |c| testbed.node.plan(|process, _| process.counters.get(c));
         wait_until("the requests", || {
-            counted(Counter::Taken) == u64::from(n) + 32 && w.received_requests().len() > n as usize
+            counter_value(Counter::Taken) == u64::from(n) + 32
+                && testbed.received_requests().len() > n as usize
         })
         .await;
-        let open = w.node.plan(|p, _| p.open_requests()) as u64;
-        assert_eq!(open, 32, "the others were declined");
-        let begun = now();
+        let open = testbed.node.plan(|process, _| process.open_requests()) as u64;
+        assert_eq!(open, 32, "the other requests were declined");
+        let ended_at = now();
         let mut kept = None;
-        match how {
-            Goes::Closes => drop(c),
-            Goes::Resets => reset(c),
-            Goes::HalfCloses => {
+        match client_end {
+            ClientEnd::Closes => drop(c),
+            ClientEnd::Resets => reset(c),
+            ClientEnd::HalfCloses => {
                 c.send(&request(99, "media", &[])[..40]).await;
                 c.stream.get_ref().shutdown(Shutdown::Write).unwrap();
                 kept = Some(c);
             }
-            Goes::Cancels => {
+            ClientEnd::Cancels => {
                 c.send(&(first..first + 32).flat_map(|id| cancel(id as u8)).collect::<Vec<_>>()).await;
                 kept = Some(c);
             }
         }
-        wait_until("the end", || counted(Counter::Left) == open).await;
-        println!("noticed after {} us", now() - begun);
-        // What is already on its way to the cache may still arrive; of what waits nothing goes out any more.
+        wait_until("the end", || counter_value(Counter::Left) == open).await;
+        println!("noticed after {} us", now() - ended_at);
+        // Attempts that are already on their way to the cache may still arrive; none of those that wait is
+        // sent any more.
         sleep_until(now() + 100_000).await;
-        let sent = w.received_requests().len();
-        w.set_behavior(CacheBehavior::Close);
-        w.caches[0].reply(&call(n), b"nobody waits").await;
+        let sent = testbed.received_requests().len();
+        testbed.set_behavior(CacheBehavior::Close);
+        testbed.caches[0].reply(&call_id(n), b"nobody waits").await;
         sleep_until(now() + 100_000).await;
-        assert_eq!(w.node.plan(|p, _| p.open_requests()), 0);
+        assert_eq!(testbed.node.plan(|process, _| process.open_requests()), 0);
         drop(kept);
-        wait_until("its memory", || w.node.unwritten_bytes.get() == 0 && w.node.connections() == 0).await;
-        assert_eq!((w.received_requests().len(), w.node.unwritten.get()), (sent, 0));
+        wait_until("its memory", || {
+            testbed.node.unwritten_bytes.get() == 0 && testbed.node.connections() == 0
+        })
+        .await;
+        assert_eq!((testbed.received_requests().len(), testbed.node.unwritten.get()), (sent, 0));
     });
 }
 
-/// A client goes in the very turn in which its answer comes: one whole answer at most, nothing is sent anew or held, and
-/// a cancelled request leaves the connection as it was.
+/// A client ends its request just as the answer arrives. It gets one whole answer at most, nothing is sent
+/// again or kept in memory, and a cancelled request leaves the connection usable.
 #[rstest]
-fn a_client_goes_as_its_answer_comes(
-    #[values(Goes::Closes, Goes::Resets, Goes::HalfCloses, Goes::Cancels)] how: Goes,
+fn a_client_leaves_as_its_answer_arrives(
+    #[values(ClientEnd::Closes, ClientEnd::Resets, ClientEnd::HalfCloses, ClientEnd::Cancels)]
+    client_end: ClientEnd,
     #[values(false, true)] answer_first: bool,
 ) {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        let mut c = Some(Client::connect(w.front).await);
+        let testbed = start_testbed(ex, 1).await;
+        let mut c = Some(Client::connect(testbed.front).await);
         c.as_ref().unwrap().send(&request(1, "media", &[])).await;
-        wait_until("the attempt", || w.received_requests().len() == 1).await;
+        wait_until("the attempt", || testbed.received_requests().len() == 1).await;
         for answers in [answer_first, !answer_first] {
             if answers {
-                // Written whole at once: no other task has a turn.
-                assert!(future::poll_once(w.caches[0].reply(&call(1), b"whole")).await.is_some());
+                // Written in full at once: no other task runs.
+                assert!(future::poll_once(testbed.caches[0].reply(&call_id(1), b"whole")).await.is_some());
                 continue;
             }
-            match how {
-                Goes::Closes => drop(c.take()),
-                Goes::Resets => reset(c.take().unwrap()),
-                Goes::HalfCloses => c.as_ref().unwrap().stream.get_ref().shutdown(Shutdown::Write).unwrap(),
-                Goes::Cancels => at_once(c.as_ref().unwrap(), &cancel(1)),
+            match client_end {
+                ClientEnd::Closes => drop(c.take()),
+                ClientEnd::Resets => reset(c.take().unwrap()),
+                ClientEnd::HalfCloses => {
+                    c.as_ref().unwrap().stream.get_ref().shutdown(Shutdown::Write).unwrap()
+                }
+                ClientEnd::Cancels => write_without_yielding(c.as_ref().unwrap(), &cancel(1)),
             }
         }
         wait_until("its end", || {
-            w.node.plan(|p, _| p.open_requests()) == 0 && w.node.unwritten_bytes.get() == 0
+            testbed.node.plan(|process, _| process.open_requests()) == 0
+                && testbed.node.unwritten_bytes.get() == 0
         })
         .await;
         if let Some(c) = c.as_mut() {
-            w.set_behavior(served());
-            if matches!(how, Goes::Cancels) {
+            testbed.set_behavior(served());
+            if matches!(client_end, ClientEnd::Cancels) {
                 c.send(&request(2, "media", &[])).await;
             }
             let mut answers = Vec::new();
@@ -279,214 +308,237 @@
                 }
             }
             answers.retain(|a| *a != (1, None));
-            assert_eq!(answers, if matches!(how, Goes::Cancels) { vec![(2, None)] } else { vec![] });
+            assert_eq!(
+                answers,
+                if matches!(client_end, ClientEnd::Cancels) { vec![(2, None)] } else { vec![] }
+            );
         }
-        let sent = w.received_requests().iter().filter(|p| p[1] == call(1)).count();
-        assert_eq!((sent, w.node.unwritten.get()), (1, 0));
+        let sent = testbed.received_requests().iter().filter(|process| process[1] == call_id(1)).count();
+        assert_eq!((sent, testbed.node.unwritten.get()), (1, 0));
     });
 }
 
-/// A cache's id used anew at once after a cancel, before or after its attempt went out: never twice open at the cache.
+/// A call id is used again right after a cancel, before or after its attempt was sent: it is never open twice
+/// at the cache.
 #[rstest]
 #[case::unsent(false)]
 #[case::sent(true)]
-fn an_id_anew_after_a_cancel(#[case] sent: bool) {
+fn a_call_id_used_again_after_a_cancel(#[case] sent: bool) {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        let mut c = Client::connect(w.front).await;
-        at_once(&c, &request(1, "media", &[]));
+        let testbed = start_testbed(ex, 1).await;
+        let mut c = Client::connect(testbed.front).await;
+        write_without_yielding(&c, &request(1, "media", &[]));
         if sent {
-            wait_until("the attempt", || w.received_requests().len() == 1).await;
+            wait_until("the attempt", || testbed.received_requests().len() == 1).await;
         }
-        w.set_behavior(served());
-        at_once(&c, &[cancel(1), request(2, "media", &[("call", &call(1))])].concat());
+        testbed.set_behavior(served());
+        write_without_yielding(&c, &[cancel(1), request(2, "media", &[("call", &call_id(1))])].concat());
         let (id, word, _) = c.answer().await.unwrap();
         assert!(id == 2 && (word.is_none() || word.as_deref() == Some("Error")), "{word:?}");
-        let seen: Vec<String> = w.caches[0].commands.borrow().iter().map(|p| p[0].clone()).collect();
+        let seen: Vec<String> =
+            testbed.caches[0].commands.borrow().iter().map(|process| process[0].clone()).collect();
         assert!(seen == ["serve"] || sent && seen == ["serve", "cancel", "serve"], "{seen:?}");
     });
 }
 
-/// The program as a process of its own, with one cache that says this.
-fn program(
+/// Starts the program as a process of its own, with one cache of this behavior.
+fn start_program(
     ex: &'static async_executor::LocalExecutor<'static>,
     act: CacheBehavior,
 ) -> (Process, Cache, SocketAddr) {
     let c = start_cache(ex);
     *c.behavior.borrow_mut() = act;
-    let (_, _, bulletin) = start_discovery(ex);
+    let (_, _, discovery) = start_discovery(ex);
     let front = free_addresses(1)[0];
     let folder = tempfile::tempdir().unwrap().keep();
     let path = folder.join("config.json");
-    std::fs::write(&path, configuration(front, bulletin, &[server_entry("s-0", c.addr, "std", "active", 0)]))
-        .unwrap();
+    std::fs::write(
+        &path,
+        configuration(front, discovery, &[server_entry("s-0", c.addr, "std", "active", 0)]),
+    )
+    .unwrap();
     let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
     (start.spawn().unwrap(), c, front)
 }
 
-/// The order to end meets a connection that rests, one whose request is half read, one whose answer is half written and
-/// one in the backlog. All get what they are owed, are ended without a reset, and then the process ends.
+/// SIGTERM arrives while one connection is idle, one request is half read, one answer is half written and one
+/// connection is in the backlog. All get their answers and are closed without a reset, and then the process
+/// ends.
 #[test]
-fn the_order_to_end_meets_clients_in_every_state() {
+fn sigterm_with_clients_in_every_state() {
     run(|ex| async move {
-        let big = CacheBehavior::Answer("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]);
-        let (p, cache, front) = program(ex, served());
-        wait_for_log(&p, "start: ").await;
+        let large = CacheBehavior::Answer("served", "version=ab,stamp=1,detail=HIT", vec![7; 240_000]);
+        let (process, cache, front) = start_program(ex, served());
+        wait_for_log(&process, "start: ").await;
         wait_until("the front", || TcpStream::connect(front).is_ok()).await;
-        let (mut rests, mut half, slow) =
+        let (mut idle, mut half_sent, slow) =
             (Client::connect(front).await, Client::connect(front).await, Client::connect(front).await);
-        rests.send(&request(1, "media", &[])).await;
-        assert_eq!(rests.answer().await.unwrap().1, None);
+        idle.send(&request(1, "media", &[])).await;
+        assert_eq!(idle.answer().await.unwrap().1, None);
         let frame = request(2, "media", &[]);
-        half.send(&frame[..60]).await;
+        half_sent.send(&frame[..60]).await;
         rustix::net::sockopt::set_socket_recv_buffer_size(&slow.stream, 200_000).unwrap();
-        *cache.behavior.borrow_mut() = big;
+        *cache.behavior.borrow_mut() = large;
         for id in 3..33 {
             slow.send(&request(id, "media", &[])).await;
             wait_until("its answer", || cache.commands.borrow().len() == id as usize - 1).await;
         }
-        let big = read_counter(&p, "answersServed").await - 1;
-        assert!(big > 20, "{big} large answers");
+        let large = read_counter(&process, "answersServed").await - 1;
+        assert!(large > 20, "{large} large answers");
         *cache.behavior.borrow_mut() = served();
-        // What comes while the program stands still is in the backlog, or unread, as it hears the order.
-        p.stop().unwrap();
+        // What comes while the program is stopped is in the backlog, or unread, when it receives SIGTERM.
+        process.stop().unwrap();
         let mut late = Client::connect(front).await;
         late.send(&request(40, "media", &[])).await;
-        rests.send(&request(41, "media", &[])).await;
-        p.term().unwrap();
-        let ordered = now();
-        p.cont().unwrap();
+        idle.send(&request(41, "media", &[])).await;
+        process.term().unwrap();
+        let stopped_at = now();
+        process.cont().unwrap();
         assert_eq!(late.answer().await.unwrap().1, None, "in the backlog");
-        assert_eq!(rests.answer().await.unwrap().1, None, "unread");
-        assert!(ends(&rests).await && ends(&late).await, "reset at rest");
-        assert!(now() > ordered + 850_000, "ended before the last of its clients came");
-        assert!(p.ended().is_none(), "ended with a request half read");
-        half.send(&frame[60..]).await;
-        assert_eq!(half.answer().await, Some((2, Some("Full".into()), vec![])));
-        assert!(ends(&half).await, "reset after the last answer");
-        assert!(rest(&slow).await.is_some_and(|n| n > big as usize * 240_000), "an answer was cut");
-        drop((rests, late, half, slow));
-        wait_until("the end", || p.ended().is_some()).await;
-        assert!(p.wait(after(1_000)).unwrap().success() && now() < ordered + 3_700_000, "{}", p.text());
+        assert_eq!(idle.answer().await.unwrap().1, None, "unread");
+        assert!(ends(&idle).await && ends(&late).await, "reset while idle");
+        assert!(now() > stopped_at + 850_000, "ended before the last of its clients could come");
+        assert!(process.ended().is_none(), "ended with a request half read");
+        half_sent.send(&frame[60..]).await;
+        assert_eq!(half_sent.answer().await, Some((2, Some("Full".into()), vec![])));
+        assert!(ends(&half_sent).await, "reset after the last answer");
+        assert!(bytes_to_end(&slow).await.is_some_and(|n| n > large as usize * 240_000), "an answer was cut");
+        drop((idle, late, half_sent, slow));
+        wait_until("the end", || process.ended().is_some()).await;
+        assert!(
+            process.wait(after(1_000)).unwrap().success() && now() < stopped_at + 3_700_000,
+            "{}",
+            process.text()
+        );
     });
 }
 
-/// Clients that never close, and one that never ends its request, do not keep the program past the kill.
+/// Clients that never close, and one that never ends its request, do not keep the program running until
+/// SIGKILL.
 #[test]
-fn the_end_is_bounded_by_the_kill() {
+fn the_program_ends_before_the_kill() {
     run(|ex| async move {
-        let (p, _cache, front) = program(ex, served());
+        let (process, _cache, front) = start_program(ex, served());
         wait_until("the front", || TcpStream::connect(front).is_ok()).await;
-        let (mut rests, half) = (Client::connect(front).await, Client::connect(front).await);
-        rests.send(&request(1, "media", &[])).await;
-        assert_eq!(rests.answer().await.unwrap().1, None);
+        let (mut idle, half_sent) = (Client::connect(front).await, Client::connect(front).await);
+        idle.send(&request(1, "media", &[])).await;
+        assert_eq!(idle.answer().await.unwrap().1, None);
         let endless = [vec![0x94, 0x00, 0x01, 0xa5], b"media".to_vec(), vec![0x92, 0x80, 0xc5, 0xbb, 0x80]];
-        half.send(&endless.concat()).await;
-        p.signal(Signal::TERM).unwrap();
-        let ordered = now();
-        while p.ended().is_none() {
+        half_sent.send(&endless.concat()).await;
+        process.signal(Signal::TERM).unwrap();
+        let stopped_at = now();
+        while process.ended().is_none() {
             // A byte at a time, so that it is never silent.
-            half.stream.get_ref().write_all(&[7]).ok();
-            assert!(now() < ordered + 3_700_000, "the kill would have come first");
+            half_sent.stream.get_ref().write_all(&[7]).ok();
+            assert!(now() < stopped_at + 3_700_000, "SIGKILL would have come first");
             sleep_until(now() + 50_000).await;
         }
-        assert!(p.ended().unwrap().success());
+        assert!(process.ended().unwrap().success());
     });
 }
 
-/// Crowds that come, do this and go all at once, again and again, leave nothing behind, never hold more descriptors than
-/// are theirs, and another client is answered all the while.
+/// Crowds of clients that connect, send these bytes and leave all at once, again and again, leave no
+/// connection, request or memory behind and never hold more than their share of the descriptors. Another
+/// client is answered all the while.
 #[rstest]
 #[case::idle(vec![], 100, false)]
 #[case::half_written(request(1, "media", &[])[..60].to_vec(), 100, false)]
 #[case::large(vec![0xc1; 40_000], 60, false)]
 #[case::answers_untaken((1..=32).flat_map(|id| request(id, "media", &[("call", &format!("{:016x}", fastrand::u64(..)))])).collect(), 40, true)]
-fn a_flood_leaves_nothing_behind(#[case] bytes: Vec<u8>, #[case] crowd: usize, #[case] asks: bool) {
+fn a_flood_leaves_nothing_behind(#[case] bytes: Vec<u8>, #[case] crowd: usize, #[case] sends_requests: bool) {
     const SOCKETS: usize = 128;
     run(|ex| async move {
-        let w = start_testbed_with_sockets(ex, 1, SOCKETS).await;
-        w.set_behavior(CacheBehavior::Answer("served", "version=ab,stamp=1,detail=HIT", vec![7; 20_000]));
-        let (most, n, over) = (Rc::new(Cell::new(0)), w.node.clone(), Rc::new(Cell::new(false)));
-        let (m, o) = (most.clone(), over.clone());
+        let testbed = start_testbed_with_sockets(ex, 1, SOCKETS).await;
+        testbed.set_behavior(CacheBehavior::Answer(
+            "served",
+            "version=ab,stamp=1,detail=HIT",
+            vec![7; 20_000],
+        ));
+        let (max_connections, n, finished) =
+            (Rc::new(Cell::new(0)), testbed.node.clone(), Rc::new(Cell::new(false)));
+        let (recorded_max, done) = (max_connections.clone(), finished.clone());
         ex.spawn(async move {
-            while !o.get() {
-                m.set(m.get().max(n.connections()));
+            while !done.get() {
+                recorded_max.set(recorded_max.get().max(n.connections()));
                 future::yield_now().await;
             }
         })
         .detach();
         let mut longest: Micros = 0;
-        for wave in 1..=if asks { 3 } else { 20 } {
-            let mut all: Vec<Async<TcpStream>> = Vec::new();
+        for wave in 1..=if sends_requests { 3 } else { 20 } {
+            let mut crowd_streams: Vec<Async<TcpStream>> = Vec::new();
             for _ in 0..crowd {
-                let s = Async::new(TcpStream::connect(w.front).unwrap()).unwrap();
+                let s = Async::new(TcpStream::connect(testbed.front).unwrap()).unwrap();
                 s.get_ref().write_all(&bytes).ok();
-                all.push(s);
+                crowd_streams.push(s);
             }
             let asked = now();
-            let (mut good, own) = (Client::connect(w.front).await, format!("ffff{wave:012x}"));
-            good.send(&request(wave, "media", &[("call", &own)])).await;
+            let (mut good, own_call_id) = (Client::connect(testbed.front).await, format!("ffff{wave:012x}"));
+            good.send(&request(wave, "media", &[("call", &own_call_id)])).await;
             let (_, word, _) = good.answer().await.unwrap();
-            assert!(word.is_none() || asks, "{word:?}");
+            assert!(word.is_none() || sends_requests, "{word:?}");
             longest = longest.max(now() - asked);
-            drop(all);
-            let count = |c| w.node.plan(|p, _| p.counters.get(c)) as usize;
-            let come = (crowd + 1) * wave as usize;
-            let taken = || count(Counter::Accepted) + count(Counter::TurnedAway) == come;
-            wait_until("all of the backlog", taken).await;
+            drop(crowd_streams);
+            let count = |c| testbed.node.plan(|process, _| process.counters.get(c)) as usize;
+            let connected = (crowd + 1) * wave as usize;
+            let all_accepted = || count(Counter::Accepted) + count(Counter::TurnedAway) == connected;
+            wait_until("the whole backlog is accepted", all_accepted).await;
         }
-        wait_until("all gone", || w.node.connections() == 0 && w.node.plan(|p, _| p.open_requests()) == 0)
-            .await;
-        over.set(true);
-        println!("longest answer {longest} us, most connections {}", most.get());
-        assert!(most.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", most.get());
+        wait_until("every connection and request ends", || {
+            testbed.node.connections() == 0 && testbed.node.plan(|process, _| process.open_requests()) == 0
+        })
+        .await;
+        finished.set(true);
+        println!("longest answer {longest} us, most connections {}", max_connections.get());
+        assert!(max_connections.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", max_connections.get());
         assert!(longest < 1_000_000, "an answer took {longest} us");
-        wait_until("its memory", || (w.node.unwritten.get(), w.node.held()) == (0, 0)).await;
-        assert_eq!(w.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
+        wait_until("its memory", || (testbed.node.unwritten.get(), testbed.node.held()) == (0, 0)).await;
+        assert_eq!(testbed.node.plan(|process, _| process.counters.get(Counter::Panics)), 0);
     });
 }
 
-/// A client writes and is gone before the node has a turn: its end stands behind what it asked, and nothing of that is
-/// sent on, though a connection to the cache rests.
+/// A client writes a request and closes before the node runs, so its end comes right behind the request: the
+/// request is not sent on, although an idle connection to the cache is available.
 #[rstest]
 #[case::small(0)]
 #[case::large(45_056)]
-fn a_client_gone_behind_its_request_asks_for_nothing(#[case] body: usize) {
+fn a_request_of_a_client_that_has_closed_is_not_sent(#[case] body: usize) {
     run(|ex| async move {
-        let (w, c) = answered(ex).await;
+        let (testbed, c) = testbed_with_answered_client(ex).await;
         let mut frame = request(2, "media", &[("call", "00000000000000aa")]);
         frame.truncate(frame.len() - 2);
         frame.extend([0xc5, (body >> 8) as u8, body as u8]);
         frame.extend(vec![7; body]);
-        at_once(&c, &frame);
+        write_without_yielding(&c, &frame);
         drop(c);
-        let mut other = Client::connect(w.front).await;
+        let mut other = Client::connect(testbed.front).await;
         other.send(&request(1, "media", &[("call", "00000000000000ab")])).await;
         assert_eq!(other.answer().await.unwrap().1, None);
         assert!(
-            w.received_requests().iter().all(|p| p[1] != "00000000000000aa"),
-            "sent for one that has gone"
+            testbed.received_requests().iter().all(|process| process[1] != "00000000000000aa"),
+            "sent for a client that has gone"
         );
     });
 }
 
-/// What was read whole before a message that cannot be read is owed its answer; a client that goes meanwhile is not.
+/// A request that was read in full before a malformed message is still answered, unless the client leaves
+/// meanwhile.
 #[test]
-fn a_malformed_message_costs_no_answer_that_is_owed() {
+fn a_malformed_message_costs_no_pending_answer() {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        let mut c = Client::connect(w.front).await;
+        let testbed = start_testbed(ex, 1).await;
+        let mut c = Client::connect(testbed.front).await;
         c.send(&[request(1, "media", &[]), vec![0xc1]].concat()).await;
-        wait_until("the attempt", || !w.received_requests().is_empty()).await;
+        wait_until("the attempt", || !testbed.received_requests().is_empty()).await;
         sleep_until(now() + 100_000).await;
-        w.caches[0].reply(&w.received_requests()[0][1], b"owed").await;
+        testbed.caches[0].reply(&testbed.received_requests()[0][1], b"owed").await;
         assert_eq!(with_timeout("the answer", c.answer()).await, Some((1, None, b"owed".to_vec())));
         assert_eq!(with_timeout("the end", c.answer()).await, None);
-        // One that goes asks for nothing any more.
-        let gone = Client::connect(w.front).await;
+        // The request of a client that leaves is dropped.
+        let gone = Client::connect(testbed.front).await;
         gone.send(&[request(1, "media", &[("call", "00000000000000aa")]), vec![0xc1]].concat()).await;
-        wait_until("the attempt", || w.received_requests().len() == 2).await;
+        wait_until("the attempt", || testbed.received_requests().len() == 2).await;
         drop(gone);
-        wait_until("its end", || w.node.plan(|p, _| p.open_requests()) == 0).await;
+        wait_until("its end", || testbed.node.plan(|process, _| process.open_requests()) == 0).await;
     });
 }
