--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -32,11 +32,11 @@
 
 /// Reads to the end of the stream and returns the number of bytes, or `None` where the connection was reset.
 async fn bytes_to_end(c: &Client) -> Option<usize> {
-    let (mut chunk, mut crowd_streams) = ([0; 16384], 0);
+    let (mut chunk, mut total) = ([0; 16384], 0);
     loop {
         match (&c.stream).read(&mut chunk).await {
-            Ok(0) => return Some(crowd_streams),
-            Ok(n) => crowd_streams += n,
+            Ok(0) => return Some(total),
+            Ok(n) => total += n,
             Err(_) => return None,
         }
     }
@@ -115,7 +115,7 @@
         for _ in 0..if messages_before > 0 { 20 } else { 0 } {
             let n = testbed.node.clone();
             ex.spawn(async move {
-                while n.plan(|process, _| process.counters.get(Counter::Taken)) < 2 {
+                while n.plan(|p, _| p.counters.get(Counter::Taken)) < 2 {
                     std::thread::sleep(std::time::Duration::from_micros(200));
                     future::yield_now().await;
                 }
@@ -149,7 +149,7 @@
         }
         drop(held);
         wait_until("the close", || testbed.node.connections() == 0).await;
-        let counter_value = |c| testbed.node.plan(|process, _| process.counters.get(c));
+        let counter_value = |c| testbed.node.plan(|p, _| p.counters.get(c));
         assert_eq!((testbed.received_requests().len(), counter_value(Counter::Taken)), (1, 1));
     });
 }
@@ -164,18 +164,12 @@
     run(|ex| async move {
         let (testbed, mut c) = testbed_with_answered_client(ex).await;
         write_without_yielding(&c, &[before, vec![0xc1; 40_000]].concat());
-        wait_until("its end", || {
-            testbed.node.plan(|process, _| process.counters.get(Counter::Malformed)) == 1
-        })
-        .await;
+        wait_until("its end", || testbed.node.plan(|p, _| p.counters.get(Counter::Malformed)) == 1).await;
         for id in 2..2 + errors {
             assert_eq!(c.answer().await, Some((id, Some("Error".into()), vec![])));
         }
         assert!(ends(&c).await, "reset");
-        assert_eq!(
-            (testbed.node.plan(|process, _| process.open_requests()), testbed.received_requests().len()),
-            (0, 1)
-        );
+        assert_eq!((testbed.node.plan(|p, _| p.open_requests()), testbed.received_requests().len()), (0, 1));
     });
 }
 
@@ -212,7 +206,7 @@
                 n += 1;
                 c.send(&request(n, "media", &[])).await;
                 wait_until("its answer", || {
-                    testbed.node.plan(|process, _| process.counters.get(Counter::Served)) == u64::from(n)
+                    testbed.node.plan(|p, _| p.counters.get(Counter::Served)) == u64::from(n)
                 })
                 .await;
             }
@@ -220,13 +214,13 @@
         }
         let first = n + 1;
         c.send(&(first..first + 32).flat_map(|id| request(id, "media", &[])).collect::<Vec<_>>()).await;
-        let counter_value = |c| testbed.node.plan(|process, _| process.counters.get(c));
+        let counter_value = |c| testbed.node.plan(|p, _| p.counters.get(c));
         wait_until("the requests", || {
             counter_value(Counter::Taken) == u64::from(n) + 32
                 && testbed.received_requests().len() > n as usize
         })
         .await;
-        let open = testbed.node.plan(|process, _| process.open_requests()) as u64;
+        let open = testbed.node.plan(|p, _| p.open_requests()) as u64;
         assert_eq!(open, 32, "the other requests were declined");
         let ended_at = now();
         let mut kept = None;
@@ -252,7 +246,7 @@
         testbed.set_behavior(CacheBehavior::Close);
         testbed.caches[0].reply(&call_id(n), b"nobody waits").await;
         sleep_until(now() + 100_000).await;
-        assert_eq!(testbed.node.plan(|process, _| process.open_requests()), 0);
+        assert_eq!(testbed.node.plan(|p, _| p.open_requests()), 0);
         drop(kept);
         wait_until("its memory", || {
             testbed.node.unwritten_bytes.get() == 0 && testbed.node.connections() == 0
@@ -291,8 +285,7 @@
             }
         }
         wait_until("its end", || {
-            testbed.node.plan(|process, _| process.open_requests()) == 0
-                && testbed.node.unwritten_bytes.get() == 0
+            testbed.node.plan(|p, _| p.open_requests()) == 0 && testbed.node.unwritten_bytes.get() == 0
         })
         .await;
         if let Some(c) = c.as_mut() {
@@ -313,7 +306,7 @@
                 if matches!(client_end, ClientEnd::Cancels) { vec![(2, None)] } else { vec![] }
             );
         }
-        let sent = testbed.received_requests().iter().filter(|process| process[1] == call_id(1)).count();
+        let sent = testbed.received_requests().iter().filter(|parts| parts[1] == call_id(1)).count();
         assert_eq!((sent, testbed.node.unwritten.get()), (1, 0));
     });
 }
@@ -336,7 +329,7 @@
         let (id, word, _) = c.answer().await.unwrap();
         assert!(id == 2 && (word.is_none() || word.as_deref() == Some("Error")), "{word:?}");
         let seen: Vec<String> =
-            testbed.caches[0].commands.borrow().iter().map(|process| process[0].clone()).collect();
+            testbed.caches[0].commands.borrow().iter().map(|parts| parts[0].clone()).collect();
         assert!(seen == ["serve"] || sent && seen == ["serve", "cancel", "serve"], "{seen:?}");
     });
 }
@@ -479,13 +472,13 @@
             assert!(word.is_none() || sends_requests, "{word:?}");
             longest = longest.max(now() - asked);
             drop(crowd_streams);
-            let count = |c| testbed.node.plan(|process, _| process.counters.get(c)) as usize;
+            let count = |c| testbed.node.plan(|p, _| p.counters.get(c)) as usize;
             let connected = (crowd + 1) * wave as usize;
             let all_accepted = || count(Counter::Accepted) + count(Counter::TurnedAway) == connected;
             wait_until("the whole backlog is accepted", all_accepted).await;
         }
         wait_until("every connection and request ends", || {
-            testbed.node.connections() == 0 && testbed.node.plan(|process, _| process.open_requests()) == 0
+            testbed.node.connections() == 0 && testbed.node.plan(|p, _| p.open_requests()) == 0
         })
         .await;
         finished.set(true);
@@ -493,7 +486,7 @@
         assert!(max_connections.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", max_connections.get());
         assert!(longest < 1_000_000, "an answer took {longest} us");
         wait_until("its memory", || (testbed.node.unwritten.get(), testbed.node.held()) == (0, 0)).await;
-        assert_eq!(testbed.node.plan(|process, _| process.counters.get(Counter::Panics)), 0);
+        assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
     });
 }
 
@@ -515,7 +508,7 @@
         other.send(&request(1, "media", &[("call", "00000000000000ab")])).await;
         assert_eq!(other.answer().await.unwrap().1, None);
         assert!(
-            testbed.received_requests().iter().all(|process| process[1] != "00000000000000aa"),
+            testbed.received_requests().iter().all(|parts| parts[1] != "00000000000000aa"),
             "sent for a client that has gone"
         );
     });
@@ -539,6 +532,6 @@
         gone.send(&[request(1, "media", &[("call", "00000000000000aa")]), vec![0xc1]].concat()).await;
         wait_until("the attempt", || testbed.received_requests().len() == 2).await;
         drop(gone);
-        wait_until("its end", || testbed.node.plan(|process, _| process.open_requests()) == 0).await;
+        wait_until("its end", || testbed.node.plan(|p, _| p.open_requests()) == 0).await;
     });
 }
--- a/node/tests/failing_folder.rs
+++ b/node/tests/failing_folder.rs
@@ -1,5 +1,6 @@
-//! The folder that outlives a process, while its calls fail or a kill comes in the middle of one: what an operator was told
-//! is done holds, in this process and in the next, and what is lacking is made up for once the folder recovers.
+//! The folder that outlives a process, while calls on its files fail or a kill interrupts one: a command that
+//! was answered with `done` holds in this process and in the next, and what could not be written is written
+//! once the folder recovers.
 mod common;
 use async_executor::LocalExecutor;
 use common::*;
@@ -8,6 +9,7 @@
 use threadward::net::{now, sleep_until};
 use threadward_faults::{Failure, FileFault, Process, Shim, Start};
 
+/// Every call fails, in failures per million calls.
 const ALWAYS: u32 = 1_000_000;
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
@@ -17,7 +19,7 @@
 struct Site {
     caches: [Cache; 2],
     front: SocketAddr,
-    door: SocketAddr,
+    admin: SocketAddr,
     folder: TempDir,
     shim: Shim,
 }
@@ -25,26 +27,26 @@
 fn site(ex: &'static LocalExecutor<'static>) -> Site {
     let caches = [start_cache(ex), start_cache(ex)];
     caches.iter().for_each(|c| *c.behavior.borrow_mut() = served());
-    let at = free_addresses(2);
-    let (_, _, bulletin) = start_discovery(ex);
+    let addrs = free_addresses(2);
+    let (_, _, discovery) = start_discovery(ex);
     let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
     let folder = tempdir().unwrap();
-    std::fs::write(folder.path().join("config.json"), configuration(at[0], bulletin, &list)).unwrap();
-    Site { caches, front: at[0], door: at[1], folder, shim: Shim::new(1).unwrap() }
+    std::fs::write(folder.path().join("config.json"), configuration(addrs[0], discovery, &list)).unwrap();
+    Site { caches, front: addrs[0], admin: addrs[1], folder, shim: Shim::new(1).unwrap() }
 }
 
 impl Site {
     async fn start(&self) -> Process {
         let start = Start::new(env!("CARGO_BIN_EXE_threadward"));
         let start = start.env("LB_CONFIG", self.folder.path().join("config.json"));
-        let start = start.env("LB_ADMIN_ADDR", self.door.to_string()).env("TMPDIR", self.folder.path());
+        let start = start.env("LB_ADMIN_ADDR", self.admin.to_string()).env("TMPDIR", self.folder.path());
         let process = self.shim.preload(start).unwrap().spawn().unwrap();
         wait_until("the front", || std::net::TcpStream::connect(self.front).is_ok()).await;
         process
     }
 
-    /// How many of some requests reach the server `s-0`.
-    async fn reach_the_first(&self, from: u32) -> usize {
+    /// Sends some requests and returns how many of them reach the server `s-0`.
+    async fn requests_at_first_server(&self, from: u32) -> usize {
         let before = self.caches[0].commands.borrow().len();
         for number in from..from + 12 {
             let (mut client, text) = (Client::connect(self.front).await, format!("{number:016x}"));
@@ -54,11 +56,11 @@
         self.caches[0].commands.borrow().len() - before
     }
 
-    /// What processes show of themselves.
-    fn signs(&self) -> Vec<String> {
+    /// Returns the files in which processes announce their state.
+    fn announcements(&self) -> Vec<String> {
         let all = std::fs::read_dir(self.folder.path()).unwrap().map(|e| e.unwrap().path());
-        let signs = all.filter(|p| p.to_string_lossy().contains(".run-"));
-        signs.map(|p| std::fs::read_to_string(p).unwrap_or_default()).collect()
+        let announcements = all.filter(|p| p.to_string_lossy().contains(".run-"));
+        announcements.map(|p| std::fs::read_to_string(p).unwrap_or_default()).collect()
     }
 }
 
@@ -67,32 +69,32 @@
     run(|ex| async move {
         let site = site(ex);
         let first = site.start().await;
-        assert!(admin_command(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
+        assert!(admin_command(site.admin, &["DISABLE s-0\n"]).await.starts_with("done"));
         first.kill().unwrap();
         site.shim.fail(Failure::File, ALWAYS).unwrap();
         let second = site.start().await;
-        assert_eq!(site.reach_the_first(1).await, 0, "{}", second.text());
-        let refused = admin_command(site.door, &["ENABLE s-0\n"]).await;
-        assert!(refused.starts_with("error "), "{refused}");
-        assert_eq!(site.reach_the_first(100).await, 0, "{}", second.text());
+        assert_eq!(site.requests_at_first_server(1).await, 0, "{}", second.text());
+        let refusal = admin_command(site.admin, &["ENABLE s-0\n"]).await;
+        assert!(refusal.starts_with("error "), "{refusal}");
+        assert_eq!(site.requests_at_first_server(100).await, 0, "{}", second.text());
         site.shim.fail(Failure::File, 0).unwrap();
-        // The folder has recovered: what this process has come to is shown without a further call.
-        wait_until("the sign", || site.signs().iter().any(|s| s.starts_with("ready"))).await;
-        assert!(admin_command(site.door, &["ENABLE s-0\n"]).await.starts_with("done"));
+        // The folder has recovered: this process announces its state without a further command.
+        wait_until("the announcement", || site.announcements().iter().any(|s| s.starts_with("ready"))).await;
+        assert!(admin_command(site.admin, &["ENABLE s-0\n"]).await.starts_with("done"));
         assert_eq!(second.ended(), None);
     });
 }
 
-/// Every call on a file fails once, with each error, and is the last one of a process once.
+/// Each call on a file fails once with each error, and once the process is killed in it.
 #[test]
-fn a_command_that_is_done_holds_whatever_call_fails_or_is_the_last() {
+fn a_command_that_is_done_holds_whichever_file_call_fails_or_is_the_last() {
     let faults = [FileFault::Error(ENOSPC), FileFault::Error(EIO), FileFault::Error(EROFS), FileFault::Kill];
     for fault in faults {
-        run(|ex| every_call(ex, fault));
+        run(|ex| fail_every_call(ex, fault));
     }
 }
 
-async fn every_call(ex: &'static LocalExecutor<'static>, fault: FileFault) {
+async fn fail_every_call(ex: &'static LocalExecutor<'static>, fault: FileFault) {
     let mut process = None;
     let site = site(ex);
     let mut requests = 1;
@@ -103,43 +105,53 @@
         };
         let next = site.shim.file_calls().unwrap() + number;
         site.shim.fail_file_call(next, fault).unwrap();
-        let said = command(site.door, "DISABLE s-0\n").await;
+        let answer = send_command(site.admin, "DISABLE s-0\n").await;
         site.shim.fail_file_call(0, fault).unwrap();
-        if said.is_empty() {
+        if answer.is_empty() {
             wait_until("the end of the process", || running.ended().is_some()).await;
         }
         let running = if running.ended().is_some() { site.start().await } else { running };
-        if !said.starts_with("done") {
-            // Not kept, and said so: made again it is kept, and no harm was done.
-            assert!(command(site.door, "DISABLE s-0\n").await.starts_with("done"), "{}", running.text());
+        if !answer.starts_with("done") {
+            // The ban was not stored, and the answer said so: repeating the command stores it.
+            assert!(
+                send_command(site.admin, "DISABLE s-0\n").await.starts_with("done"),
+                "{}",
+                running.text()
+            );
         }
-        assert_eq!(site.reach_the_first(requests).await, 0, "call {number}, {fault:?}: {}", running.text());
+        assert_eq!(
+            site.requests_at_first_server(requests).await,
+            0,
+            "call {number}, {fault:?}: {}",
+            running.text()
+        );
         running.kill().unwrap();
         let next = site.start().await;
         assert_eq!(
-            site.reach_the_first(requests + 100).await,
+            site.requests_at_first_server(requests + 100).await,
             0,
             "call {number}, {fault:?}: {}",
             next.text()
         );
-        assert!(command(site.door, "ENABLE s-0\n").await.starts_with("done"));
+        assert!(send_command(site.admin, "ENABLE s-0\n").await.starts_with("done"));
         requests += 1_000;
         process = Some(next);
     }
 }
 
-/// A call at the door; nothing where the process ended meanwhile.
-async fn command(door: SocketAddr, line: &str) -> String {
+/// Sends a command to the admin socket. Returns an empty answer where the process ended meanwhile.
+async fn send_command(admin: SocketAddr, line: &str) -> String {
     use futures_lite::{AsyncReadExt, AsyncWriteExt};
-    let mut said = String::new();
-    let Ok(mut stream) = async_io::Async::<std::net::TcpStream>::connect(door).await else { return said };
+    let mut answer = String::new();
+    let Ok(mut stream) = async_io::Async::<std::net::TcpStream>::connect(admin).await else { return answer };
     if stream.write_all(line.as_bytes()).await.is_ok() {
-        with_timeout("an answer at the door", stream.read_to_string(&mut said)).await.ok();
+        with_timeout("an answer of the admin socket", stream.read_to_string(&mut answer)).await.ok();
     }
-    said
+    answer
 }
 
-/// The file of bans is synced before it gets its name, and the folder after: a power cut undoes nothing that was `done`.
+/// The file of bans is synced before it gets its name, and the folder afterwards, so that a power cut undoes
+/// nothing that was answered with `done`.
 #[test]
 fn what_is_done_is_synced_with_its_folder() {
     run(|ex| async move {
@@ -147,7 +159,7 @@
         let process = site.start().await;
         sleep_until(now() + 300_000).await;
         let before = site.shim.syncs().unwrap();
-        assert!(admin_command(site.door, &["DISABLE s-0\n"]).await.starts_with("done"));
+        assert!(admin_command(site.admin, &["DISABLE s-0\n"]).await.starts_with("done"));
         assert!(site.shim.syncs().unwrap() >= before + 2, "{}", process.text());
     });
 }
