--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -4,7 +4,7 @@
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
-use crate::operators::{BudgetSettings, Division, TreeSettings, COLD, PROBE};
+use crate::operators::{BudgetSettings, Division, TreeSettings, COLD_UNITS, PROBE_UNITS};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use threadward_budgets::seal::{open, seal};
@@ -112,7 +112,8 @@
         let socket = ControlSocket::bind(listen, proxies)?;
         let mut entropy = [0; 32];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
-        let (place, wholes, leaderships) = (division.place(), division.wholes(), Leadership::all(&division));
+        let (place, totals, leaderships) =
+            (division.own_index(), division.budget_totals(), Leadership::all(&division));
         let client = Rc::new(BudgetClient {
             node,
             socket,
@@ -121,9 +122,9 @@
             instance: Instance::new(division, entropy)?.into(),
             was_leased: Cell::new(false),
             leaderships,
-            has_cold_budget: wholes.len() > COLD_MEMBERS,
+            has_cold_budget: totals.len() > COLD_MEMBERS,
         });
-        client.pace_probes(wholes.get(PROBES).copied().unwrap_or(0));
+        client.pace_probes(totals.get(PROBES).copied().unwrap_or(0));
         let receiver = Rc::downgrade(&client);
         let take = move |datagram: &[u8]| {
             if let Some(client) = receiver.upgrade() {
@@ -145,7 +146,7 @@
         let client = self.clone();
         let pause = Rc::new(move || match client.share(PROBES) {
             0 => Micros::MAX,
-            units => (1_000_000 * PROBE).div_ceil(units.into()),
+            units => (1_000_000 * PROBE_UNITS).div_ceil(units.into()),
         });
         let probed = self.node.plan(|p, _| p.set_probe_pause(pause));
         if !probed {
@@ -177,7 +178,7 @@
 
     /// The own place and life, and what the file says of all proxies; nothing under the control tree, in which zones take
     /// no part.
-    pub fn seat_settings(&self) -> Option<(Author, Settings)> {
+    pub fn identity_and_settings(&self) -> Option<(Author, Settings)> {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, settings } => Some((budgets.identity(), settings.clone())),
             Instance::Tree(_) => None,
@@ -185,7 +186,7 @@
     }
 
     /// What the election of the one that divides for all says now.
-    pub fn seat(&self) -> ElectionView {
+    pub fn election(&self) -> ElectionView {
         match &*self.instance.borrow() {
             Instance::Plain { budgets, .. } => {
                 let now = uptime();
@@ -212,8 +213,8 @@
     /// What this proxy sends to members that started lately is kept to its share.
     fn keep_cold(&self) {
         let share = self.share(COLD_MEMBERS);
-        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD));
-        self.want(COLD_MEMBERS, sends.saturating_mul(COLD));
+        let sends = self.node.plan(|p, now| p.limit_cold_rate(now, share / COLD_UNITS));
+        self.want(COLD_MEMBERS, sends.saturating_mul(COLD_UNITS));
     }
 
     /// Says what changed, and keeps the counters.
@@ -260,7 +261,7 @@
 }
 
 /// Sees to what is due.
-pub async fn attend(client: Rc<BudgetClient>) {
+pub async fn run_timers(client: Rc<BudgetClient>) {
     loop {
         client.call(|b, now, out| b.tick(now, out));
         if client.has_cold_budget {
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -5,7 +5,7 @@
 use crate::control_socket::{ControlSocket, Subject};
 use crate::net::{self, now, sleep_until, uptime};
 use crate::node::Node;
-use crate::operators::Zoned;
+use crate::operators::ZoneSettings;
 use crate::pair_keys::PairKeys;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 const TRAFFIC_INTERVAL: Micros = 100_000;
 
 /// This proxy's part in the decisions on zones.
-pub struct Fleet {
+pub struct ZoneClient {
     node: Rc<Node>,
     budgets: Rc<BudgetClient>,
     socket: Rc<ControlSocket>,
@@ -30,8 +30,8 @@
 fn zones(node: &Node) -> Vec<Zone> {
     let (s, names) = (&node.config.settings, &node.config.names);
     let stands = |z: usize| s.routers_by_zone.get(z).copied().unwrap_or(0) > 0;
-    let tied = |z: usize| names.hubs.get(z).copied().unwrap_or(u16::MAX);
-    let hub = |z: usize| !stands(z) && names.hubs.iter().any(|h| usize::from(*h) == z);
+    let tied = |z: usize| names.zone_parents.get(z).copied().unwrap_or(u16::MAX);
+    let hub = |z: usize| !stands(z) && names.zone_parents.iter().any(|h| usize::from(*h) == z);
     let hubs =
         |but: usize| (0..names.zones.len()).filter(|z| hub(*z) && *z != but).map(|z| z as u16).collect();
     let zone = |z: usize| Zone {
@@ -43,11 +43,16 @@
     (0..names.zones.len()).map(zone).collect()
 }
 
-impl Fleet {
+impl ZoneClient {
     /// # Errors
     /// One line that says why it cannot start.
-    pub fn new(node: Rc<Node>, budgets: Rc<BudgetClient>, zoned: Zoned) -> Result<Rc<Fleet>, String> {
-        let plain = budgets.seat_settings();
+    pub fn new(
+        node: Rc<Node>,
+        budgets: Rc<BudgetClient>,
+        zoned: ZoneSettings,
+    ) -> Result<Rc<ZoneClient>, String> {
+        let plain = budgets.identity_and_settings();
+
         let (me, shared) = plain.ok_or("zones: they take no part in the tree of regions and sites")?;
         let settings = Settings {
             me,
@@ -60,7 +65,7 @@
         let instance = Zones::new(uptime(), settings).map_err(|e| format!("zones: {e}"))?;
         let pairs = PairKeys::new(&zoned.secret, zoned.keys, me.index).into();
         let (socket, names) = (budgets.socket(), node.config.names.zones.clone());
-        let fleet = Rc::new(Fleet { node, budgets, socket, names, pairs, instance: instance.into() });
+        let fleet = Rc::new(ZoneClient { node, budgets, socket, names, pairs, instance: instance.into() });
         let receiver = Rc::downgrade(&fleet);
         let take = move |datagram: &[u8]| {
             if let Some(fleet) = receiver.upgrade() {
@@ -72,8 +77,8 @@
     }
 
     /// Takes over the others' keys of a file that was read anew: one that is no longer there counts no more.
-    pub fn reload(&self, zoned: Zoned) {
-        self.pairs.borrow_mut().renew(zoned.keys);
+    pub fn reload(&self, zoned: ZoneSettings) {
+        self.pairs.borrow_mut().replace_public_keys(zoned.keys);
     }
 
     /// One call of the instance, what it wants sent, and what follows from the map.
@@ -96,8 +101,8 @@
         let opened = self.pairs.borrow_mut().open(datagram).map(|(from, bytes)| (from, bytes.to_vec()));
         match opened {
             Some((from, bytes)) => {
-                let seat = self.budgets.seat();
-                self.call(|z, now, out| z.receive(now, from, &bytes, seat, out));
+                let election = self.budgets.election();
+                self.call(|z, now, out| z.receive(now, from, &bytes, election, out));
             }
             None => self.node.count(Counter::ZoneForged),
         }
@@ -155,13 +160,13 @@
                 (0..zones).map(|z| p.newest_start(z).map(|t| at.saturating_sub(t))).collect();
             (p.zone_observations(at), newest)
         });
-        let seat = self.budgets.seat();
+        let election = self.budgets.election();
         self.call(|z, now, out| {
             newest.iter().enumerate().for_each(|(n, age)| {
                 z.set_newest_start(n as u16, age.map(|a| now.saturating_sub(a).max(1)));
             });
             z.observe(now, seen);
-            z.tick(now, seat, out);
+            z.tick(now, election, out);
         });
         self.follow();
         let t = self.instance.borrow().counters;
@@ -181,15 +186,15 @@
 }
 
 /// Sees to what is due.
-pub async fn attend(fleet: Rc<Fleet>) {
+pub async fn run_timers(fleet: Rc<ZoneClient>) {
     let mut look = 0;
     loop {
         if now() >= look {
             look = now() + TRAFFIC_INTERVAL;
             fleet.look();
         } else {
-            let seat = fleet.budgets.seat();
-            fleet.call(|z, at, out| z.tick(at, seat, out));
+            let election = fleet.budgets.election();
+            fleet.call(|z, at, out| z.tick(at, election, out));
         }
         let wait = fleet.instance.borrow().next_due().saturating_sub(uptime()).max(1_000);
         sleep_until((now() + wait).min(look)).await;
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -13,8 +13,9 @@
 use std::rc::Rc;
 use threadward::net::{now, sleep_until, Signal};
 use threadward::node::Node;
-use threadward::shift::Shift;
+use threadward::shift::ProcessGroup;
 use threadward::wire::{self, MsgpackValue};
+
 use threadward::{admin, bulletin, config, front};
 use threadward_faults::{ports, Process};
 
@@ -305,7 +306,7 @@
     servers.push(server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
     let json = change(configuration(front, discovery, &servers));
     let node = Node::new(config::parse(&json).unwrap(), ex);
-    for event in node.config.known.clone() {
+    for event in node.config.known_events.clone() {
         bulletin::apply(&node, event, true);
     }
     node.spawn("front", front::serve(node.clone(), listener));
@@ -466,12 +467,15 @@
 }
 
 /// Opens the admin socket of the node under test, as the program does.
-pub fn start_admin(testbed: &Testbed, folder: Option<&Path>) -> (Rc<Shift>, SocketAddr) {
-    let shift = Shift::new(testbed.node.clone(), folder);
+pub fn start_admin(testbed: &Testbed, folder: Option<&Path>) -> (Rc<ProcessGroup>, SocketAddr) {
+    let shift = ProcessGroup::new(testbed.node.clone(), folder);
     let (listener, addr) = listen();
+
     shift.listening.set(true);
     let (node, state) = (testbed.node.clone(), shift.clone());
-    testbed.node.keep("door", move || admin::serve(node.clone(), state.clone(), listener.clone()));
+    testbed
+        .node
+        .spawn_restarting("door", move || admin::serve(node.clone(), state.clone(), listener.clone()));
     (shift, addr)
 }
 
@@ -495,14 +499,15 @@
 
 /// Returns `n` free addresses for processes of the program.
 pub fn free_addresses(n: usize) -> Vec<SocketAddr> {
-    ports::free(n).unwrap()
+    ports::free_addresses(n).unwrap()
 }
 
 /// Waits until a process has logged this text, without blocking the executor that the stand-ins run on.
 pub async fn wait_for_log(process: &Process, text: &str) {
     let deadline = now() + 10_000_000;
-    while !process.text().contains(text) {
-        assert!(now() < deadline, "never logged '{text}':\n{}", process.text());
+    while !process.output().contains(text) {
+        assert!(now() < deadline, "never logged '{text}':\n{}", process.output());
+
         sleep_until(now() + 5_000).await;
     }
 }
@@ -510,11 +515,12 @@
 /// Makes a process log its counters and returns the value of one. A counter that the log leaves out is zero.
 pub async fn read_counter(process: &Process, name: &str) -> u64 {
     let lines = |log: &str| log.lines().filter(|l| l.starts_with("counters: ")).count();
-    let before = lines(&process.text());
+    let before = lines(&process.output());
     process.signal(threadward_faults::Signal::USR1).unwrap();
-    wait_until("the counters", || lines(&process.text()) > before).await;
-    let log = process.text();
+    wait_until("the counters", || lines(&process.output()) > before).await;
+    let log = process.output();
     let line = log.lines().rfind(|l| l.starts_with("counters: ")).unwrap();
+
     let found = line.split(' ').find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
     found.map_or(0, |n| n.parse().unwrap())
 }
--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -268,9 +268,10 @@
         let (requests, testbed) = if moved {
             let (requests, at) = start_scripted(ex, vec![old]);
             let testbed = start_testbed_at(ex, 1, at).await;
-            wait_until("half an event", || testbed.node.heard.get()).await;
+            wait_until("half an event", || testbed.node.discovery_heard.get()).await;
             let (new, to) = start_scripted(ex, vec![new]);
             reload_with_discovery_at(&testbed.node, to);
+
             wait_until("the new watch", || !new.borrow().is_empty()).await;
             (requests, testbed)
         } else {
@@ -367,7 +368,7 @@
             if moves {
                 reload_with_discovery_at(
                     &testbed.node,
-                    if testbed.node.bulletin.get() == at { to } else { at },
+                    if testbed.node.discovery_addr.get() == at { to } else { at },
                 );
             }
             sleep_until(now() + 5_000).await;
@@ -455,7 +456,8 @@
     run(|ex| async move {
         let (_, to) = start_scripted(ex, vec![vec![say(OK_HEAD), say(&purge_block(1)), Hold]]);
         let testbed = start_testbed_at(ex, 1, at).await;
-        wait_until("the flood", || testbed.node.heard.get()).await;
+        wait_until("the flood", || testbed.node.discovery_heard.get()).await;
+
         let mut longest = 0;
         for _ in 0..10 {
             let before = now();
@@ -603,10 +605,10 @@
             .collect();
         let text = format!(r#"{{"no":1,{}}}"#, list_event(false, &both));
         let (_, b) =
-            config::event(&serde_json::from_str(&text).unwrap(), &testbed.node.config.names).unwrap();
+            config::parse_event(&serde_json::from_str(&text).unwrap(), &testbed.node.config.names).unwrap();
         bulletin::apply(&testbed.node, b.unwrap(), false);
-        wait_until("the answer", || !answers.borrow().is_empty()).await;
 
+        wait_until("the answer", || !answers.borrow().is_empty()).await;
         assert_eq!(
             (answers.borrow().len(), !testbed.received_requests().is_empty()),
             (1, sent),
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -339,10 +339,11 @@
 ) -> (Rc<RecordingOwner>, Rc<dyn PoolOwner>, PoolTransport) {
     let names = config::Names {
         classes: vec!["booking".into()],
-        connect: 1_000 * MILLISECOND,
+        connect_timeout: 1_000 * MILLISECOND,
         keepalive: 30_000 * MILLISECOND,
-        grace: 300 * MILLISECOND,
-        streams: 10_000,
+        epoch_grace: 300 * MILLISECOND,
+        streams_per_connection: 10_000,
+
         ..config::Names::default()
     };
     let (pool, owner) = (
@@ -351,7 +352,8 @@
     );
     let pool_owner: Rc<dyn PoolOwner> = owner.clone();
     pool.set_owner(&pool_owner);
-    let entry = Entry { addr: config::stand_in("c-0"), ..Entry::default() };
+    let entry = Entry { addr: config::address_for_id("c-0"), ..Entry::default() };
+
     let started = UnixTime::default();
     let listed = config::ListedServer {
         id: "c-0".into(),
@@ -374,7 +376,7 @@
     Dispatch {
         request,
         attempt,
-        member: config::stand_in("c-0"),
+        member: config::address_for_id("c-0"),
         source: None,
         keep_rank: 0,
         max_age: 0,
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
 use threadward_core::{Counter, Micros};
-use threadward_faults::{after, Process, Signal, Start};
+use threadward_faults::{after, Process, ProcessBuilder, Signal};
 
 fn cancel(id: u8) -> Vec<u8> {
     let mut out = vec![0x93, 0x02];
@@ -69,11 +69,11 @@
     /// that have to stay open meanwhile.
     fn apply(self, testbed: &Testbed) -> Vec<TcpStream> {
         match self {
-            CloseReason::GivesWay => testbed.node.give_way(),
+            CloseReason::GivesWay => testbed.node.hand_over(),
             CloseReason::Ends => {
                 testbed.node.stopping.set(Some(now() - 950_000));
                 let n = testbed.node.clone();
-                testbed.ex.spawn(async move { n.drained().await }).detach();
+                testbed.ex.spawn(async move { n.wait_until_drained().await }).detach();
             }
             CloseReason::Evicted => {
                 return (0..4).map(|_| TcpStream::connect(testbed.front).unwrap()).collect()
@@ -148,7 +148,7 @@
             sleep_until(now() + 20_000).await;
         }
         drop(held);
-        wait_until("the close", || testbed.node.connections() == 0).await;
+        wait_until("the close", || testbed.node.connection_count() == 0).await;
         let counter_value = |c| testbed.node.plan(|p, _| p.counters.get(c));
         assert_eq!((testbed.received_requests().len(), counter_value(Counter::Taken)), (1, 1));
     });
@@ -249,10 +249,10 @@
         assert_eq!(testbed.node.plan(|p, _| p.open_requests()), 0);
         drop(kept);
         wait_until("its memory", || {
-            testbed.node.unwritten_bytes.get() == 0 && testbed.node.connections() == 0
+            testbed.node.unwritten_bytes.get() == 0 && testbed.node.connection_count() == 0
         })
         .await;
-        assert_eq!((testbed.received_requests().len(), testbed.node.unwritten.get()), (sent, 0));
+        assert_eq!((testbed.received_requests().len(), testbed.node.unwritten_answers.get()), (sent, 0));
     });
 }
 
@@ -307,7 +307,7 @@
             );
         }
         let sent = testbed.received_requests().iter().filter(|parts| parts[1] == call_id(1)).count();
-        assert_eq!((sent, testbed.node.unwritten.get()), (1, 0));
+        assert_eq!((sent, testbed.node.unwritten_answers.get()), (1, 0));
     });
 }
 
@@ -350,7 +350,8 @@
         configuration(front, discovery, &[server_entry("s-0", c.addr, "std", "active", 0)]),
     )
     .unwrap();
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
+
     (start.spawn().unwrap(), c, front)
 }
 
@@ -391,17 +392,17 @@
         assert_eq!(idle.answer().await.unwrap().1, None, "unread");
         assert!(ends(&idle).await && ends(&late).await, "reset while idle");
         assert!(now() > stopped_at + 850_000, "ended before the last of its clients could come");
-        assert!(process.ended().is_none(), "ended with a request half read");
+        assert!(process.exit_status().is_none(), "ended with a request half read");
         half_sent.send(&frame[60..]).await;
         assert_eq!(half_sent.answer().await, Some((2, Some("Full".into()), vec![])));
         assert!(ends(&half_sent).await, "reset after the last answer");
         assert!(bytes_to_end(&slow).await.is_some_and(|n| n > large as usize * 240_000), "an answer was cut");
         drop((idle, late, half_sent, slow));
-        wait_until("the end", || process.ended().is_some()).await;
+        wait_until("the end", || process.exit_status().is_some()).await;
         assert!(
             process.wait(after(1_000)).unwrap().success() && now() < stopped_at + 3_700_000,
             "{}",
-            process.text()
+            process.output()
         );
     });
 }
@@ -420,13 +421,13 @@
         half_sent.send(&endless.concat()).await;
         process.signal(Signal::TERM).unwrap();
         let stopped_at = now();
-        while process.ended().is_none() {
+        while process.exit_status().is_none() {
             // A byte at a time, so that it is never silent.
             half_sent.stream.get_ref().write_all(&[7]).ok();
             assert!(now() < stopped_at + 3_700_000, "SIGKILL would have come first");
             sleep_until(now() + 50_000).await;
         }
-        assert!(process.ended().unwrap().success());
+        assert!(process.exit_status().unwrap().success());
     });
 }
 
@@ -452,7 +453,8 @@
         let (recorded_max, done) = (max_connections.clone(), finished.clone());
         ex.spawn(async move {
             while !done.get() {
-                recorded_max.set(recorded_max.get().max(n.connections()));
+                recorded_max.set(recorded_max.get().max(n.connection_count()));
+
                 future::yield_now().await;
             }
         })
@@ -478,14 +480,17 @@
             wait_until("the whole backlog is accepted", all_accepted).await;
         }
         wait_until("every connection and request ends", || {
-            testbed.node.connections() == 0 && testbed.node.plan(|p, _| p.open_requests()) == 0
+            testbed.node.connection_count() == 0 && testbed.node.plan(|p, _| p.open_requests()) == 0
         })
         .await;
         finished.set(true);
         println!("longest answer {longest} us, most connections {}", max_connections.get());
         assert!(max_connections.get() <= SOCKETS / 2 + SOCKETS / 32, "{} connections", max_connections.get());
         assert!(longest < 1_000_000, "an answer took {longest} us");
-        wait_until("its memory", || (testbed.node.unwritten.get(), testbed.node.held()) == (0, 0)).await;
+        wait_until("its memory", || {
+            (testbed.node.unwritten_answers.get(), testbed.node.held_bytes()) == (0, 0)
+        })
+        .await;
         assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Panics)), 0);
     });
 }
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -11,13 +11,13 @@
 use std::process::Command;
 use std::rc::Rc;
 use tempfile::{tempdir, TempDir};
-use threadward::ledger::{write_learned, Ledger};
+use threadward::ledger::{format_learned, SharedFiles};
 use threadward::net::{self, now, sleep_until};
-use threadward::{handover, shift::Shift};
+use threadward::{handover, shift::ProcessGroup};
 use threadward_core::bans::{BanState, BanStates};
 use threadward_core::shift::Phase;
 use threadward_core::{Learned, UnixTime};
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 /// Starts a discovery server that answers every request at once and has no events.
 fn start_empty_discovery(ex: &'static LocalExecutor<'static>) -> SocketAddr {
@@ -55,7 +55,7 @@
     let json = configuration(front, start_empty_discovery(ex), &list);
     let folder = tempdir().unwrap();
     let bans = BanStates::from([("s-0".into(), BanState::Banned(UnixTime::from_micros(5)))]);
-    Ledger::open(folder.path(), "n0", (1, 1)).unwrap().keep(1, &bans).unwrap();
+    SharedFiles::open(folder.path(), "n0", (1, 1)).unwrap().store_bans(1, &bans).unwrap();
     Site { caches, front, admin_addrs, json, folder }
 }
 
@@ -63,7 +63,7 @@
     fn start(&self, n: usize) -> Process {
         let config = self.folder.path().join(format!("config-{n}.json"));
         std::fs::write(&config, &self.json).unwrap();
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config);
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config);
         start
             .env("LB_ADMIN_ADDR", self.admin_addrs[n].to_string())
             .env("TMPDIR", self.folder.path())
@@ -76,14 +76,15 @@
         while Async::<std::net::TcpStream>::connect(self.admin_addrs[n]).await.is_err()
             || admin_command(self.admin_addrs[n], &["READY\n"]).await != "done ready\n"
         {
-            assert!(now() < end, "never ready:\n{}", process.text());
+            assert!(now() < end, "never ready:\n{}", process.output());
+
             sleep_until(now() + 5_000).await;
         }
     }
 
     /// Returns a ledger of another process of the proxy, played by the test.
-    fn ledger_of_other(&self, started: u64) -> Ledger {
-        Ledger::open(self.folder.path(), "n0", (started, 1)).unwrap()
+    fn ledger_of_other(&self, started: u64) -> SharedFiles {
+        SharedFiles::open(self.folder.path(), "n0", (started, 1)).unwrap()
     }
 
     /// Sends requests as clients do, each on its own connection, until `n` were served. A refused connection
@@ -117,9 +118,10 @@
         self.wait_until_ready(n, &next).await;
         from.term().unwrap();
         assert_clean_end(from).await;
-        assert!(from.text().contains("stop: gives way to another process"), "{}", from.text());
+        assert!(from.output().contains("stop: gives way to another process"), "{}", from.output());
         self.serve_requests(3).await;
-        assert_eq!(next.ended(), None);
+        assert_eq!(next.exit_status(), None);
+
         let left: Vec<String> = self.files().into_iter().filter(|f| f.ends_with("-1")).collect();
         assert_eq!(left, [""; 0], "files of ended processes were not removed");
     }
@@ -156,10 +158,11 @@
 }
 
 async fn assert_clean_end(process: &Process) {
-    wait_until("the end", || process.ended().is_some()).await;
-    assert_eq!(process.ended().unwrap().code(), Some(0), "{}", process.text());
+    wait_until("the end", || process.exit_status().is_some()).await;
+    assert_eq!(process.exit_status().unwrap().code(), Some(0), "{}", process.output());
+
     // The log comes by a pipe, and its last line may come later than the end of the process.
-    wait_until("the last line", || process.text().ends_with("end\n")).await;
+    wait_until("the last line", || process.output().ends_with("end\n")).await;
 }
 
 /// The step at which the old process ends, or hangs, while a new one starts.
@@ -196,13 +199,15 @@
     run(|ex| async move {
         let site = site(ex);
         let old = site.ledger_of_other(5);
-        old.show(Phase::Ready, 1).unwrap();
+        old.publish(Phase::Ready, 1).unwrap();
         let own_socket = Rc::new(net::bind_address(site.front, true).unwrap().listen().unwrap());
+
         let (elsewhere, _) = listen();
         let new = site.start(0);
         wait_for_log(&new, "shift: 1 other processes of this proxy live").await;
-        let new_rank = old.others()[0].rank;
-        let text = write_learned(&["media", "booking", "quick"].map(str::to_owned), &Learned::default());
+        let new_rank = old.other_processes()[0].rank;
+        let text = format_learned(&["media", "booking", "quick"].map(str::to_owned), &Learned::default());
+
         let file = |kind: &str, of: (u64, u32)| {
             site.folder.path().join(format!("threadward-n0.{kind}-{:016x}-{}", of.0, of.1))
         };
@@ -214,9 +219,11 @@
                 wait_for_log(&new, "what another process has learned is not used: ").await;
             }
             _ => {
-                let at = handover::open(&old.socket_path(old.rank())).unwrap();
-                old.teach(new_rank, &text).unwrap();
+                let at = handover::bind_socket(&old.socket_path(old.rank())).unwrap();
+                old.send_learned(new_rank, &text).unwrap();
+
                 wait_for_log(&new, "shift: took over what another process has learned").await;
+
                 match step {
                     Old::Asked => drop(at.accept().await.unwrap()),
                     Old::Hangs => {
@@ -224,14 +231,14 @@
                         site.wait_until_ready(0, &new).await;
                     }
                     Old::GivesAnother => {
-                        ex.spawn(handover::offer(at, Rc::downgrade(&elsewhere))).detach();
+                        ex.spawn(handover::serve_requests(at, Rc::downgrade(&elsewhere))).detach();
                         site.wait_until_ready(0, &new).await;
                     }
                     Old::Given => {
                         // Waits in the backlog that both processes share; the one that remains accepts it.
                         let mut waiting_client = Client::connect(site.front).await;
                         waiting_client.send(&request(1, "media", &[])).await;
-                        ex.spawn(handover::offer(at, Rc::downgrade(&own_socket))).detach();
+                        ex.spawn(handover::serve_requests(at, Rc::downgrade(&own_socket))).detach();
                         site.wait_until_ready(0, &new).await;
                         assert_eq!(site.listening_sockets().len(), 1);
                         assert_eq!(waiting_client.answer().await, Some((1, None, b"whole".to_vec())));
@@ -286,24 +293,26 @@
         }
         let new = site.ledger_of_other(now());
         wait_for_log(&old, "shift: what was learned is handed to a process that starts").await;
-        let path = new.socket_path(new.others()[0].rank);
+        let path = new.socket_path(new.other_processes()[0].rank);
+
         let mut held = None;
         match step {
             New::Asks => drop(Async::<std::os::unix::net::UnixStream>::connect(&path).await.unwrap()),
             New::Took | New::Ready | New::TookOver => {
-                held = handover::ask(&path, site.front, now() + 5_000_000).await;
+                held = handover::request_listener(&path, site.front, now() + 5_000_000).await;
                 assert!(held.is_some());
             }
             _ => {}
         }
         if matches!(step, New::Ready | New::TookOver) {
-            new.show(Phase::Ready, 1).unwrap();
+            new.publish(Phase::Ready, 1).unwrap();
             wait_for_log(&old, "shift: another process is ready to take over").await;
         }
         if step == New::TookOver {
             old.term().unwrap();
             assert_clean_end(&old).await;
-            assert!(old.text().contains("stop: gives way"), "{}", old.text());
+            assert!(old.output().contains("stop: gives way"), "{}", old.output());
+
             drop((new, held));
             let next = site.start(2);
             site.wait_until_ready(2, &next).await;
@@ -341,7 +350,7 @@
         old.cont().unwrap();
         let classes = ["media", "booking", "quick"].map(str::to_owned);
         for new in &both {
-            wait_until("what was learned", || new.taught(&classes).unwrap().is_some()).await;
+            wait_until("what was learned", || new.take_learned(&classes).unwrap().is_some()).await;
         }
     });
 }
@@ -355,7 +364,7 @@
         let (_silent, at) = listen();
         site.json = configuration(site.front, at, &[]).replace(r#""known""#, r#""none""#);
         let old = site.ledger_of_other(5);
-        old.show(Phase::Ready, 1).unwrap();
+        old.publish(Phase::Ready, 1).unwrap();
         let new = [site.start(0), site.start(1)];
         for process in &new {
             wait_for_log(process, "shift: 2 other processes of this proxy live").await;
@@ -381,17 +390,18 @@
     run(|ex| async move {
         let site = site(ex);
         let old = site.ledger_of_other(5);
-        old.show(Phase::Ready, 1).unwrap();
+        old.publish(Phase::Ready, 1).unwrap();
         let own_socket = Rc::new(net::bind_address(site.front, true).unwrap().listen().unwrap());
-        let at = handover::open(&old.socket_path(old.rank())).unwrap();
+        let at = handover::bind_socket(&old.socket_path(old.rank())).unwrap();
         let new = site.start(0);
+
         let (asking, _) = at.accept().await.unwrap();
         let mut waiting_client = Client::connect(site.front).await;
         waiting_client.send(&request(1, "media", &[])).await;
         new.stop().unwrap();
         new.term().unwrap();
         if given {
-            handover::give(asking.get_ref(), own_socket.get_ref()).unwrap();
+            handover::send_listener(asking.get_ref(), own_socket.get_ref()).unwrap();
         }
         new.cont().unwrap();
         assert_clean_end(&new).await;
@@ -467,7 +477,8 @@
         assert_eq!(half_sent.answer().await.map(|a| a.0), Some(1));
         if !both {
             assert_clean_end(&old).await;
-            assert!(old.text().contains("stop: gives way"), "{}", old.text());
+            assert!(old.output().contains("stop: gives way"), "{}", old.output());
+
             new.cont().unwrap();
         }
         for mut c in waiting {
@@ -476,7 +487,7 @@
         if both {
             assert_clean_end(&old).await;
             assert_clean_end(&new).await;
-            let gave_way = [&old, &new].map(|process| process.text().contains("stop: gives way"));
+            let gave_way = [&old, &new].map(|process| process.output().contains("stop: gives way"));
             assert!(gave_way != [true, true], "each process left the clients to the other");
             let next = site.start(2);
             site.wait_until_ready(2, &next).await;
@@ -521,7 +532,7 @@
         set_descriptor_limit(&old, 3);
         old.term().unwrap();
         assert_clean_end(&old).await;
-        assert!(old.text().contains("stop: gives way"), "{}", old.text());
+        assert!(old.output().contains("stop: gives way"), "{}", old.output());
         site.hand_over_to_next(2, &new).await;
     });
 }
@@ -533,15 +544,16 @@
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         let folder = tempdir().unwrap();
-        let shift = Shift::new(testbed.node.clone(), Some(folder.path()));
-        shift.listens(&listen().0);
+        let shift = ProcessGroup::new(testbed.node.clone(), Some(folder.path()));
+        shift.start_listening(&listen().0);
+
         let file = |kind: &str| {
             let mut all = std::fs::read_dir(folder.path()).unwrap().map(|e| e.unwrap().path());
             all.find(|path| path.to_string_lossy().contains(kind))
         };
         assert!(file(".sock-").is_some_and(|path| std::os::unix::net::UnixStream::connect(path).is_ok()));
         // An operator who is told that the process is ready starts the next one, which reads the file.
-        wait_until("discovery", || testbed.node.heard.get()).await;
+        wait_until("discovery", || testbed.node.discovery_heard.get()).await;
         assert_eq!(shift.ready(), Ok(()));
         assert!(std::fs::read_to_string(file(".run-").unwrap()).unwrap().starts_with("ready "));
     });
--- a/node/tests/crossings_signals.rs
+++ b/node/tests/crossings_signals.rs
@@ -16,7 +16,7 @@
 use threadward::net::{self, now, sleep_until};
 use threadward::wire;
 use threadward_core::Micros;
-use threadward_faults::{Process, Signal, Start};
+use threadward_faults::{Process, ProcessBuilder, Signal};
 
 /// The time from SIGTERM to the platform's SIGKILL.
 const KILL_AFTER: Micros = 3_700_000;
@@ -37,7 +37,8 @@
 }
 
 fn spawn(site: &Site) -> Process {
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &site.config_path);
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &site.config_path);
+
     start.without_env("LB_ADMIN_ADDR").spawn().unwrap()
 }
 
@@ -48,10 +49,10 @@
 
 /// Waits until the program has ended by itself, and checks that it did so before the kill.
 async fn assert_ends_before_the_kill(process: &Process, stopped_at: Micros) {
-    wait_until("the end", || process.ended().is_some()).await;
-    assert_eq!(process.ended().unwrap().code(), Some(0), "{}", process.text());
+    wait_until("the end", || process.exit_status().is_some()).await;
+    assert_eq!(process.exit_status().unwrap().code(), Some(0), "{}", process.output());
     assert!(now() < stopped_at + KILL_AFTER, "ended {} us after SIGTERM", now() - stopped_at);
-    wait_until("the last line", || process.text().ends_with("end\n")).await;
+    wait_until("the last line", || process.output().ends_with("end\n")).await;
 }
 
 /// A cache that holds its requests until the test answers them.
@@ -142,12 +143,12 @@
         assert_ends_before_the_kill(&process, stopped_at).await;
         let hup = signals.contains(&Signal::HUP);
         assert_eq!(
-            process.text().contains("reload: kept the old configuration: "),
+            process.output().contains("reload: kept the old configuration: "),
             hup,
             "{}",
-            process.text()
+            process.output()
         );
-        assert_eq!(process.text().matches("stop: SIGTERM").count(), 1);
+        assert_eq!(process.output().matches("stop: SIGTERM").count(), 1);
     });
 }
 
@@ -226,7 +227,7 @@
         if signals.contains(&Signal::HUP) {
             let expected_line =
                 if broken { "reload: kept the old configuration" } else { "reload: bulletin " };
-            assert!(process.text().contains(expected_line), "{}", process.text());
+            assert!(process.output().contains(expected_line), "{}", process.output());
         }
     });
 }
@@ -356,7 +357,7 @@
         process.term().unwrap();
         wait_for_log(&process, "stop: SIGTERM").await;
         sleep_until(stopped_at + 1_000_000).await;
-        assert_eq!(process.ended(), None, "ended with an answer half written");
+        assert_eq!(process.exit_status(), None, "ended with an answer half written");
         client.read_to_end(&mut got).await.unwrap();
         assert!(got == want, "{} bytes of {}", got.len(), want.len());
         assert_ends_before_the_kill(&process, stopped_at).await;
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -8,7 +8,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use threadward::net::{now, sleep_until};
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 /// The limit on descriptors that the program runs with.
 const DESCRIPTOR_LIMIT: usize = 96;
@@ -32,10 +32,12 @@
         let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTOR_LIMIT}"));
         std::fs::write(&path, json).unwrap();
         let limited = format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\"");
-        let start = Start::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
+        let start =
+            ProcessBuilder::new("/bin/sh").arg("-c").arg(limited).arg(env!("CARGO_BIN_EXE_threadward"));
         let process = start.env("LB_CONFIG", &path).spawn().unwrap();
         wait_until("the front", || TcpStream::connect(addrs[0]).is_ok()).await;
         let before_clients = open_descriptors(&process);
+
         let (mut crowd, frame) = (Vec::new(), request(1, "media", &[]));
         for wave in 0..3 {
             // The program is stopped, so a whole wave is in the listen backlog before the first of it is
@@ -87,7 +89,8 @@
             if client.answer().await == Some((id, None, b"whole".to_vec())) {
                 break;
             }
-            assert!(now() < discovery_up_at + 10_000_000, "not served:\n{}", process.text());
+            assert!(now() < discovery_up_at + 10_000_000, "not served:\n{}", process.output());
+
             sleep_until(now() + 10_000).await;
         }
         println!("served {} ms after discovery came up", (now() - discovery_up_at) / 1000);
@@ -95,7 +98,8 @@
             "{before_clients} descriptors before the clients, {} with them, of {DESCRIPTOR_LIMIT}",
             open_descriptors(&process)
         );
-        assert!(!process.text().contains("accept: "), "{}", process.text());
+        assert!(!process.output().contains("accept: "), "{}", process.output());
+
         drop(crowd);
     });
 }
--- a/node/tests/failing_folder.rs
+++ b/node/tests/failing_folder.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use tempfile::{tempdir, TempDir};
 use threadward::net::{now, sleep_until};
-use threadward_faults::{Failure, FileFault, Process, Shim, Start};
+use threadward_faults::{Failure, FileFault, Process, ProcessBuilder, Shim};
 
 /// Every call fails, in failures per million calls.
 const ALWAYS: u32 = 1_000_000;
@@ -37,7 +37,7 @@
 
 impl Site {
     async fn start(&self) -> Process {
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward"));
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"));
         let start = start.env("LB_CONFIG", self.folder.path().join("config.json"));
         let start = start.env("LB_ADMIN_ADDR", self.admin.to_string()).env("TMPDIR", self.folder.path());
         let process = self.shim.preload(start).unwrap().spawn().unwrap();
@@ -71,17 +71,17 @@
         let first = site.start().await;
         assert!(admin_command(site.admin, &["DISABLE s-0\n"]).await.starts_with("done"));
         first.kill().unwrap();
-        site.shim.fail(Failure::File, ALWAYS).unwrap();
+        site.shim.set_failure_rate(Failure::File, ALWAYS).unwrap();
         let second = site.start().await;
-        assert_eq!(site.requests_at_first_server(1).await, 0, "{}", second.text());
+        assert_eq!(site.requests_at_first_server(1).await, 0, "{}", second.output());
         let refusal = admin_command(site.admin, &["ENABLE s-0\n"]).await;
         assert!(refusal.starts_with("error "), "{refusal}");
-        assert_eq!(site.requests_at_first_server(100).await, 0, "{}", second.text());
-        site.shim.fail(Failure::File, 0).unwrap();
+        assert_eq!(site.requests_at_first_server(100).await, 0, "{}", second.output());
+        site.shim.set_failure_rate(Failure::File, 0).unwrap();
         // The folder has recovered: this process announces its state without a further command.
         wait_until("the announcement", || site.announcements().iter().any(|s| s.starts_with("ready"))).await;
         assert!(admin_command(site.admin, &["ENABLE s-0\n"]).await.starts_with("done"));
-        assert_eq!(second.ended(), None);
+        assert_eq!(second.exit_status(), None);
     });
 }
 
@@ -103,35 +103,36 @@
             Some(running) => running,
             None => site.start().await,
         };
-        let next = site.shim.file_calls().unwrap() + number;
+        let next = site.shim.file_call_count().unwrap() + number;
         site.shim.fail_file_call(next, fault).unwrap();
         let answer = send_command(site.admin, "DISABLE s-0\n").await;
         site.shim.fail_file_call(0, fault).unwrap();
         if answer.is_empty() {
-            wait_until("the end of the process", || running.ended().is_some()).await;
+            wait_until("the end of the process", || running.exit_status().is_some()).await;
         }
-        let running = if running.ended().is_some() { site.start().await } else { running };
+        let running = if running.exit_status().is_some() { site.start().await } else { running };
         if !answer.starts_with("done") {
             // The ban was not stored, and the answer said so: repeating the command stores it.
             assert!(
                 send_command(site.admin, "DISABLE s-0\n").await.starts_with("done"),
                 "{}",
-                running.text()
+                running.output()
             );
         }
         assert_eq!(
             site.requests_at_first_server(requests).await,
             0,
             "call {number}, {fault:?}: {}",
-            running.text()
+            running.output()
         );
+
         running.kill().unwrap();
         let next = site.start().await;
         assert_eq!(
             site.requests_at_first_server(requests + 100).await,
             0,
             "call {number}, {fault:?}: {}",
-            next.text()
+            next.output()
         );
         assert!(send_command(site.admin, "ENABLE s-0\n").await.starts_with("done"));
         requests += 1_000;
@@ -158,8 +159,8 @@
         let site = site(ex);
         let process = site.start().await;
         sleep_until(now() + 300_000).await;
-        let before = site.shim.syncs().unwrap();
+        let before = site.shim.sync_count().unwrap();
         assert!(admin_command(site.admin, &["DISABLE s-0\n"]).await.starts_with("done"));
-        assert!(site.shim.syncs().unwrap() >= before + 2, "{}", process.text());
+        assert!(site.shim.sync_count().unwrap() >= before + 2, "{}", process.output());
     });
 }
--- a/node/tests/gossip.rs
+++ b/node/tests/gossip.rs
@@ -11,7 +11,7 @@
 use tempfile::TempDir;
 use threadward::net::{now, sleep_until};
 use threadward::{config, gossip};
-use threadward_faults::{Process, Signal, Start};
+use threadward_faults::{Process, ProcessBuilder, Signal};
 use threadward_gossip::{public_key, Gossip, Output, PeerConfig, Settings};
 
 fn secret(i: usize) -> [u8; 32] {
@@ -62,7 +62,7 @@
     fn start(&self, i: usize, json: &str) -> Process {
         let config = self.file(i, "json");
         std::fs::write(&config, json.replace("\"name\":\"n0\"", &format!("\"name\":\"n{i}\""))).unwrap();
-        Start::new(env!("CARGO_BIN_EXE_threadward"))
+        ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
             .arg("--fronts")
             .arg(self.file(i, "toml"))
             .env("LB_CONFIG", config)
@@ -139,7 +139,8 @@
         let proxies: Vec<Process> = (0..3)
             .map(|i| g.start(i, &configuration(free_addresses(1)[0], bulletin, &hubs(&caches))))
             .collect();
-        let accused: Vec<Addr> = (0..3).map(|i| config::stand_in(&format!("h-{i}"))).collect();
+        let accused: Vec<Addr> = (0..3).map(|i| config::address_for_id(&format!("h-{i}"))).collect();
+
         let liar = keep_lying(ex, Liar::new(&g, 3, &accused));
         for p in &proxies {
             wait_for_log(p, "live, 4 of 4 live").await;
@@ -157,7 +158,7 @@
             assert_eq!(read_counter(&proxies[0], name).await, 1, "{name}");
         }
         for p in &proxies {
-            assert_eq!(read_counter(p, "gossipDoubts").await, 0, "{}", p.text());
+            assert_eq!(read_counter(p, "gossipDoubts").await, 0, "{}", p.output());
         }
         // One ends by will, and the others know at once.
         proxies[2].term().unwrap();
@@ -175,17 +176,21 @@
         let json = configuration(free_addresses(1)[0], bulletin, &hubs(&caches))
             .replace("\"cancel\"", "\"probes\":true,\"cancel\"");
         let p = g.start(0, &json);
-        let accused = [config::stand_in("h-1")];
+        let accused = [config::address_for_id("h-1")];
         let _two = [1, 2].map(|i| keep_lying(ex, Liar::new(&g, i, &accused)));
         wait_for_log(&p, "gossip: h-1 is held suspect, 2 witnesses").await;
         let probed = || caches[1].commands.borrow().iter().any(|c| c[0] == "health");
         wait_until("the probe", probed).await;
         assert_eq!(read_counter(&p, "gossipProbes").await, 1);
         // The stand-in never answers it: an own failure, which with the rumour makes a skip.
-        wait_until("the skip", || p.text().contains("counters: ") && caches[1].commands.borrow().len() == 1)
-            .await;
+        wait_until("the skip", || {
+            p.output().contains("counters: ") && caches[1].commands.borrow().len() == 1
+        })
+        .await;
+
         sleep_until(now() + 600_000).await;
-        assert_eq!(read_counter(&p, "gossipSkipsHelped").await, 1, "{}", p.text());
+        assert_eq!(read_counter(&p, "gossipSkipsHelped").await, 1, "{}", p.output());
+
         // A file without the witnesses: their word ends with them.
         g.write(0, 1);
         p.signal(Signal::HUP).unwrap();
@@ -200,11 +205,11 @@
 #[test]
 fn a_key_is_made_once_and_fits_its_public_part() {
     let path = std::env::temp_dir().join(format!("threadward-key-{}", std::process::id()));
-    let public_part = gossip::make_key(&path).unwrap();
+    let public_part = gossip::create_key_file(&path).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
     let secret: [u8; 32] = URL_SAFE_NO_PAD.decode(text.trim()).unwrap().try_into().unwrap();
     assert_eq!(URL_SAFE_NO_PAD.encode(public_key(&secret)), public_part);
-    assert!(gossip::make_key(&path).is_err(), "an existing file is never touched");
+    assert!(gossip::create_key_file(&path).is_err(), "an existing file is never touched");
     assert_eq!(std::fs::read_to_string(&path).unwrap(), text);
     std::fs::remove_file(&path).unwrap();
 }
@@ -217,7 +222,7 @@
     std::fs::write(folder.join(&name), URL_SAFE_NO_PAD.encode(secret(0))).unwrap();
     let say = |head: &str, peer: &str| {
         let text = format!("[gossip]\nsecret_file = \"{name}\"\n{head}\n[[gossip.peer]]\n{peer}\n");
-        threadward::operators::fronts(&text, "n0", Path::new(&folder)).err().unwrap_or_default()
+        threadward::operators::parse_text(&text, "n0", Path::new(&folder)).err().unwrap_or_default()
     };
     let own = format!("name = \"n0\"\naddress = \"127.0.0.1:1\"\nkeys = [\"{key}\"]");
     assert_eq!(say("", &own), "");
@@ -232,7 +237,7 @@
     assert_eq!(say("", &own.replace("n0", "n7")), "[gossip]: no peer is named 'n0'");
     // The sample is right but for its keys, which are of secrets that were thrown away.
     let sample = include_str!("../../deploy/gossip.toml").replace("secrets/gossip.key", &name);
-    let line = threadward::operators::fronts(&sample, "n0", Path::new(&folder)).err().unwrap();
+    let line = threadward::operators::parse_text(&sample, "n0", Path::new(&folder)).err().unwrap();
     assert_eq!(line, "[gossip]: the own secret belongs to no key of peer 'n0'");
     std::fs::remove_file(folder.join(&name)).unwrap();
 }
--- a/node/tests/interrupted_calls.rs
+++ b/node/tests/interrupted_calls.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use tempfile::tempdir;
-use threadward_faults::{Failure, Shim, Signal, Start};
+use threadward_faults::{Failure, ProcessBuilder, Shim, Signal};
 
 /// One call in ten, in failures per million calls.
 const ONE_IN_TEN_PER_MILLION: u32 = 100_000;
@@ -33,10 +33,12 @@
             let entries = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
             std::fs::write(&config_path, configuration(front, discovery, &entries)).unwrap();
             let shim = Shim::new(7).unwrap();
-            let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
+            let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
+
             let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
             wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
-            kinds.iter().for_each(|kind| shim.fail(*kind, ONE_IN_TEN_PER_MILLION).unwrap());
+            kinds.iter().for_each(|kind| shim.set_failure_rate(*kind, ONE_IN_TEN_PER_MILLION).unwrap());
+
             for number in 1..=60u32 {
                 let mut client = Client::connect(front).await;
                 for id in 1..=3 {
@@ -47,7 +49,7 @@
                         answer.as_ref().map(|a| (a.0, a.1.clone())),
                         Some((id, None)),
                         "{}",
-                        process.text()
+                        process.output()
                     );
                     assert_eq!(answer.map(|a| a.2.len()), Some(body.len()));
                 }
@@ -55,11 +57,12 @@
                 process.signal(Signal::HUP).unwrap();
             }
             for kind in kinds {
-                assert!(shim.failed(*kind).unwrap() > 0, "no call was made to fail: {kind:?}");
-                shim.fail(*kind, 0).unwrap();
+                assert!(shim.failure_count(*kind).unwrap() > 0, "no call was made to fail: {kind:?}");
+                shim.set_failure_rate(*kind, 0).unwrap();
             }
-            assert!(!process.text().contains("stop: "), "{}", process.text());
+            assert!(!process.output().contains("stop: "), "{}", process.output());
             // Waits until the log accepts lines again: it limits the lines per second.
+
             sleep(1_100).await;
             let reloads = read_counter(&process, "reloads").await;
             process.signal(Signal::HUP).unwrap();
@@ -67,11 +70,11 @@
             assert!(
                 read_counter(&process, "reloads").await > reloads,
                 "SIGHUP no longer reloads the configuration:\n{}",
-                process.text()
+                process.output()
             );
             process.term().unwrap();
-            wait_until("the end", || process.ended().is_some()).await;
-            assert_eq!(process.ended().unwrap().code(), Some(0));
+            wait_until("the end", || process.exit_status().is_some()).await;
+            assert_eq!(process.exit_status().unwrap().code(), Some(0));
         });
     }
 }
@@ -90,21 +93,24 @@
         let entries = [server_entry("s-0", cache.addr, "std", "active", 0)];
         std::fs::write(&config_path, configuration(front, discovery, &entries)).unwrap();
         let shim = Shim::new(7).unwrap();
-        let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
+        let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
+
         let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
         wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
         // By then the connection made above has been accepted, so the next one to be accepted is the
         // client's.
         sleep(200).await;
-        shim.fail(Failure::Accept, 1_000_000).unwrap();
+        shim.set_failure_rate(Failure::Accept, 1_000_000).unwrap();
         let mut client = Client::connect(front).await;
+
         // Longer than a silent connection is kept.
+
         sleep(2_500).await;
-        shim.fail(Failure::Accept, 0).unwrap();
+        shim.set_failure_rate(Failure::Accept, 0).unwrap();
         sleep(200).await;
         client.send(&request(1, "media", &[])).await;
         let answer = with_timeout("an answer", client.answer()).await;
-        assert_eq!(answer, Some((1, None, b"whole".to_vec())), "{}", process.text());
+        assert_eq!(answer, Some((1, None, b"whole".to_vec())), "{}", process.output());
     });
 }
 
--- a/node/tests/restarts.rs
+++ b/node/tests/restarts.rs
@@ -11,7 +11,7 @@
 use std::sync::{Mutex, PoisonError};
 use threadward::net::{now, sleep_until};
 use threadward_core::Micros;
-use threadward_faults::{Process, Start};
+use threadward_faults::{Process, ProcessBuilder};
 
 const SECOND: Micros = 1_000_000;
 const PROCESSES: usize = 30;
@@ -94,9 +94,12 @@
             }
             let path = folder.path().join(format!("{i}.json"));
             std::fs::write(&path, config.to_string()).unwrap();
-            let process =
-                Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).spawn().unwrap();
+            let process = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
+                .env("LB_CONFIG", &path)
+                .spawn()
+                .unwrap();
             let (ready_after, front) = (ready_after.clone(), *front);
+
             ex.spawn(async move {
                 let at = wait_until_ready(front).await;
                 ready_after.borrow_mut().push(at - started_at);
@@ -111,7 +114,7 @@
         let seconds =
             ready_after.borrow().iter().map(|t| format!("{:.2}", *t as f64 / 1e6)).collect::<Vec<_>>();
         println!("ready after s: {} ({} discovery connections)", seconds.join(" "), connections.borrow());
-        assert!(processes.iter().all(|process| process.ended().is_none()));
+        assert!(processes.iter().all(|process| process.exit_status().is_none()));
         assert!(
             seconds.len() >= PROCESSES * 9 / 10,
             "{} of {PROCESSES} ready within {time_limit} us",
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -139,7 +139,6 @@
         c.answer().await.unwrap();
         let sent = testbed.received_requests().remove(0);
         let newer: Option<u64> = threadward::wire::find_field(&sent[2], "newer").map(|n| n.parse().unwrap());
-
         assert_eq!(newer.is_some(), covers_object, "{sent:?}");
         assert!(newer.is_none_or(|n| n <= unix_ms() - issued + 1));
     });
@@ -363,7 +362,8 @@
             idle.push(c);
         }
         let mut new = Client::connect(testbed.front).await;
-        wait_until("the new connection", || testbed.node.clients() == 26).await;
+        wait_until("the new connection", || testbed.node.client_count() == 26).await;
+
         for _ in 0..16 {
             silent.push(Client::connect(testbed.front).await);
         }
@@ -374,7 +374,7 @@
         new.send(&request(31, "media", &[])).await;
         assert_eq!(new.answer().await.unwrap().1, None);
         let evicted = testbed.node.plan(|p, _| p.counters.get(Counter::Evicted));
-        assert_eq!((testbed.node.clients(), evicted), (32, 10));
+        assert_eq!((testbed.node.client_count(), evicted), (32, 10));
     });
 }
 
--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -122,7 +122,11 @@
         // not yet up.
         std::thread::sleep(std::time::Duration::from_millis(120));
         let (issued, at) = (UnixTime::default(), now());
-        bulletin::apply(&testbed.node, config::Bulletin::Recall { issued, object: None, group: 17 }, false);
+        bulletin::apply(
+            &testbed.node,
+            config::DiscoveryEvent::Purge { issued, object: None, group: 17 },
+            false,
+        );
         wait_until("an attempt", || !testbed.received_requests().is_empty()).await;
         let newer = testbed.received_requests()[0][2].split(',').any(|f| f.starts_with("newer="));
         assert!(newer, "sent {} us after the purge: {:?}", now() - at, testbed.received_requests());
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use tempfile::{tempdir, TempDir};
 use threadward::net::{now, sleep_until, Signal as Wake};
 use threadward_core::Micros;
-use threadward_faults::{Process, Shim, Start};
+use threadward_faults::{Process, ProcessBuilder, Shim};
 
 const SECOND_US: i64 = 1_000_000;
 const HOUR_US: i64 = 3_600 * SECOND_US;
@@ -56,7 +56,8 @@
     std::fs::write(&config_path, configuration(front, discovery, &list)).unwrap();
     let shim = Shim::new(1).unwrap();
     shim.step_wall_clock(step).unwrap();
-    let start = Start::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
+    let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &config_path);
+
     let process = shim.preload(start.without_env("LB_ADMIN_ADDR")).unwrap().spawn().unwrap();
     wait_until("the front", || std::net::TcpStream::connect(front).is_ok()).await;
     Site { cache, others: all, discovery_events, events_changed, front, shim, process, _folder: folder }
@@ -81,9 +82,9 @@
     async fn assert_ends_in_time(&self) {
         let at = now();
         self.process.term().unwrap();
-        wait_until("the end", || self.process.ended().is_some()).await;
+        wait_until("the end", || self.process.exit_status().is_some()).await;
         assert!(now() - at < 3_700_000, "ended {} us after SIGTERM", now() - at);
-        assert_eq!(self.process.ended().unwrap().code(), Some(0));
+        assert_eq!(self.process.exit_status().unwrap().code(), Some(0));
     }
 }
 
@@ -112,7 +113,8 @@
     *site.cache.behavior.borrow_mut() = served();
     site.serve_requests(200, 20).await;
     // The connection to discovery is not taken for silent.
-    assert!(!site.process.text().contains("connection lost"), "{}", site.process.text());
+    assert!(!site.process.output().contains("connection lost"), "{}", site.process.output());
+
     site.shim.step_wall_clock(step).unwrap();
     site.assert_ends_in_time().await;
 }
@@ -138,7 +140,6 @@
     let commands = site.cache.commands.borrow();
     let newer = threadward::wire::find_field(&commands.last().unwrap()[2], "newer")
         .map(|t| t.parse::<u64>().unwrap());
-
     assert!(newer.is_some_and(|n| (1..=max_age_ms).contains(&n)), "{newer:?}, {max_age_ms} at most");
 }
 
@@ -165,9 +166,10 @@
     let purge_applied =
         || site.cache.commands.borrow().last().is_some_and(|parts| parts[2].contains("newer="));
     while !purge_applied() {
-        assert!(now() < at + 4_000_000, "the purge was not applied: {}", site.process.text());
+        assert!(now() < at + 4_000_000, "the purge was not applied: {}", site.process.output());
         site.serve_requests(request_number, 1).await;
         request_number += 1;
+
         sleep_until(now() + 50_000).await;
     }
 }
