--- a/node/tests/soak/clients.rs
+++ b/node/tests/soak/clients.rs
@@ -1,9 +1,9 @@
-//! Stand-in clients: most wait for their answers, some write slowly, cancel, or leave.
+//! Stand-in clients: most wait for their answers, some write slowly, cancel, or disconnect.
 use crate::common::{put_text, Client};
 use crate::oracle::Oracle;
 use crate::proxies::{Fleet, Proxy};
-use crate::servers::{body, group_of, World};
-use crate::{dice, pause, MILLISECOND, SECOND};
+use crate::servers::{body, group_of, Environment};
+use crate::{pause, rng_for, MILLISECOND, SECOND};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::FutureExt;
@@ -14,34 +14,39 @@
 use threadward::net::now;
 use threadward_core::Micros;
 
-const PER_PROXY: usize = 4;
-/// A request that crosses the close of a connection at rest within this is the client's to send again.
-const CROSSING: Micros = 80 * MILLISECOND;
-/// Classes, by how long their clients wait, in milliseconds.
+/// How many clients send requests to each proxy.
+const CLIENTS_PER_PROXY: usize = 4;
+/// When a proxy closes an idle connection and a request was sent on it less than this before, the two crossed
+/// on the way, and it is for the client to send the request again.
+const CLOSE_CROSSING_WINDOW: Micros = 80 * MILLISECOND;
+/// Classes, and the range of milliseconds from which a client draws how long it waits.
 const CLASSES: [(&str, std::ops::Range<u64>); 3] =
     [("media", 300..3_000), ("booking", 300..2_500), ("quick", 60..150)];
 
-/// How a client behaves with a request.
+/// What a client does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
+enum ClientBehavior {
     Waits,
     WritesSlowly,
     Cancels,
-    Leaves,
+    Disconnects,
 }
 
+/// The clients of a run.
 pub struct Clients {
+    /// How many client tasks have not ended yet.
     running: Rc<Cell<usize>>,
 }
 
-/// The proxy that a request is sent to, by its id.
-pub fn proxy_of(call: &str) -> usize {
-    usize::from_str_radix(&call[4..8], 16).unwrap_or(0)
+/// Returns the number of the proxy that a request is sent to, which its id contains.
+pub fn proxy_of(call_id: &str) -> usize {
+    usize::from_str_radix(&call_id[4..8], 16).unwrap_or(0)
 }
 
+/// Starts the clients of all proxies. Each opens connections one after the other until `until`.
 pub fn start(
     executor: &'static LocalExecutor<'static>,
-    world: &Rc<World>,
+    environment: &Rc<Environment>,
     fleet: &Fleet,
     seed: u64,
     until: Micros,
@@ -49,20 +54,24 @@
     let running = Rc::new(Cell::new(0));
     let counter = Rc::new(Cell::new(0u64));
     for (number, proxy) in fleet.proxies.iter().enumerate() {
-        for n in 0..PER_PROXY {
-            let part = 10_000 + (number * PER_PROXY + n) as u64;
-            let one =
-                One { oracle: world.oracle.clone(), proxy: proxy.clone(), number, counter: counter.clone() };
-            let (running, mut lots) = (running.clone(), dice(seed, part));
+        for n in 0..CLIENTS_PER_PROXY {
+            let seed_part = 10_000 + (number * CLIENTS_PER_PROXY + n) as u64;
+            let client_task = ClientTask {
+                oracle: environment.oracle.clone(),
+                proxy: proxy.clone(),
+                number,
+                counter: counter.clone(),
+            };
+            let (running, mut rng) = (running.clone(), rng_for(seed, seed_part));
             running.set(running.get() + 1);
             let task = async move {
                 while now() < until {
-                    if !one.proxy.takes_connections() {
+                    if !client_task.proxy.takes_connections() {
                         pause(20 * MILLISECOND).await;
                         continue;
                     }
-                    one.connection(&mut lots).await;
-                    pause(lots.u64(0..60) * MILLISECOND).await;
+                    client_task.connection(&mut rng).await;
+                    pause(rng.u64(0..60) * MILLISECOND).await;
                 }
                 running.set(running.get() - 1);
             };
@@ -72,150 +81,168 @@
     Clients { running }
 }
 
-pub async fn ended(clients: &Clients) {
+/// Waits until all clients have ended, for 20 s at most.
+pub async fn wait_for_end(clients: &Clients) {
     let end = now() + 20 * SECOND;
     while clients.running.get() > 0 && now() < end {
         pause(20 * MILLISECOND).await;
     }
 }
 
-struct One {
+/// One client, which sends requests to one proxy.
+struct ClientTask {
     oracle: Rc<Oracle>,
     proxy: Rc<Proxy>,
     number: usize,
     counter: Rc<Cell<u64>>,
 }
 
-impl One {
-    async fn connection(&self, lots: &mut fastrand::Rng) {
-        let late = async {
+impl ClientTask {
+    /// Opens a connection, sends requests on it in a few turns, and reports each answer and each loss to the
+    /// oracle.
+    async fn connection(&self, rng: &mut fastrand::Rng) {
+        let timeout = async {
             pause(SECOND).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
-        let Ok(stream) = Async::<TcpStream>::connect(self.proxy.front).or(late).await else { return };
-        // A small write that the system holds back would only look as if it had been sent.
+        let Ok(stream) = Async::<TcpStream>::connect(self.proxy.front).or(timeout).await else { return };
+        // Without this the system may delay a small write, and the oracle would count it as sent before it
+        // was.
         stream.get_ref().set_nodelay(true).ok();
-        let (mut client, connected) = (Client::from_stream(stream), now());
-        let (mut open, mut answered, mut id) = (BTreeMap::new(), BTreeMap::new(), 0);
-        for turn in 0..lots.u32(1..5) {
+        let (mut client, connected_at) = (Client::from_stream(stream), now());
+        let (mut in_flight, mut answered, mut id) = (BTreeMap::new(), BTreeMap::new(), 0);
+        for turn in 0..rng.u32(1..5) {
             if !self.proxy.takes_requests() {
                 return;
             }
-            for _ in 0..lots.u32(1..4) {
+            for _ in 0..rng.u32(1..4) {
                 id += 1;
-                let sent = self.send(&client, id, lots).await;
-                if let Some((call, _)) = &sent {
+                let sent = self.send(&client, id, rng).await;
+                if let Some((call_id, _)) = &sent {
                     let port = client.stream.get_ref().local_addr().map_or(0, |at| at.port());
-                    let age = now() - connected;
+                    let age = now() - connected_at;
                     self.oracle
-                        .note(call, &format!("from port {port}, connected {age} us before, turn {turn}"));
+                        .note(call_id, &format!("from port {port}, connected {age} us before, turn {turn}"));
                 }
                 match sent {
-                    Some((call, Manner::Leaves)) => {
-                        open.insert(id, call);
-                        pause(lots.u64(0..40) * MILLISECOND).await;
-                        return self.leave(client, &open);
+                    Some((call_id, ClientBehavior::Disconnects)) => {
+                        in_flight.insert(id, call_id);
+                        pause(rng.u64(0..40) * MILLISECOND).await;
+                        return self.disconnect(client, &in_flight);
                     }
-                    Some((call, Manner::Cancels)) => {
-                        pause(lots.u64(0..40) * MILLISECOND).await;
-                        self.oracle.gone(&call, "cancelled");
+                    Some((call_id, ClientBehavior::Cancels)) => {
+                        pause(rng.u64(0..40) * MILLISECOND).await;
+                        self.oracle.record_client_gone(&call_id, "cancelled");
                         if !write(&client, &cancel(id)).await {
-                            return self.end(&open, true, "reset");
+                            return self.end_connection(&in_flight, true, "reset");
                         }
                     }
-                    Some((call, _)) => drop(open.insert(id, call)),
-                    None => return self.end(&open, rested(id, &open), "reset"),
+                    Some((call_id, _)) => drop(in_flight.insert(id, call_id)),
+                    None => return self.end_connection(&in_flight, was_idle(id, &in_flight), "reset"),
                 }
             }
-            while !open.is_empty() {
-                let due = open.values().map(|call| self.oracle.deadline(call)).min().unwrap_or(0);
-                let late = async {
+            while !in_flight.is_empty() {
+                let due = in_flight.values().map(|call_id| self.oracle.deadline(call_id)).min().unwrap_or(0);
+                let timeout = async {
                     crate::sleep_until(due).await;
                     Err(())
                 };
-                match async { Ok(client.answer().await) }.or(late).await {
-                    Ok(Some((id, word, bytes))) => {
-                        let call = open.remove(&id);
-                        if let Some(call) = call.or_else(|| answered.get(&id).cloned()) {
-                            self.answer(&call, word, &bytes);
-                            answered.insert(id, call);
+                match async { Ok(client.answer().await) }.or(timeout).await {
+                    Ok(Some((id, refusal, bytes))) => {
+                        let call_id = in_flight.remove(&id);
+                        if let Some(call_id) = call_id.or_else(|| answered.get(&id).cloned()) {
+                            self.answer(&call_id, refusal, &bytes);
+                            answered.insert(id, call_id);
                         }
                     }
-                    Ok(None) => return self.end(&open, rested(id, &open), "closed"),
-                    Err(()) => return self.end(&open, false, "no answer in time"),
+                    Ok(None) => return self.end_connection(&in_flight, was_idle(id, &in_flight), "closed"),
+                    Err(()) => return self.end_connection(&in_flight, false, "no answer in time"),
                 }
             }
-            pause(lots.u64(0..200) * MILLISECOND).await;
+            pause(rng.u64(0..200) * MILLISECOND).await;
         }
     }
 
-    /// Sends a request whole; nothing where the connection takes no more.
-    async fn send(&self, client: &Client, id: u32, lots: &mut fastrand::Rng) -> Option<(String, Manner)> {
+    /// Sends one request as a client of random behavior; returns its id and the behavior, or nothing where
+    /// the connection takes no more.
+    async fn send(
+        &self,
+        client: &Client,
+        id: u32,
+        rng: &mut fastrand::Rng,
+    ) -> Option<(String, ClientBehavior)> {
         self.counter.set(self.counter.get() + 1);
-        let call = format!("{:04x}{:04x}{:08x}", lots.u16(..), self.number, self.counter.get());
-        let (class, ttl) = CLASSES[if lots.bool() { lots.usize(0..3) } else { 0 }].clone();
-        let ttl = lots.u64(ttl);
-        let manner = match lots.u8(0..20) {
-            0 => Manner::Leaves,
-            1 => Manner::Cancels,
-            2 => Manner::WritesSlowly,
-            _ => Manner::Waits,
+        let call_id = format!("{:04x}{:04x}{:08x}", rng.u16(..), self.number, self.counter.get());
+        let (class, ttl) = CLASSES[if rng.bool() { rng.usize(0..3) } else { 0 }].clone();
+        let ttl = rng.u64(ttl);
+        let behavior = match rng.u8(0..20) {
+            0 => ClientBehavior::Disconnects,
+            1 => ClientBehavior::Cancels,
+            2 => ClientBehavior::WritesSlowly,
+            _ => ClientBehavior::Waits,
         };
-        let bytes = request(id, class, &call, ttl);
+        let bytes = request(id, class, &call_id, ttl);
         let (mut first, rest) = (bytes.as_slice(), &bytes[bytes.len() - 1..]);
         first = &first[..first.len() - 1];
-        if manner == Manner::WritesSlowly {
+        if behavior == ClientBehavior::WritesSlowly {
             let (head, tail) = first.split_at(first.len() / 2);
             if !write(client, head).await {
                 return None;
             }
-            pause(lots.u64(1..60) * MILLISECOND).await;
+            pause(rng.u64(1..60) * MILLISECOND).await;
             first = tail;
         }
         if !write(client, first).await {
             return None;
         }
-        self.oracle.sent(&call, class, self.number, ttl * MILLISECOND);
+        self.oracle.record_sent(&call_id, class, self.number, ttl * MILLISECOND);
         if !write(client, rest).await {
-            self.oracle.gone(&call, "could not be written");
+            self.oracle.record_client_gone(&call_id, "could not be written");
             return None;
         }
-        Some((call, manner))
+        Some((call_id, behavior))
     }
 
-    fn answer(&self, call: &str, word: Option<String>, bytes: &[u8]) {
-        let right = word.is_some() || bytes == body(call);
-        self.oracle.answered(call, word.as_deref().unwrap_or("served"), right);
-        self.oracle.ended(call, false, "done");
+    /// Reports an answer to the oracle, which judges whether it is correct.
+    fn answer(&self, call_id: &str, refusal: Option<String>, bytes: &[u8]) {
+        let correct = refusal.is_some() || bytes == body(call_id);
+        self.oracle.record_answer(call_id, refusal.as_deref().unwrap_or("served"), correct);
+        self.oracle.record_end(call_id, false, "done");
     }
 
-    fn leave(&self, client: Client, open: &BTreeMap<u32, String>) {
-        open.values().for_each(|call| self.oracle.gone(call, "client closed"));
+    /// Closes the connection with requests in flight, and reports each as given up by the client.
+    fn disconnect(&self, client: Client, in_flight: &BTreeMap<u32, String>) {
+        in_flight.values().for_each(|call_id| self.oracle.record_client_gone(call_id, "client closed"));
         drop(client);
     }
 
-    /// The connection has ended, or nothing came. `rested`: it had been at rest before.
-    fn end(&self, open: &BTreeMap<u32, String>, rested: bool, how: &str) {
-        for call in open.values() {
-            let sent = self.oracle.sent_at(call);
-            let crossed = rested && now() < sent + CROSSING;
-            self.oracle.ended(call, crossed || self.proxy.killed_since(sent), how);
+    /// Reports the requests in flight after the connection has ended or no answer came in time. `was_idle`:
+    /// it had been idle before.
+    fn end_connection(&self, in_flight: &BTreeMap<u32, String>, was_idle: bool, how: &str) {
+        for call_id in in_flight.values() {
+            let sent = self.oracle.sent_at(call_id);
+            let crossed_close = was_idle && now() < sent + CLOSE_CROSSING_WINDOW;
+            self.oracle.record_end(call_id, crossed_close || self.proxy.killed_since(sent), how);
         }
     }
 }
 
-/// Whether a connection was owed nothing at some time since its first request: then its close may cross a further one.
-fn rested(last_id: u32, open: &BTreeMap<u32, String>) -> bool {
-    open.len() < last_id as usize
+/// Returns whether the connection had no unanswered request at some time since its first one: then the proxy
+/// may have closed it as idle while a further request was on its way.
+fn was_idle(last_id: u32, in_flight: &BTreeMap<u32, String>) -> bool {
+    in_flight.len() < last_id as usize
 }
 
+/// Writes all bytes to the connection; false where it takes no more.
 async fn write(client: &Client, bytes: &[u8]) -> bool {
     threadward::net::write_all(&client.stream, bytes).await.is_ok()
 }
 
-fn request(id: u32, class: &str, call: &str, ttl: u64) -> Vec<u8> {
-    let (ttl, group) = (ttl.to_string(), group_of(call).to_string());
-    let mut fields = vec![("call", call), ("ttl", &ttl), ("row", call), ("seg", "0"), ("bucket", &group)];
+/// Encodes a request of a class with its call id and how many milliseconds its client waits.
+fn request(id: u32, class: &str, call_id: &str, ttl: u64) -> Vec<u8> {
+    let (ttl, group) = (ttl.to_string(), group_of(call_id).to_string());
+    let mut fields =
+        vec![("call", call_id), ("ttl", &ttl), ("row", call_id), ("seg", "0"), ("bucket", &group)];
     fields.sort();
     let mut out = vec![0x94, 0x00, 0xce];
     out.extend(id.to_be_bytes());
@@ -229,6 +256,7 @@
     out
 }
 
+/// Encodes the cancellation of a request.
 fn cancel(id: u32) -> Vec<u8> {
     let mut out = vec![0x93, 0x02];
     put_text(&mut out, "cancelRequest");
--- a/node/tests/soak/servers.rs
+++ b/node/tests/soak/servers.rs
@@ -1,8 +1,9 @@
-//! Stand-in cache servers that answer, refuse, fail, fall silent, break connections and drain, and discovery with one
-//! address for each proxy, so that what a proxy was told is known to the moment.
+//! Stand-in cache servers that answer, refuse, fail, stay silent, close connections and drain, and a stand-in
+//! discovery with one address for each proxy, so that the time at which each event reached each proxy is
+//! known.
 use crate::common::{listen, server_entry};
 use crate::oracle::Oracle;
-use crate::{dice, pause, MILLISECOND, SECOND};
+use crate::{pause, rng_for, MILLISECOND, SECOND};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -14,38 +15,48 @@
 use threadward::wire;
 use threadward_core::Micros;
 
+/// How many cache servers there are.
 pub const SERVERS: usize = 5;
+/// How many groups of requests a purge can name.
 const GROUPS: u64 = 8;
-/// For so long a purge is asked for.
-const PURGE_MEMORY: Micros = 5 * SECOND;
+/// How long a purge stays in force: the oracle checks it, and starting processes get it, for this time.
+const PURGE_LIFETIME: Micros = 5 * SECOND;
 
-/// How a cache server treats a request.
+/// What a cache server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mood {
-    Well,
+pub enum ServerBehavior {
+    Healthy,
     Slow,
     Silent,
     Refuses,
     Fails,
-    Breaks,
-    /// Answers with a second answer behind the first.
-    Twice,
+    ClosesConnection,
+    /// Sends a second answer right behind the first.
+    AnswersTwice,
 }
 
-const BAD: [Mood; 6] = [Mood::Slow, Mood::Silent, Mood::Refuses, Mood::Fails, Mood::Breaks, Mood::Twice];
+const FAULTY_BEHAVIORS: [ServerBehavior; 6] = [
+    ServerBehavior::Slow,
+    ServerBehavior::Silent,
+    ServerBehavior::Refuses,
+    ServerBehavior::Fails,
+    ServerBehavior::ClosesConnection,
+    ServerBehavior::AnswersTwice,
+];
 
+/// One cache server.
 pub struct Server {
-    pub at: SocketAddr,
-    mood: Cell<Mood>,
-    /// When its drain was put into discovery; nothing while it is in use.
+    pub addr: SocketAddr,
+    behavior: Cell<ServerBehavior>,
+    /// When discovery published that it drains; nothing while it is in use.
     draining: Cell<Option<Micros>>,
 }
 
 /// One event of discovery.
 struct Event {
     text: String,
-    at: Micros,
-    /// The server that drains or returns.
+    published_at: Micros,
+    /// The server that drains or comes back into use.
     server: Option<usize>,
     /// The group that is purged.
     group: Option<u64>,
@@ -53,195 +64,217 @@
 
 /// Discovery as one proxy sees it.
 pub struct Discovery {
-    /// When each event was written to it.
-    told: RefCell<Vec<Option<Micros>>>,
-    /// A new process took over: what was published since that event counts as told at that moment at the earliest.
-    replaced: Cell<(usize, Micros)>,
+    /// When each event was last written to a process of this proxy.
+    written_at: RefCell<Vec<Option<Micros>>>,
+    /// After a new process took over: the number of the first event that it did not start with, and the time
+    /// before which that event and later ones do not count as reported.
+    takeover: Cell<(usize, Micros)>,
+    /// Whether it sends nothing, not even keepalives.
     silent: Cell<bool>,
 }
 
-pub struct World {
+/// The cache servers and the discovery of a run, and what operators did at each proxy.
+pub struct Environment {
     pub oracle: Rc<Oracle>,
     pub servers: Vec<Rc<Server>>,
     events: RefCell<Vec<Event>>,
     pub discoveries: RefCell<Vec<Rc<Discovery>>>,
-    /// Servers that an operator took out at a proxy, by proxy and server, and when that was answered with `done`.
+    /// Servers that an operator banned at a proxy, by proxy and server, and when the command was answered
+    /// with `done`.
     pub bans: RefCell<BTreeMap<(usize, usize), Micros>>,
     executor: &'static LocalExecutor<'static>,
 }
 
-/// The bytes that a request is answered with.
-pub fn body(call: &str) -> Vec<u8> {
-    let length = 100 + usize::from_str_radix(&call[12..], 16).unwrap_or(0) % 40_000;
-    call.bytes().cycle().take(length).collect()
+/// Returns the bytes that a request has to be answered with, which follow from its id.
+pub fn body(call_id: &str) -> Vec<u8> {
+    let length = 100 + usize::from_str_radix(&call_id[12..], 16).unwrap_or(0) % 40_000;
+    call_id.bytes().cycle().take(length).collect()
 }
 
-impl World {
-    pub fn new(executor: &'static LocalExecutor<'static>, oracle: Rc<Oracle>, seed: u64) -> Rc<World> {
+impl Environment {
+    /// Starts the cache servers.
+    pub fn new(executor: &'static LocalExecutor<'static>, oracle: Rc<Oracle>, seed: u64) -> Rc<Environment> {
         let mut listeners = Vec::new();
         let mut servers = Vec::new();
         for _ in 0..SERVERS {
             let (listener, at) = listen();
             listeners.push(listener);
-            servers.push(Rc::new(Server { at, mood: Cell::new(Mood::Well), draining: Cell::new(None) }));
+            servers.push(Rc::new(Server {
+                addr: at,
+                behavior: Cell::new(ServerBehavior::Healthy),
+                draining: Cell::new(None),
+            }));
         }
         let (events, discoveries) = (RefCell::default(), RefCell::default());
         let bans = RefCell::default();
-        let world = Rc::new(World { oracle, servers, events, discoveries, bans, executor });
+        let environment = Rc::new(Environment { oracle, servers, events, discoveries, bans, executor });
         for (number, listener) in listeners.into_iter().enumerate() {
-            let world = world.clone();
+            let environment = environment.clone();
             let task = async move {
-                let mut lots = dice(seed, 1_000 + number as u64);
+                let mut rng = rng_for(seed, 1_000 + number as u64);
                 while let Ok((stream, _)) = listener.accept().await {
-                    let lots = lots.fork();
-                    executor.spawn(serve(world.clone(), number, stream, lots)).detach();
+                    let rng = rng.fork();
+                    executor.spawn(serve(environment.clone(), number, stream, rng)).detach();
                 }
             };
             executor.spawn(task).detach();
         }
-        world
+        environment
     }
 
-    /// The purges that are still in force, as events.
+    /// Returns the purges that are still in force, as the texts of their events.
     pub fn purges(&self) -> Vec<String> {
         let events = self.events.borrow();
-        let recent = events.iter().filter(|e| e.group.is_some() && now() < e.at + PURGE_MEMORY);
+        let recent = events.iter().filter(|e| e.group.is_some() && now() < e.published_at + PURGE_LIFETIME);
         recent.map(|e| e.text.clone()).collect()
     }
 
-    /// The list as it stands, and the number of its last event.
-    pub fn list(&self) -> (u64, Vec<String>) {
+    /// Returns the number of the last event and the list of servers as it is now.
+    pub fn server_list(&self) -> (u64, Vec<String>) {
         let state = |s: &Server| if s.draining.get().is_some() { "leaving" } else { "active" };
-        let entry = |(n, s): (usize, &Rc<Server>)| server_entry(&format!("s-{n}"), s.at, "std", state(s), 0);
-        let mut list: Vec<String> = self.servers.iter().enumerate().map(entry).collect();
-        // What is passed on is filled from the origin, which only cache servers ask.
-        list.push(server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
-        (self.events.borrow().len() as u64, list)
+        let entry =
+            |(n, s): (usize, &Rc<Server>)| server_entry(&format!("s-{n}"), s.addr, "std", state(s), 0);
+        let mut entries: Vec<String> = self.servers.iter().enumerate().map(entry).collect();
+        // Requests that are passed on are filled from the origin, which only cache servers connect to.
+        entries.push(server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0));
+        (self.events.borrow().len() as u64, entries)
     }
 
-    /// A process of this proxy starts with all events up to here in its configuration.
-    pub fn starts(&self, proxy: usize) {
+    /// Notes that a process of this proxy starts with all events so far in its configuration.
+    pub fn process_started(&self, proxy: usize) {
         let discovery = self.discoveries.borrow()[proxy].clone();
-        let mut told = discovery.told.borrow_mut();
-        told.resize(self.events.borrow().len(), None);
-        told.iter_mut().for_each(|at| *at = Some(at.unwrap_or(now())));
+        let mut written_at = discovery.written_at.borrow_mut();
+        written_at.resize(self.events.borrow().len(), None);
+        written_at.iter_mut().for_each(|at| *at = Some(at.unwrap_or(now())));
     }
 
+    /// Appends an event to discovery; each proxy's watch sends it on.
     fn publish(&self, what: &str, server: Option<usize>, group: Option<u64>) {
         let mut events = self.events.borrow_mut();
         let text = format!(r#"{{"no":{},{what}}}"#, events.len() + 1);
-        events.push(Event { text, at: now(), server, group });
+        events.push(Event { text, published_at: now(), server, group });
     }
 
-    /// When an event counts as told to a proxy: as it was written, 7 s after it was published at the latest.
-    fn told(&self, proxy: usize, event: usize) -> Micros {
-        let written = self.discoveries.borrow()[proxy].told.borrow().get(event).copied().flatten();
-        let told = written.unwrap_or(Micros::MAX).min(self.events.borrow()[event].at + 7 * SECOND);
-        let (first, from) = self.discoveries.borrow()[proxy].replaced.get();
+    /// Returns when an event counts as reported to a proxy: when it was written, or 7 s after it was
+    /// published at the latest.
+    fn reported_at(&self, proxy: usize, event: usize) -> Micros {
+        let written = self.discoveries.borrow()[proxy].written_at.borrow().get(event).copied().flatten();
+        let reported =
+            written.unwrap_or(Micros::MAX).min(self.events.borrow()[event].published_at + 7 * SECOND);
+        let (first, from) = self.discoveries.borrow()[proxy].takeover.get();
         if event >= first {
-            told.max(from)
+            reported.max(from)
         } else {
-            told
+            reported
         }
     }
 
-    /// How many events were published so far.
+    /// Returns how many events were published so far.
     pub fn published(&self) -> usize {
         self.events.borrow().len()
     }
 
-    /// A process that knew the events up to `first` has just taken this proxy over.
-    pub fn replaced(&self, proxy: usize, first: usize) {
-        self.discoveries.borrow()[proxy].replaced.set((first, now() + 2 * SECOND));
+    /// Notes that a process that started with the events up to `first` has just taken over at this proxy.
+    /// Later events count as reported 2 s from now at the earliest.
+    pub fn process_replaced(&self, proxy: usize, first: usize) {
+        self.discoveries.borrow()[proxy].takeover.set((first, now() + 2 * SECOND));
     }
 
-    /// When a proxy was told not to use a server, by discovery or by an operator.
-    fn drained(&self, proxy: usize, server: usize) -> Option<Micros> {
+    /// Returns when it was reported to a proxy, by discovery or by an operator, that a server is not to be
+    /// used.
+    fn drain_reported_at(&self, proxy: usize, server: usize) -> Option<Micros> {
         let banned = self.bans.borrow().get(&(proxy, server)).copied();
-        banned.into_iter().chain(self.drain_told(proxy, server)).min()
+        banned.into_iter().chain(self.discovery_drain_reported_at(proxy, server)).min()
     }
 
-    fn drain_told(&self, proxy: usize, server: usize) -> Option<Micros> {
+    /// Returns when discovery reported to a proxy that a server drains.
+    fn discovery_drain_reported_at(&self, proxy: usize, server: usize) -> Option<Micros> {
         self.servers[server].draining.get()?;
         let event = self.events.borrow().iter().rposition(|e| e.server == Some(server))?;
-        Some(self.told(proxy, event)).filter(|at| *at < Micros::MAX)
+        Some(self.reported_at(proxy, event)).filter(|at| *at < Micros::MAX)
     }
 
-    /// When a proxy was told of the last purge of a group, and when that was issued.
-    fn purged(&self, proxy: usize, group: u64) -> Option<(Micros, Micros)> {
+    /// Returns when the last purge of a group was reported to a proxy, and when that purge was issued.
+    fn last_purge(&self, proxy: usize, group: u64) -> Option<(Micros, Micros)> {
         let events = self.events.borrow();
         let of = (0..events.len()).rev().filter(|n| events[*n].group == Some(group));
-        // The rule's memory of a purge ends after its settings' time.
-        let recent = of.filter(|n| now() < events[*n].at + PURGE_MEMORY);
+        // The proxies forget a purge after the time that their settings give.
+        let recent = of.filter(|n| now() < events[*n].published_at + PURGE_LIFETIME);
         recent
-            .map(|n| (self.told(proxy, n), events[n].at))
-            .filter(|(told, _)| *told < now())
+            .map(|n| (self.reported_at(proxy, n), events[n].published_at))
+            .filter(|(reported, _)| *reported < now())
             .max_by_key(|p| p.1)
     }
 
+    /// Opens discovery for one more proxy and returns its address.
     pub fn discovery(self: &Rc<Self>) -> SocketAddr {
         let (listener, at) = listen();
-        let told = RefCell::default();
+        let written_at = RefCell::default();
         let discovery =
-            Rc::new(Discovery { told, replaced: Cell::new((usize::MAX, 0)), silent: Cell::new(false) });
+            Rc::new(Discovery { written_at, takeover: Cell::new((usize::MAX, 0)), silent: Cell::new(false) });
         self.discoveries.borrow_mut().push(discovery.clone());
-        let world = self.clone();
+        let environment = self.clone();
         let task = async move {
-            // The old and the new process of an upgrade watch beside each other.
+            // During an upgrade the old and the new process watch at the same time.
             while let Ok((stream, _)) = listener.accept().await {
-                let (here, discovery) = (world.clone(), discovery.clone());
-                let task = async move { watch(&here, &discovery, &stream).await };
-                world.executor.spawn(task).detach();
+                let (shared, discovery) = (environment.clone(), discovery.clone());
+                let task = async move { watch(&shared, &discovery, &stream).await };
+                environment.executor.spawn(task).detach();
             }
         };
         self.executor.spawn(task).detach();
         at
     }
 
-    /// Lets servers turn bad and drain, purges go out and watches fall silent, up to a moment.
-    pub fn trouble(self: &Rc<Self>, executor: &'static LocalExecutor<'static>, seed: u64, until: Micros) {
+    /// Lets servers become faulty or drain, publishes purges and silences watches, until `until`.
+    pub fn inject_faults(
+        self: &Rc<Self>,
+        executor: &'static LocalExecutor<'static>,
+        seed: u64,
+        until: Micros,
+    ) {
         for number in 0..SERVERS {
-            let (world, mut lots) = (self.clone(), dice(seed, 2_000 + number as u64));
+            let (environment, mut rng) = (self.clone(), rng_for(seed, 2_000 + number as u64));
             let task = async move {
                 while now() < until {
-                    pause(lots.u64(200..2_500) * MILLISECOND).await;
-                    let server = &world.servers[number];
-                    let _trouble = world.oracle.begin_trouble();
-                    // The first stays well and in use, so that something can be served.
-                    if number > 0 && lots.u8(0..4) == 0 {
+                    pause(rng.u64(200..2_500) * MILLISECOND).await;
+                    let server = &environment.servers[number];
+                    let _fault = environment.oracle.begin_fault();
+                    // The first server stays healthy and in use, so that something can be served.
+                    if number > 0 && rng.u8(0..4) == 0 {
                         let entry = |state| {
-                            crate::common::server_entry(&format!("s-{number}"), server.at, "std", state, 0)
+                            crate::common::server_entry(&format!("s-{number}"), server.addr, "std", state, 0)
                         };
-                        let list =
+                        let servers_event =
                             |e: String| format!(r#""roster":{{"version":2,"full":false,"servers":[{e}]}}"#);
                         server.draining.set(Some(now()));
-                        world.publish(&list(entry("leaving")), Some(number), None);
-                        pause(lots.u64(1_500..4_000) * MILLISECOND).await;
+                        environment.publish(&servers_event(entry("leaving")), Some(number), None);
+                        pause(rng.u64(1_500..4_000) * MILLISECOND).await;
                         server.draining.set(None);
-                        world.publish(&list(entry("active")), Some(number), None);
+                        environment.publish(&servers_event(entry("active")), Some(number), None);
                     } else if number > 0 {
-                        server.mood.set(BAD[lots.usize(0..BAD.len())]);
-                        pause(lots.u64(100..1_500) * MILLISECOND).await;
-                        server.mood.set(Mood::Well);
+                        server.behavior.set(FAULTY_BEHAVIORS[rng.usize(0..FAULTY_BEHAVIORS.len())]);
+                        pause(rng.u64(100..1_500) * MILLISECOND).await;
+                        server.behavior.set(ServerBehavior::Healthy);
                     } else {
-                        let group = lots.u64(0..GROUPS);
+                        let group = rng.u64(0..GROUPS);
                         let issued = crate::common::unix_ms();
                         let what = format!(r#""recall":{{"lot":{group},"issued":{issued}}}"#);
-                        world.publish(&what, None, Some(group));
+                        environment.publish(&what, None, Some(group));
                     }
                 }
             };
             executor.spawn(task).detach();
         }
-        let (world, mut lots) = (self.clone(), dice(seed, 3_000));
+        let (environment, mut rng) = (self.clone(), rng_for(seed, 3_000));
         let task = async move {
             while now() < until {
-                pause(lots.u64(300..1_500) * MILLISECOND).await;
-                let all = world.discoveries.borrow().clone();
-                let discovery = &all[lots.usize(0..all.len())];
-                let _trouble = world.oracle.begin_trouble();
+                pause(rng.u64(300..1_500) * MILLISECOND).await;
+                let all = environment.discoveries.borrow().clone();
+                let discovery = &all[rng.usize(0..all.len())];
+                let _fault = environment.oracle.begin_fault();
                 discovery.silent.set(true);
-                pause(lots.u64(100..3_000) * MILLISECOND).await;
+                pause(rng.u64(100..3_000) * MILLISECOND).await;
                 discovery.silent.set(false);
             }
         };
@@ -249,12 +282,13 @@
     }
 }
 
-pub fn group_of(call: &str) -> u64 {
-    u64::from_str_radix(&call[..4], 16).unwrap_or(0) % GROUPS
+/// Returns the purge group of a request, which follows from its id.
+pub fn group_of(call_id: &str) -> u64 {
+    u64::from_str_radix(&call_id[..4], 16).unwrap_or(0) % GROUPS
 }
 
-/// One watch of a proxy, to its end.
-async fn watch(world: &World, discovery: &Discovery, mut stream: &Async<TcpStream>) {
+/// Serves one watch of a proxy until the connection ends.
+async fn watch(environment: &Environment, discovery: &Discovery, mut stream: &Async<TcpStream>) {
     let (mut buffer, mut chunk) = (Vec::new(), [0u8; 4096]);
     let mut sent: usize = loop {
         let n = stream.read(&mut chunk).await.unwrap_or(0);
@@ -269,30 +303,30 @@
     if stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n:\n\n").await.is_err() {
         return;
     }
-    let mut beat = now() + SECOND;
+    let mut keepalive_at = now() + SECOND;
     loop {
-        while sent < world.events.borrow().len() && !discovery.silent.get() {
-            let text = world.events.borrow()[sent].text.clone();
+        while sent < environment.events.borrow().len() && !discovery.silent.get() {
+            let text = environment.events.borrow()[sent].text.clone();
             sent += 1;
             if stream.write_all(format!("id: {sent}\ndata: {text}\n\n").as_bytes()).await.is_err() {
                 return;
             }
-            let mut told = discovery.told.borrow_mut();
-            let length = told.len().max(sent);
-            told.resize(length, None);
-            // To the last of its processes.
-            told[sent - 1] = Some(now());
+            let mut written_at = discovery.written_at.borrow_mut();
+            let length = written_at.len().max(sent);
+            written_at.resize(length, None);
+            // Where several processes watch, the last write counts.
+            written_at[sent - 1] = Some(now());
         }
-        let look = async {
+        let wait_for_event = async {
             pause(10 * MILLISECOND).await;
             true
         };
-        let left = async { stream.read(&mut chunk).await.unwrap_or(0) > 0 };
-        if !look.or(left).await {
+        let connection_open = async { stream.read(&mut chunk).await.unwrap_or(0) > 0 };
+        if !wait_for_event.or(connection_open).await {
             return;
         }
-        if now() >= beat && !discovery.silent.get() {
-            beat = now() + SECOND;
+        if now() >= keepalive_at && !discovery.silent.get() {
+            keepalive_at = now() + SECOND;
             if stream.write_all(b":\n\n").await.is_err() {
                 return;
             }
@@ -300,19 +334,20 @@
     }
 }
 
-/// Answers on their way to a proxy, one whole after the other.
+/// Answers that wait to be written to a proxy. Each is written whole before the next one begins.
 #[derive(Default)]
-struct Outbox {
+struct AnswerQueue {
     answers: RefCell<VecDeque<Vec<u8>>>,
     more: Signal,
 }
 
-impl Outbox {
+impl AnswerQueue {
     fn push(&self, bytes: Vec<u8>) {
         self.answers.borrow_mut().push_back(bytes);
         self.more.notify();
     }
 
+    /// Writes the answers as they come, until the connection takes no more.
     async fn write(&self, mut stream: &Async<TcpStream>) {
         loop {
             let Some(bytes) = self.answers.borrow_mut().pop_front() else {
@@ -326,18 +361,19 @@
     }
 }
 
-/// One connection of a cache server.
-async fn serve(world: Rc<World>, number: usize, stream: Async<TcpStream>, lots: fastrand::Rng) {
-    let outbox = Rc::new(Outbox::default());
-    listen_to(&world, number, &stream, &outbox, lots).or(outbox.write(&stream)).await;
+/// Serves one connection of a cache server.
+async fn serve(environment: Rc<Environment>, number: usize, stream: Async<TcpStream>, rng: fastrand::Rng) {
+    let answer_queue = Rc::new(AnswerQueue::default());
+    read_commands(&environment, number, &stream, &answer_queue, rng).or(answer_queue.write(&stream)).await;
 }
 
-async fn listen_to(
-    world: &Rc<World>,
+/// Reads commands until the connection ends, and queues the answers.
+async fn read_commands(
+    environment: &Rc<Environment>,
     number: usize,
     mut stream: &Async<TcpStream>,
-    outbox: &Rc<Outbox>,
-    mut lots: fastrand::Rng,
+    answer_queue: &Rc<AnswerQueue>,
+    mut rng: fastrand::Rng,
 ) {
     let (mut buffer, mut chunk) = (Vec::new(), vec![0u8; 16 * 1024]);
     loop {
@@ -346,62 +382,63 @@
             return;
         }
         buffer.extend_from_slice(&chunk[..n]);
-        while let Some((parts, used)) = wire::parse_resp(&buffer).expect("a command that can be read") {
+        while let Some((parts, used)) = wire::parse_resp(&buffer).expect("a well-formed command") {
             let parts: Vec<String> = parts.iter().map(|p| String::from_utf8_lossy(p).into_owned()).collect();
             buffer.drain(..used);
             match parts[0].as_str() {
                 "gauges" | "health" => {
                     let answer: [&[u8]; 4] = [parts[1].as_bytes(), b"green", b"-", b""];
-                    outbox.push(wire::encode_resp(&answer));
+                    answer_queue.push(wire::encode_resp(&answer));
                 }
-                "serve" if !asked(world, number, outbox, &parts, &mut lots) => return,
+                "serve" if !handle_attempt(environment, number, answer_queue, &parts, &mut rng) => return,
                 _ => {}
             }
         }
     }
 }
 
-/// Judges an attempt and answers it; false where the connection breaks instead.
-fn asked(
-    world: &Rc<World>,
+/// Checks an attempt against the rules and answers it as the server's behavior says; false where the
+/// connection is closed instead.
+fn handle_attempt(
+    environment: &Rc<Environment>,
     number: usize,
-    outbox: &Rc<Outbox>,
+    answer_queue: &Rc<AnswerQueue>,
     parts: &[String],
-    lots: &mut fastrand::Rng,
+    rng: &mut fastrand::Rng,
 ) -> bool {
-    let (call, fields) = (parts[1].clone(), &parts[2]);
-    let proxy = crate::clients::proxy_of(&call);
-    let oracle = &world.oracle;
-    oracle.attempted(&call, number, fields, world.drained(proxy, number));
-    oracle.purged(&call, fields, world.purged(proxy, group_of(&call)));
-    let mood = world.servers[number].mood.get();
-    oracle.note(&call, &format!("server {number} is {mood:?}"));
+    let (call_id, fields) = (parts[1].clone(), &parts[2]);
+    let proxy = crate::clients::proxy_of(&call_id);
+    let oracle = &environment.oracle;
+    oracle.check_attempt(&call_id, number, fields, environment.drain_reported_at(proxy, number));
+    oracle.check_purge(&call_id, fields, environment.last_purge(proxy, group_of(&call_id)));
+    let behavior = environment.servers[number].behavior.get();
+    oracle.note(&call_id, &format!("server {number} is {behavior:?}"));
     let served = |bytes: &[u8]| {
         wire::encode_resp(&[
-            call.as_bytes(),
+            call_id.as_bytes(),
             b"served",
             b"version=4be0c1927d55a6f3,stamp=1,detail=HIT",
             bytes,
         ])
     };
-    let says = |word: &[u8]| wire::encode_resp(&[call.as_bytes(), word, b"-", b""]);
-    let (wait, bytes) = match mood {
-        Mood::Silent => return true,
-        Mood::Breaks => return false,
-        Mood::Refuses => {
-            oracle.never_ran(&call, number);
-            (0, says(b"overload"))
+    let answer_with = |word: &[u8]| wire::encode_resp(&[call_id.as_bytes(), word, b"-", b""]);
+    let (wait, bytes) = match behavior {
+        ServerBehavior::Silent => return true,
+        ServerBehavior::ClosesConnection => return false,
+        ServerBehavior::Refuses => {
+            oracle.mark_never_ran(&call_id, number);
+            (0, answer_with(b"overload"))
         }
-        Mood::Fails => (0, says(b"crashed")),
-        Mood::Slow => (lots.u64(50..700) * MILLISECOND, served(&body(&call))),
-        Mood::Twice => (0, [served(&body(&call)), served(&body(&call))].concat()),
-        Mood::Well => (lots.u64(0..8) * MILLISECOND, served(&body(&call))),
+        ServerBehavior::Fails => (0, answer_with(b"crashed")),
+        ServerBehavior::Slow => (rng.u64(50..700) * MILLISECOND, served(&body(&call_id))),
+        ServerBehavior::AnswersTwice => (0, [served(&body(&call_id)), served(&body(&call_id))].concat()),
+        ServerBehavior::Healthy => (rng.u64(0..8) * MILLISECOND, served(&body(&call_id))),
     };
-    let outbox = outbox.clone();
+    let answer_queue = answer_queue.clone();
     let answer = async move {
         pause(wait).await;
-        outbox.push(bytes);
+        answer_queue.push(bytes);
     };
-    world.executor.spawn(answer).detach();
+    environment.executor.spawn(answer).detach();
     true
 }
