--- a/node/tests/control.rs
+++ b/node/tests/control.rs
@@ -1,6 +1,6 @@
-//! Budgets divided by sites and regions among proxies that are processes of their own, with a relay between each pair that
-//! cuts, drops and delays: what a cache is sent by all of them together never exceeds the whole, and a region that is cut
-//! off goes on with its own part.
+//! Budgets divided by regions and sites among proxies that are processes of their own, with a relay between
+//! each pair that cuts, drops and delays: the probes that all of them together send to a cache never exceed
+//! the shared budget, and a region that is cut off goes on with its own part.
 mod common;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -28,13 +28,15 @@
 const PROXIES: usize = 8;
 const NORTH: [usize; 4] = [0, 1, 2, 3];
 const SOUTH: [usize; 4] = [4, 5, 6, 7];
-/// Probes of one cache a second that all may make together; alone, each would make five in two seconds.
-const WHOLE: usize = 4;
-/// The fleet's lease time, the longest: four times that of a site.
+/// Probes of one cache a second that all proxies may make together. Without shared budgets, each would make
+/// five in two seconds.
+const TOTAL_PROBES_PER_S: usize = 4;
+/// The lease time at the level of the fleet, which is the longest: four times that of a site.
 const FLEET_LEASE_MS: u64 = 2_400;
-/// What all may send in five seconds, one at once from each whose share grows, and one from a process that starts anew.
-const MOST: usize = WHOLE * 5 + PROXIES + 1;
-/// Between two requests to a proxy: often enough for more probes than its part.
+/// The most probes that all may send in five seconds, with one at once from each proxy whose share grows and
+/// one from a process that restarts.
+const MAX_PROBES_IN_5_S: usize = TOTAL_PROBES_PER_S * 5 + PROXIES + 1;
+/// The pause between two requests to a proxy, short enough for more probes than its part of the budget.
 const REQUEST_PAUSE_US: u64 = 5_000;
 
 struct Fleet {
@@ -45,132 +47,140 @@
 }
 
 impl Fleet {
-    /// Proxies that all know the same caches; `shared`: with budgets.
+    /// Starts proxies that all know the same caches; `shared`: with shared budgets.
     fn start(config: impl Fn(SocketAddr) -> String, fronts: &[SocketAddr], shared: bool) -> Fleet {
         let folder = TempDir::new().unwrap();
         std::fs::write(folder.path().join("key"), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
         let (relay, own) = (Relay::new(5, PROXIES).unwrap(), free_addresses(PROXIES));
-        for (place, reached) in relay.udp(&own).unwrap().iter().enumerate() {
-            let json = config(fronts[place]).replace("\"name\":\"n0\"", &format!("\"name\":\"n{place}\""));
-            std::fs::write(folder.path().join(format!("{place}.json")), json).unwrap();
+        for (index, reached) in relay.udp(&own).unwrap().iter().enumerate() {
+            let json = config(fronts[index]).replace("\"name\":\"n0\"", &format!("\"name\":\"n{index}\""));
+            std::fs::write(folder.path().join(format!("{index}.json")), json).unwrap();
             let text = if shared { operators_file(reached) } else { String::new() };
-            std::fs::write(folder.path().join(format!("{place}.toml")), text).unwrap();
+            std::fs::write(folder.path().join(format!("{index}.toml")), text).unwrap();
         }
-        let proxies = (0..PROXIES).map(|place| spawn(&folder, place)).collect();
+        let proxies = (0..PROXIES).map(|index| spawn(&folder, index)).collect();
         Fleet { relay, own, proxies, folder }
     }
 
-    fn restart(&mut self, place: usize) {
-        self.proxies[place] = spawn(&self.folder, place);
+    /// Starts a proxy's process again.
+    fn restart(&mut self, index: usize) {
+        self.proxies[index] = spawn(&self.folder, index);
     }
 
-    /// Whether a proxy leads this now, by its log.
-    fn leads(&self, place: usize, what: &str) -> bool {
-        let log = self.proxies[place].output();
-        let last = log.lines().rfind(|line| line.ends_with(&format!(" leads {what}")));
+    /// Returns whether a proxy leads a site, a region or the fleet now, by its log.
+    fn leads(&self, index: usize, scope: &str) -> bool {
+        let log = self.proxies[index].output();
+        let last = log.lines().rfind(|line| line.ends_with(&format!(" leads {scope}")));
         last.is_some_and(|line| !line.contains("no longer"))
     }
 
-    /// The proxies that lead this now.
-    fn leaders(&self, what: &str) -> Vec<usize> {
-        (0..PROXIES).filter(|place| self.leads(*place, what)).collect()
+    /// Returns the proxies that lead a site, a region or the fleet now, by their logs.
+    fn leaders(&self, scope: &str) -> Vec<usize> {
+        (0..PROXIES).filter(|index| self.leads(*index, scope)).collect()
     }
 
-    /// Whether a proxy holds a lease now, by its log.
-    fn leased(&self, place: usize) -> bool {
-        let log = self.proxies[place].output();
+    /// Returns whether a proxy holds a lease now, by its log.
+    fn has_lease(&self, index: usize) -> bool {
+        let log = self.proxies[index].output();
         let last = log.lines().rfind(|line| line.contains("a share is leased") || line.contains("no lease"));
         last.is_some_and(|line| line.contains("a share is leased"))
     }
 
     /// Waits until each site, each region and the fleet has one leader, and each proxy a lease.
-    async fn settled(&self) {
-        for what in ["site ams", "site cph", "site gru", "region north", "region south", "the fleet"] {
-            within(&format!("one leader of {what}"), || self.leaders(what).len() == 1).await;
+    async fn wait_until_settled(&self) {
+        for scope in ["site ams", "site cph", "site gru", "region north", "region south", "the fleet"] {
+            wait_for(&format!("one leader of {scope}"), || self.leaders(scope).len() == 1).await;
         }
-        within("a lease at each", || (0..PROXIES).all(|place| self.leased(place))).await;
+        wait_for("a lease at each", || (0..PROXIES).all(|index| self.has_lease(index))).await;
     }
 
-    /// Probes that these made since they started.
-    async fn probes_of(&self, places: &[usize]) -> u64 {
+    /// Returns how many probes these proxies have made since they started.
+    async fn probes_of(&self, indices: &[usize]) -> u64 {
         let mut sum = 0;
-        for place in places {
-            sum += read_counter(&self.proxies[*place], "loadProbes").await;
+        for index in indices {
+            sum += read_counter(&self.proxies[*index], "loadProbes").await;
         }
         sum
     }
 
-    /// A leader of a site is killed: another takes over, and the killed process comes back.
+    /// Kills the leader of a site: another proxy takes over, and the killed process restarts.
     async fn kill_a_site_leader(&mut self) {
         let killed = self.leaders("site gru")[0];
         self.proxies[killed].kill().unwrap();
-        within("another leader of the site", || self.leaders("site gru").iter().any(|p| *p != killed)).await;
-        within("another leader of the region", || self.leaders("region south").iter().any(|p| *p != killed))
+        wait_for("another leader of the site", || self.leaders("site gru").iter().any(|p| *p != killed))
             .await;
+        wait_for("another leader of the region", || {
+            self.leaders("region south").iter().any(|p| *p != killed)
+        })
+        .await;
         self.restart(killed);
-        self.settled().await;
+        self.wait_until_settled().await;
     }
 
-    /// The leader of the fleet stands still over all its leases, and wakes.
+    /// Stops the leader of the fleet until all its leases have ended, and lets it continue.
     async fn stop_the_fleet_leader(&self) {
         let stopped = self.leaders("the fleet")[0];
         self.proxies[stopped].stop().unwrap();
-        within("another leader of the fleet", || self.leaders("the fleet").iter().any(|p| *p != stopped))
+        wait_for("another leader of the fleet", || self.leaders("the fleet").iter().any(|p| *p != stopped))
             .await;
         wait(FLEET_LEASE_MS).await;
         self.proxies[stopped].cont().unwrap();
-        within("the first leads no more", || !self.leads(stopped, "the fleet")).await;
-        self.settled().await;
+        wait_for("the first one no longer leads", || !self.leads(stopped, "the fleet")).await;
+        self.wait_until_settled().await;
     }
 
-    /// The leader of a region hears all and is heard by nobody.
+    /// Cuts the messages that the leader of a region sends, while it still receives all.
     async fn cut_a_region_leader_one_way(&self) {
-        let mute = self.leaders("region south")[0];
-        let others: Vec<usize> = (0..PROXIES).filter(|place| *place != mute).collect();
+        let unheard = self.leaders("region south")[0];
+        let others: Vec<usize> = (0..PROXIES).filter(|index| *index != unheard).collect();
         for other in &others {
-            self.relay.set_fault(mute, *other, Fault { cut: true, ..Fault::default() });
+            self.relay.set_fault(unheard, *other, Fault { cut: true, ..Fault::default() });
         }
-        within("another leader of the region", || self.leaders("region south").iter().any(|p| *p != mute))
-            .await;
-        within("the first leads no more", || !self.leads(mute, "region south")).await;
+        wait_for("another leader of the region", || {
+            self.leaders("region south").iter().any(|p| *p != unheard)
+        })
+        .await;
+        wait_for("the first one no longer leads", || !self.leads(unheard, "region south")).await;
         wait(FLEET_LEASE_MS).await;
-        others.iter().for_each(|other| self.relay.set_fault(mute, *other, Fault::default()));
-        self.settled().await;
+        others.iter().for_each(|other| self.relay.set_fault(unheard, *other, Fault::default()));
+        self.wait_until_settled().await;
     }
 
-    /// A region without the other goes on with its own part, which is far above the floors of its proxies.
-    async fn cut_a_region_off(&self) {
+    /// Cuts off a region, which goes on with its own part; that is far above the floors of its proxies.
+    async fn cut_off_a_region(&self) {
         self.relay.cut(&NORTH, &SOUTH);
-        // What it held from the fleet is over.
+        // Waits until the lease that it held from the fleet has ended.
         wait(2 * FLEET_LEASE_MS).await;
-        // Its part is a probe a second; the floors of its four together would take 400 seconds for as many.
+        // Its part is one probe a second; the floors of its four proxies together would take 400 seconds for
+        // as many.
         let (before, end) = (self.probes_of(&SOUTH).await, now() + 40_000_000);
         while self.probes_of(&SOUTH).await < before + 4 {
             assert!(now() < end, "no more than the floors of its proxies");
             wait(200).await;
         }
-        within("it is led on", || self.leaders("region south").len() == 1).await;
-        within("its proxies hold leases", || SOUTH.iter().all(|place| self.leased(*place))).await;
+        wait_for("the region keeps a leader", || self.leaders("region south").len() == 1).await;
+        wait_for("its proxies hold leases", || SOUTH.iter().all(|index| self.has_lease(*index))).await;
         let fleet = self.leaders("the fleet");
         assert!(
-            fleet.iter().all(|place| NORTH.contains(place)),
+            fleet.iter().all(|index| NORTH.contains(index)),
             "the fleet's voter is in the north: {fleet:?}"
         );
         self.relay.heal(&NORTH, &SOUTH);
-        self.settled().await;
+        self.wait_until_settled().await;
     }
 
-    /// One message in three lost, the others late.
-    async fn lose_and_delay(&self) {
+    /// Drops one message in three and delays the others.
+    async fn drop_and_delay_messages(&self) {
         let (delay, jitter) = (Duration::from_millis(30), Duration::from_millis(30));
         self.relay.set_all_faults(|_, _| Fault { drop: 1.0 / 3.0, delay, jitter, ..Fault::default() });
         wait(2 * FLEET_LEASE_MS).await;
         self.relay.set_all_faults(|_, _| Fault::default());
-        self.settled().await;
+        self.wait_until_settled().await;
     }
 
-    /// Somebody without the key asks for everything in the name of a proxy.
-    async fn forge(&self) {
+    /// Sends a request for everything in the name of a proxy, without the key; it has to be counted as
+    /// forged.
+    async fn send_forged_request(&self) {
         let before = read_counter(&self.proxies[0], "budgetForged").await;
         let (level, group, seat) = (Level::Site, 0, 0);
         let mut forged = Frame { level, group, seat, hops: 0, origin: 1, message: &[6; 11] }.encode();
@@ -180,38 +190,43 @@
         assert_eq!(read_counter(&self.proxies[0], "budgetForged").await, before + 1);
     }
 
-    /// What was counted agrees with what was to be seen, and a planned end is one.
-    async fn counters_and_end(&self) {
-        for place in 0..PROXIES {
-            assert_eq!(read_counter(&self.proxies[place], "budgetMalformed").await, 0, "of {place}");
-            assert!(read_counter(&self.proxies[place], "budgetBytes").await > 0, "of {place}");
+    /// Checks that the counters agree with what happened, and that another proxy takes over from a leader
+    /// that is ended.
+    async fn check_counters_and_planned_end(&self) {
+        for index in 0..PROXIES {
+            assert_eq!(read_counter(&self.proxies[index], "budgetMalformed").await, 0, "of {index}");
+            assert!(read_counter(&self.proxies[index], "budgetBytes").await > 0, "of {index}");
         }
-        for (what, name) in [
+        for (scope, name) in [
             ("the fleet", "budgetElected"),
             ("region south", "budgetRegionElected"),
             ("site gru", "budgetSiteElected"),
         ] {
-            assert!(read_counter(&self.proxies[self.leaders(what)[0]], name).await > 0, "{name}");
+            assert!(read_counter(&self.proxies[self.leaders(scope)[0]], name).await > 0, "{name}");
         }
         let leaving = self.leaders("site gru")[0];
         self.proxies[leaving].term().unwrap();
-        within("its end", || self.proxies[leaving].exit_status().is_some()).await;
-        within("another leader of the site", || self.leaders("site gru").iter().any(|p| *p != leaving)).await;
+        wait_for("its end", || self.proxies[leaving].exit_status().is_some()).await;
+        wait_for("another leader of the site", || self.leaders("site gru").iter().any(|p| *p != leaving))
+            .await;
     }
 }
 
-fn spawn(folder: &TempDir, place: usize) -> Process {
-    let file = |kind: &str| folder.path().join(format!("{place}.{kind}"));
+/// Starts the process of a proxy.
+fn spawn(folder: &TempDir, index: usize) -> Process {
+    let file = |kind: &str| folder.path().join(format!("{index}.{kind}"));
     let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).arg("--fronts").arg(file("toml"));
     start.env("LB_CONFIG", file("json")).spawn().unwrap()
 }
 
-/// Sites of 3, 1 and 4 in two regions; `reached` is where this proxy reaches each.
+/// Returns the operators' file for sites of 3, 1 and 4 proxies in two regions; `reached` has the addresses at
+/// which this proxy reaches each.
 fn operators_file(reached: &[SocketAddr]) -> String {
-    let mut text =
-        format!("[budgets]\nsecret_file = \"key\"\nlease_ms = 600\nprobes_per_cache_s = {WHOLE}\n");
-    for (place, (address, (region, site))) in reached.iter().zip(LOCATIONS).enumerate() {
-        text += &format!("[[budgets.proxy]]\nname = \"n{place}\"\naddress = \"{address}\"\n");
+    let mut text = format!(
+        "[budgets]\nsecret_file = \"key\"\nlease_ms = 600\nprobes_per_cache_s = {TOTAL_PROBES_PER_S}\n"
+    );
+    for (index, (address, (region, site))) in reached.iter().zip(LOCATIONS).enumerate() {
+        text += &format!("[[budgets.proxy]]\nname = \"n{index}\"\naddress = \"{address}\"\n");
         text += &format!("region = \"{region}\"\nsite = \"{site}\"\n");
     }
     text
@@ -221,26 +236,29 @@
     sleep_until(now() + ms * 1000).await;
 }
 
-/// Waits until something holds; the bound only ends a test that fails.
-async fn within(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds. The bound is so long that only a test that fails reaches it.
+async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = now() + 40_000_000;
-    while !holds() {
+    while !condition() {
         assert!(now() < end, "never came: {what}");
         wait(20).await;
     }
 }
 
-/// A fleet under load whose probes of one cache are watched.
-async fn begin(ex: &'static async_executor::LocalExecutor<'static>, shared: bool) -> (Fleet, ProbeTimes) {
+/// Starts a fleet under load and records its probes of one cache.
+async fn start_fleet_under_load(
+    ex: &'static async_executor::LocalExecutor<'static>,
+    shared: bool,
+) -> (Fleet, ProbeTimes) {
     let cache = start_cache(ex);
     *cache.behavior.borrow_mut() = served();
-    let (_, _, bulletin) = start_discovery(ex);
+    let (_, _, discovery_addr) = start_discovery(ex);
     let servers = [
         server_entry("s-0", cache.addr, "std", "active", 0),
         server_entry("origin", ([127, 0, 0, 1], 9).into(), "origin", "active", 0),
     ];
     let config = |front| {
-        let json = configuration(front, bulletin, &servers);
+        let json = configuration(front, discovery_addr, &servers);
         json.replace("inline", "on_probe").replace(r#""cancel""#, r#""probes":true,"cancel""#)
     };
     let fronts = free_addresses(PROXIES);
@@ -254,33 +272,42 @@
 }
 
 #[test]
-fn all_together_keep_to_the_whole_whatever_becomes_of_leaders_and_regions() {
+fn the_fleet_keeps_to_the_shared_budget_whatever_happens_to_leaders_and_regions() {
     run(|ex| async move {
-        let (mut fleet, times) = begin(ex, true).await;
-        fleet.settled().await;
+        let (mut fleet, times) = start_fleet_under_load(ex, true).await;
+        fleet.wait_until_settled().await;
         wait(2_000).await;
         fleet.kill_a_site_leader().await;
         fleet.stop_the_fleet_leader().await;
         fleet.cut_a_region_leader_one_way().await;
-        fleet.cut_a_region_off().await;
-        fleet.lose_and_delay().await;
-        fleet.forge().await;
-        fleet.counters_and_end().await;
+        fleet.cut_off_a_region().await;
+        fleet.drop_and_delay_messages().await;
+        fleet.send_forged_request().await;
+        fleet.check_counters_and_planned_end().await;
         let times = times.borrow();
-        assert!(times.len() >= 20, "{} probes: hardly any", times.len());
-        let seen = max_probes_in_5_seconds(&times);
-        println!("{seen} probes in the densest five seconds, {MOST} at most; {} in all", times.len());
-        assert!(seen <= MOST, "{seen} probes in five seconds, {MOST} at most");
+        assert!(times.len() >= 20, "only {} probes", times.len());
+        let observed = max_probes_in_5_seconds(&times);
+        println!(
+            "{observed} probes in the densest five seconds, {MAX_PROBES_IN_5_S} at most; {} in all",
+            times.len()
+        );
+        assert!(
+            observed <= MAX_PROBES_IN_5_S,
+            "{observed} probes in five seconds, {MAX_PROBES_IN_5_S} at most"
+        );
     });
 }
 
 #[test]
-fn without_shared_budgets_each_takes_its_own() {
+fn without_shared_budgets_each_proxy_uses_its_own() {
     run(|ex| async move {
-        let (fleet, times) = begin(ex, false).await;
+        let (fleet, times) = start_fleet_under_load(ex, false).await;
         wait(6_000).await;
-        let seen = max_probes_in_5_seconds(&times.borrow());
-        assert!(seen > MOST, "{seen} probes in five seconds: the test of the whole could not fail");
+        let observed = max_probes_in_5_seconds(&times.borrow());
+        assert!(
+            observed > MAX_PROBES_IN_5_S,
+            "{observed} probes in five seconds: the test of the shared budget could not fail"
+        );
         drop(fleet);
     });
 }
--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -1,5 +1,5 @@
-//! The operators' door and the files behind it: the form of calls and files as tables, a ban with real sockets, callers
-//! that say nothing, and two processes of the real program that serve as one.
+//! The admin address for operators and the files behind it: tables of commands and files, bans on real
+//! sockets, callers that send nothing, and processes of the real program that hand over to each other.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -31,11 +31,12 @@
 #[case::other(b"RESTART s-1", Err("unknown call: READY, DISABLE ID or ENABLE ID"))]
 #[case::no_text(b"DISABLE \xff\xfe", Err("not text"))]
 #[case::nul(b"DISABLE s-\0", Err("unknown cache server"))]
-fn lines(#[case] line: &[u8], #[case] want: Result<AdminCommand<'_>, &'static str>) {
+fn commands_are_parsed(#[case] line: &[u8], #[case] want: Result<AdminCommand<'_>, &'static str>) {
     assert_eq!(parse_command(line), want);
 }
 
-fn calls() -> BanStates {
+/// Returns one ban and one lifted ban.
+fn sample_bans() -> BanStates {
     let at = UnixTime::from_micros;
     let out = bans::BanState::Banned(at(5));
     BanStates::from([
@@ -44,11 +45,12 @@
     ])
 }
 
-/// A file is taken whole or not at all: any cut, any changed byte, another kind or version is refused.
+/// A stored file is used whole or not at all: one that is cut anywhere, has any byte changed, or is of
+/// another kind or version is refused.
 #[test]
-fn files_that_cannot_be_trusted() {
-    let text = format_bans(7, &calls());
-    assert_eq!(parse_bans(&text), Ok((7, calls())));
+fn damaged_or_foreign_files_are_refused() {
+    let text = format_bans(7, &sample_bans());
+    assert_eq!(parse_bans(&text), Ok((7, sample_bans())));
     for n in 0..text.len() {
         assert!(parse_bans(&text[..n]).is_err(), "cut at {n}");
         let mut bytes = text.clone().into_bytes();
@@ -65,144 +67,157 @@
     assert!(parse_bans(&text).is_err() && parse_learned(&classes, &text[..text.len() - 1]).is_err());
 }
 
-/// A process is seen for as long as it lives, whatever else is in the folder; what a killed one left is removed.
+/// Processes of one proxy see each other for as long as they live, whatever else is in the folder. Files that
+/// a killed process left are removed.
 #[test]
-fn who_lives() {
+fn processes_see_each_other_while_they_live() {
     let folder = tempdir().unwrap();
-    let dir = folder.path();
-    std::fs::write(dir.join("threadward-n0.run-0000000000000001-77"), "ready 3\n").unwrap();
-    std::fs::write(dir.join("threadward-n1.run-0000000000000001-78"), "ready 3\n").unwrap();
-    let a = SharedFiles::open(dir, "n0", (5, 1)).unwrap();
-    let b = SharedFiles::open(dir, "n0", (6, 2)).unwrap();
+    let folder_path = folder.path();
+    std::fs::write(folder_path.join("threadward-n0.run-0000000000000001-77"), "ready 3\n").unwrap();
+    std::fs::write(folder_path.join("threadward-n1.run-0000000000000001-78"), "ready 3\n").unwrap();
+    let a = SharedFiles::open(folder_path, "n0", (5, 1)).unwrap();
+    let b = SharedFiles::open(folder_path, "n0", (6, 2)).unwrap();
     assert_eq!(
         a.other_processes(),
         [ProcessStatus { rank: (6, 2), phase: Phase::Starting, bans_version: 0 }]
     );
-    assert!(!dir.join("threadward-n0.run-0000000000000001-77").exists());
-    assert!(dir.join("threadward-n1.run-0000000000000001-78").exists(), "another proxy's file is left alone");
+    assert!(!folder_path.join("threadward-n0.run-0000000000000001-77").exists());
+    assert!(
+        folder_path.join("threadward-n1.run-0000000000000001-78").exists(),
+        "another proxy's file is left alone"
+    );
     b.publish(Phase::Ready, 12).unwrap();
     b.publish(Phase::Ending, 4).unwrap();
     assert_eq!(a.other_processes(), [ProcessStatus { rank: (6, 2), phase: Phase::Ending, bans_version: 4 }]);
     let held = a.lock_bans().unwrap();
     assert!(b.lock_bans().unwrap().is_none());
     drop(held);
-    assert!(soon(|| b.lock_bans().unwrap().is_some()));
-    a.store_bans(3, &calls()).unwrap();
-    assert_eq!(b.load_bans(), Ok((3, calls())));
-    std::fs::write(dir.join("threadward-n0.bans"), "threadward-bans 1\n").unwrap();
+    assert!(eventually(|| b.lock_bans().unwrap().is_some()));
+    a.store_bans(3, &sample_bans()).unwrap();
+    assert_eq!(b.load_bans(), Ok((3, sample_bans())));
+    std::fs::write(folder_path.join("threadward-n0.bans"), "threadward-bans 1\n").unwrap();
     assert!(b.load_bans().is_err());
     drop(b);
-    assert!(soon(|| a.other_processes().is_empty()));
+    assert!(eventually(|| a.other_processes().is_empty()));
 }
 
-/// Whether it comes to hold. A process that another test starts holds this one's locks until it is the program it becomes.
-fn soon(mut holds: impl FnMut() -> bool) -> bool {
+/// Returns whether a condition holds within five seconds. A process that another test forks inherits this
+/// one's locks and holds them until it has executed its program.
+fn eventually(mut condition: impl FnMut() -> bool) -> bool {
     let end = now() + 5_000_000;
-    while !holds() && now() < end {
+    while !condition() && now() < end {
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
-    holds()
+    condition()
 }
 
-/// A server that is out gets nothing, also as a source, whatever the bulletin says; called back it is cold at first.
+/// A banned server gets nothing, whatever discovery publishes about it, and counts as cold when the ban is
+/// lifted.
 #[test]
-fn a_server_taken_out_and_called_back() {
+fn a_banned_server_gets_nothing_until_it_is_enabled() {
     run(|ex| async move {
-        let w = start_testbed(ex, 2).await;
-        w.set_behavior(served());
+        let testbed = start_testbed(ex, 2).await;
+        testbed.set_behavior(served());
         let folder = tempdir().unwrap();
-        let dir = folder.path();
-        let (_shift, at) = start_admin(&w, Some(dir));
-        wait_until("the bulletin", || w.node.discovery_heard.get()).await;
+        let folder_path = folder.path();
+        let (_group, at) = start_admin(&testbed, Some(folder_path));
+        wait_until("the discovery connection", || testbed.node.discovery_heard.get()).await;
         assert_eq!(admin_command(at, &["READY\n"]).await, "done ready\n");
         assert_eq!(admin_command(at, &["DISABLE s-9\n"]).await, "error unknown cache server\n");
         assert_eq!(admin_command(at, &["DIS", "ABLE s", "-0\r\nENABLE s-0\n"]).await, "done out\n");
         assert_eq!(admin_command(at, &["DISABLE s-0"]).await, "done out\n");
-        let mut c = Client::connect(w.front).await;
+        let mut c = Client::connect(testbed.front).await;
 
         let mut id = 0;
-        let mut play = async |n: u32| {
-            let before = (w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len());
+        let mut send_requests = async |n: u32| {
+            let before =
+                (testbed.caches[0].commands.borrow().len(), testbed.caches[1].commands.borrow().len());
             for _ in 0..n {
                 id += 1;
                 c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
                 assert_eq!(c.answer().await.unwrap().1, None);
             }
-            let seen = (w.caches[0].commands.borrow().len(), w.caches[1].commands.borrow().len());
+            let seen = (testbed.caches[0].commands.borrow().len(), testbed.caches[1].commands.borrow().len());
             (seen.0 - before.0, seen.1 - before.1)
         };
-        assert_eq!(play(30).await, (0, 30));
-        let again = server_entry("s-0", w.caches[0].addr, "std", "active", 0);
-        w.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{again}]}}"#)).await;
-        assert_eq!(play(30).await, (0, 30), "the bulletin does not undo a ban");
-        // A process that starts now finds the ban.
+        assert_eq!(send_requests(30).await, (0, 30));
+        let again = server_entry("s-0", testbed.caches[0].addr, "std", "active", 0);
+        testbed.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{again}]}}"#)).await;
+        assert_eq!(send_requests(30).await, (0, 30), "discovery does not undo a ban");
+        // A process that starts now reads the ban from the file.
         let other = start_testbed(ex, 2).await;
-        let (_other, _) = start_admin(&other, Some(dir));
+        let (_other_group, _) = start_admin(&other, Some(folder_path));
         assert!(other.node.bans.borrow().is_banned("s-0"));
         assert_eq!(admin_command(at, &["ENABLE s-0\n"]).await, "done in use\n");
-        let (cold, warm) = play(100).await;
+        let (cold, warm) = send_requests(100).await;
         assert!(cold > 0 && cold * 2 < warm, "{cold} to the one that came back, {warm} to the other");
         assert_eq!(
             admin_command(at, &["ENABLE s-0\n"]).await,
             "done in use\n",
-            "with no ban it is a yes as well"
+            "without a ban the answer is the same"
         );
-        let count = |c| w.node.plan(|p, _| p.counters.get(c));
+        let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
         assert_eq!((count(Counter::BansSet), count(Counter::BansLifted)), (1, 1));
         assert_eq!((count(Counter::AdminCommands), count(Counter::AdminRefused)), (6, 1));
     });
 }
 
-/// All of a location's servers out: refused at once and never sent, with the time to stay away.
+/// With all servers of a location banned, a request is refused at once and sent to none.
 #[test]
-fn all_servers_out() {
+fn with_all_servers_banned_requests_are_refused_at_once() {
     run(|ex| async move {
-        let w = start_testbed(ex, 2).await;
-        let (_shift, at) = start_admin(&w, None);
+        let testbed = start_testbed(ex, 2).await;
+        let (_group, at) = start_admin(&testbed, None);
         for id in ["s-0", "s-1"] {
             assert_eq!(admin_command(at, &[&format!("DISABLE {id}\n")]).await, "done out\n");
         }
-        let (mut c, from) = (Client::connect(w.front).await, now());
+        let (mut c, from) = (Client::connect(testbed.front).await, now());
         c.send(&request(1, "media", &[])).await;
         assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
-        assert!(now() < from + 500_000 && w.received_requests().is_empty());
+        assert!(now() < from + 500_000 && testbed.received_requests().is_empty());
     });
 }
 
-/// What was decided just before a ban and is not yet written goes nowhere: it never ran, and is refused.
+/// An attempt that was planned just before a ban and is not yet written is not sent: it never ran, so the
+/// request is refused.
 #[test]
 fn a_ban_holds_for_what_is_not_yet_written() {
     run(|ex| async move {
-        let w = start_testbed(ex, 2).await;
-        w.set_behavior(served());
-        let said: Rc<std::cell::RefCell<Option<FinalAnswer>>> = Rc::default();
-        let (told, object) = (said.clone(), u64::from_str_radix(OBJECT, 16).unwrap());
-        let ask = ClientRequest {
+        let testbed = start_testbed(ex, 2).await;
+        testbed.set_behavior(served());
+        let answer_slot: Rc<std::cell::RefCell<Option<FinalAnswer>>> = Rc::default();
+        let (answer_sink, object) = (answer_slot.clone(), u64::from_str_radix(OBJECT, 16).unwrap());
+        let client_request = ClientRequest {
             call_id: "00".into(),
             object_name: OBJECT.into(),
             object,
             expires_at: now() + 2_000_000,
             ..ClientRequest::default()
         };
-        let reply = Box::new(move |last| *told.borrow_mut() = Some(last));
-        w.node.plan(|p, now| p.accept_request(now, 0, ask, reply));
-        // No task has had its turn since.
+        let reply = Box::new(move |last| *answer_sink.borrow_mut() = Some(last));
+        testbed.node.plan(|p, now| p.accept_request(now, 0, client_request, reply));
+        // No task has run since, so the attempt is not written yet.
         let out = [0, 1].map(|i| (format!("s-{i}"), bans::BanState::Banned(unix_now())));
-        let changed = w.node.bans.borrow_mut().adopt(BanStates::from(out));
-        bulletin::apply_bans(&w.node, changed, 0);
-        wait_until("the answer", || said.borrow().is_some()).await;
+        let changed = testbed.node.bans.borrow_mut().adopt(BanStates::from(out));
+        bulletin::apply_bans(&testbed.node, changed, 0);
+        wait_until("the answer", || answer_slot.borrow().is_some()).await;
 
-        assert!(matches!(*said.borrow(), Some(FinalAnswer::Refused { .. })), "{:?}", said.borrow());
-        assert!(w.received_requests().is_empty(), "{:?}", w.received_requests());
+        assert!(
+            matches!(*answer_slot.borrow(), Some(FinalAnswer::Refused { .. })),
+            "{:?}",
+            answer_slot.borrow()
+        );
+        assert!(testbed.received_requests().is_empty(), "{:?}", testbed.received_requests());
     });
 }
 
-/// Callers that say nothing, or never end their line, keep nobody out; a line too long is an error, not a hang.
+/// Callers that send nothing, or never end their line, keep no other caller out. A line that is too long is
+/// answered with an error, without a wait.
 #[test]
-fn callers_that_say_nothing() {
+fn silent_callers_keep_nobody_out() {
     run(|ex| async move {
-        let w = start_testbed(ex, 1).await;
-        let (_shift, at) = start_admin(&w, None);
+        let testbed = start_testbed(ex, 1).await;
+        let (_group, at) = start_admin(&testbed, None);
         let mut silent = Vec::new();
         for _ in 0..MAX_CALLERS * 3 {
             let s = async_io::Async::<std::net::TcpStream>::connect(at).await.unwrap();
@@ -216,59 +231,70 @@
     });
 }
 
-/// An address that nothing else on this machine takes between now and the program's start: a port that was only just free
-/// may become the near end of some client's connection.
-fn address() -> SocketAddr {
+/// Returns an address that nothing else on this machine uses between now and the program's start. A port that
+/// was free a moment ago could be given to some client's outgoing connection.
+fn unused_address() -> SocketAddr {
     static N: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(1);
     let (pid, n) = (std::process::id(), N.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
     SocketAddr::from(([127, 1 + (pid % 250) as u8, (pid / 250 % 250) as u8, n], 5050))
 }
 
-/// What the programs of a test share: two caches that answer, a bulletin, the clients' address, a folder, and doors.
-struct Site {
+/// What the programs of a test share: two caches that answer, the address for clients, the configuration, a
+/// folder, and admin addresses.
+struct ProgramFixture {
     caches: [Cache; 2],
     front: SocketAddr,
     json: String,
     folder: TempDir,
-    doors: [SocketAddr; 4],
+    admin_addrs: [SocketAddr; 4],
 }
 
-fn site(ex: &'static async_executor::LocalExecutor<'static>) -> Site {
+/// Starts two caches and discovery, and makes the configuration of a program that uses them.
+fn program_fixture(ex: &'static async_executor::LocalExecutor<'static>) -> ProgramFixture {
     let caches = [start_cache(ex), start_cache(ex)];
     for c in &caches {
         *c.behavior.borrow_mut() = served();
     }
     let (_, _, bulletin) = start_discovery(ex);
-    let front = address();
+    let front = unused_address();
     let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
     let json = configuration(front, bulletin, &list);
-    Site { caches, front, json, folder: tempdir().unwrap(), doors: [0, 1, 2, 3].map(|_| address()) }
+    ProgramFixture {
+        caches,
+        front,
+        json,
+        folder: tempdir().unwrap(),
+        admin_addrs: [0, 1, 2, 3].map(|_| unused_address()),
+    }
 }
 
-struct Running(Child);
+/// A process of the program, killed when this is dropped.
+struct RunningProgram(Child);
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
-        // Waited for: until it is gone, its locks and sockets are there.
+        // Waits for its end: until then its locks and sockets exist.
         let _ = (self.0.kill(), self.0.wait());
     }
 }
 
-fn program(json: &str, dir: &Path, door: SocketAddr) -> Running {
+/// Starts a process of the program with a configuration and an admin address.
+fn start_program(json: &str, folder_path: &Path, admin_addr: SocketAddr) -> RunningProgram {
     static N: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let n = N.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let config = dir.join(format!("config-{n}.json"));
+    let config = folder_path.join(format!("config-{n}.json"));
     std::fs::write(&config, json).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_threadward"));
-    command.env("LB_CONFIG", config).env("LB_ADMIN_ADDR", door.to_string()).env("TMPDIR", dir);
-    Running(command.stderr(std::process::Stdio::piped()).spawn().unwrap())
+    command.env("LB_CONFIG", config).env("LB_ADMIN_ADDR", admin_addr.to_string()).env("TMPDIR", folder_path);
+    RunningProgram(command.stderr(std::process::Stdio::piped()).spawn().unwrap())
 }
 
-async fn ready(door: SocketAddr) {
+/// Waits until a program answers at its admin address that it is ready.
+async fn wait_until_ready(admin_addr: SocketAddr) {
     let end = now() + 6_000_000;
     loop {
-        let there = async_io::Async::<std::net::TcpStream>::connect(door).await.is_ok();
-        if there && admin_command(door, &["READY\n"]).await.starts_with("done") {
+        let accepts_connections = async_io::Async::<std::net::TcpStream>::connect(admin_addr).await.is_ok();
+        if accepts_connections && admin_command(admin_addr, &["READY\n"]).await.starts_with("done") {
             return;
         }
         assert!(now() < end, "never ready");
@@ -276,32 +302,34 @@
     }
 }
 
-async fn end(mut r: Running) -> Output {
+/// Waits for the end of a program and returns its status and what it wrote to stderr.
+async fn wait_for_exit(mut r: RunningProgram) -> Output {
     wait_until("the end", || r.0.try_wait().unwrap().is_some()).await;
     let mut err = Vec::new();
     std::io::Read::read_to_end(r.0.stderr.as_mut().unwrap(), &mut err).unwrap();
     Output { status: r.0.wait().unwrap(), stdout: Vec::new(), stderr: err }
 }
 
-fn term(r: &Running) {
+/// Sends SIGTERM to a program.
+fn send_sigterm(r: &RunningProgram) {
     let done = Command::new("sh").args(["-c", &format!("kill -TERM {}", r.0.id())]).status().unwrap();
     assert!(done.success());
 }
 
-/// A new version takes over under load, twice, while other clients keep connecting: every request has its one answer, no
-/// connection is refused or reset, a ban set at the old one holds at the new one, and only the old one ends. One that
-/// dies before its yes changes nothing.
+/// A new version takes over under load, twice, while other clients keep connecting: every request gets
+/// exactly one answer, no connection is refused or reset, a ban set at the old process holds at the new one,
+/// and only the old process ends. One that dies before it is ready changes nothing.
 #[test]
-fn a_new_version_under_load() {
+fn a_new_version_takes_over_under_load() {
     run(|ex| async move {
-        let Site { caches, front, json, folder, doors } = site(ex);
-        let dir = folder.path();
-        let mut old = program(&json, dir, doors[0]);
-        ready(doors[0]).await;
-        let (stop, asked, wrong) =
+        let ProgramFixture { caches, front, json, folder, admin_addrs } = program_fixture(ex);
+        let folder_path = folder.path();
+        let mut old = start_program(&json, folder_path, admin_addrs[0]);
+        wait_until_ready(admin_addrs[0]).await;
+        let (stop, requests_sent, wrong_answers) =
             (Rc::new(Cell::new(false)), Rc::new(Cell::new(0u64)), Rc::new(Cell::new(0)));
-        let (s, a, x) = (stop.clone(), asked.clone(), wrong.clone());
-        // One request a connection: each of them might meet the listener that closes.
+        let (s, a, x) = (stop.clone(), requests_sent.clone(), wrong_answers.clone());
+        // One request for each connection: each of them might meet the listener that closes.
         let load = ex.spawn(async move {
             while !s.get() {
                 let mut c = Client::connect(front).await;
@@ -312,38 +340,38 @@
                     &[("call", &format!("{:016x}", a.get())), ("row", &format!("{:016x}", a.get()))],
                 ))
                 .await;
-                // Refused is an answer: what is left of the caches is cold for a while.
-                let fine = match c.answer().await {
+                // A refusal is an answer too: the cache that is left is cold for a while.
+                let as_expected = match c.answer().await {
                     Some((1, None, body)) => body == b"whole",
                     Some((1, Some(word), _)) => word == "Full",
                     _ => false,
                 };
-                x.set(x.get() + u32::from(!fine));
+                x.set(x.get() + u32::from(!as_expected));
             }
         });
-        wait_until("some load", || asked.get() > 50).await;
-        assert_eq!(admin_command(doors[0], &["DISABLE s-0\n"]).await, "done out\n");
-        let died = program(&json, dir, doors[3]);
-        drop(died);
+        wait_until("some load", || requests_sent.get() > 50).await;
+        assert_eq!(admin_command(admin_addrs[0], &["DISABLE s-0\n"]).await, "done out\n");
+        let given_up = start_program(&json, folder_path, admin_addrs[3]);
+        drop(given_up);
         for next in 1..3 {
-            let new = program(&json, dir, doors[next]);
-            ready(doors[next]).await;
+            let new = start_program(&json, folder_path, admin_addrs[next]);
+            wait_until_ready(admin_addrs[next]).await;
             let sent = caches[0].commands.borrow().len();
-            // A call at either process holds in both once it is answered.
+            // A command at either process holds in both once it is answered.
             if next == 2 {
-                assert_eq!(admin_command(doors[1], &["ENABLE s-0\n"]).await, "done in use\n");
-                assert_eq!(admin_command(doors[2], &["DISABLE s-1\n"]).await, "done out\n");
+                assert_eq!(admin_command(admin_addrs[1], &["ENABLE s-0\n"]).await, "done in use\n");
+                assert_eq!(admin_command(admin_addrs[2], &["DISABLE s-1\n"]).await, "done out\n");
             }
             let other = caches[1].commands.borrow().len();
-            let before = asked.get();
-            wait_until("more load", || asked.get() > before + 50).await;
-            term(&old);
-            let out = end(std::mem::replace(&mut old, new)).await;
+            let before = requests_sent.get();
+            wait_until("more load", || requests_sent.get() > before + 50).await;
+            send_sigterm(&old);
+            let out = wait_for_exit(std::mem::replace(&mut old, new)).await;
             let text = String::from_utf8(out.stderr).unwrap();
             assert_eq!(out.status.code(), Some(0), "{text}");
             assert!(text.contains("stop: gives way to another process") && text.ends_with("end\n"), "{text}");
-            let before = asked.get();
-            wait_until("load after the old one", || asked.get() > before + 50).await;
+            let before = requests_sent.get();
+            wait_until("load after the old one", || requests_sent.get() > before + 50).await;
             if next == 1 {
                 assert_eq!(caches[0].commands.borrow().len(), sent, "out at the new one as well");
             } else {
@@ -353,27 +381,28 @@
         }
         stop.set(true);
         load.await;
-        assert_eq!(wrong.get(), 0, "of {}", asked.get());
+        assert_eq!(wrong_answers.get(), 0, "of {}", requests_sent.get());
         assert_eq!(old.0.try_wait().unwrap(), None, "the last one serves on");
     });
 }
 
-/// A process that is killed hands nothing over and leaves its files: the next one starts beside them, keeps the ban, and
-/// serves at once. Damaged and foreign files do no harm; neither does a second process that is given up.
+/// A process that is killed hands nothing over and leaves its files: the next one starts beside them, keeps
+/// the ban, and serves at once. Damaged and foreign files do no harm; neither does a third process that is
+/// ended right after its start.
 #[test]
-fn after_a_kill() {
+fn a_process_starts_beside_what_a_killed_one_left() {
     run(|ex| async move {
-        let Site { caches, front, json, folder, doors } = site(ex);
-        let dir = folder.path();
-        let first = program(&json, dir, doors[0]);
-        ready(doors[0]).await;
-        assert_eq!(admin_command(doors[0], &["DISABLE s-0\n"]).await, "done out\n");
+        let ProgramFixture { caches, front, json, folder, admin_addrs } = program_fixture(ex);
+        let folder_path = folder.path();
+        let first = start_program(&json, folder_path, admin_addrs[0]);
+        wait_until_ready(admin_addrs[0]).await;
+        assert_eq!(admin_command(admin_addrs[0], &["DISABLE s-0\n"]).await, "done out\n");
         drop(first);
-        std::fs::write(dir.join("threadward-n0.aside-1"), "half").unwrap();
-        std::fs::write(dir.join("threadward-n0.run-zz"), "ready 9\n").unwrap();
-        let second = program(&json, dir, doors[1]);
-        ready(doors[1]).await;
-        let play = async |first: u64| {
+        std::fs::write(folder_path.join("threadward-n0.aside-1"), "half").unwrap();
+        std::fs::write(folder_path.join("threadward-n0.run-zz"), "ready 9\n").unwrap();
+        let second = start_program(&json, folder_path, admin_addrs[1]);
+        wait_until_ready(admin_addrs[1]).await;
+        let send_requests = async |first: u64| {
             let mut c = Client::connect(front).await;
             for id in 1..20 {
                 let text = format!("{:016x}", first + id);
@@ -381,28 +410,28 @@
                 assert_eq!(c.answer().await.unwrap().1, None);
             }
         };
-        play(0).await;
+        send_requests(0).await;
         assert_eq!((caches[0].commands.borrow().len(), caches[1].commands.borrow().len()), (0, 19));
-        // One that is given up gives way to the one that stays.
-        let third = program(&json, dir, doors[2]);
-        ready(doors[2]).await;
-        term(&third);
-        let out = end(third).await;
+        // The process that is ended gives way to the one that stays.
+        let third = start_program(&json, folder_path, admin_addrs[2]);
+        wait_until_ready(admin_addrs[2]).await;
+        send_sigterm(&third);
+        let out = wait_for_exit(third).await;
         let text = String::from_utf8(out.stderr).unwrap();
         assert!(out.status.success() && text.contains("gives way to another process"), "{text}");
-        play(1 << 32).await;
-        assert_eq!(admin_command(doors[1], &["READY\n"]).await, "done ready\n");
+        send_requests(1 << 32).await;
+        assert_eq!(admin_command(admin_addrs[1], &["READY\n"]).await, "done ready\n");
         drop(second);
-        std::fs::write(dir.join("threadward-n0.bans"), "threadward-bans 9\n").unwrap();
-        let last = program(&json, dir, doors[3]);
-        ready(doors[3]).await;
-        play(1 << 33).await;
+        std::fs::write(folder_path.join("threadward-n0.bans"), "threadward-bans 9\n").unwrap();
+        let last = start_program(&json, folder_path, admin_addrs[3]);
+        wait_until_ready(admin_addrs[3]).await;
+        send_requests(1 << 33).await;
         assert!(!caches[0].commands.borrow().is_empty(), "a file of a newer version is not used");
-        assert_eq!(admin_command(doors[3], &["DISABLE s-0\n"]).await, "done out\n");
-        assert!(std::fs::read_to_string(dir.join("threadward-n0.bans"))
+        assert_eq!(admin_command(admin_addrs[3], &["DISABLE s-0\n"]).await, "done out\n");
+        assert!(std::fs::read_to_string(folder_path.join("threadward-n0.bans"))
             .unwrap()
             .starts_with("threadward-bans 1"));
-        let left = std::fs::read_dir(dir).unwrap().filter(|e| {
+        let left = std::fs::read_dir(folder_path).unwrap().filter(|e| {
             let name = e.as_ref().unwrap().file_name().into_string().unwrap();
             name.contains(".run-0") || name.contains(".sock-")
         });
@@ -411,78 +440,84 @@
     });
 }
 
-/// Two processes together keep the limit on descriptors, with more clients than there are places at both, and all of a door's
-/// callers there; the door answers all the same.
+/// Two processes together keep the limit on descriptors, with more clients than both can take and the most
+/// callers at each admin address; the admin addresses still answer.
 #[test]
 fn two_processes_keep_the_limit_on_descriptors() {
-    const MOST: usize = 256;
+    const MAX_DESCRIPTORS: usize = 256;
     run(|ex| async move {
-        let Site { front, json, folder, doors, .. } = site(ex);
-        let dir = folder.path();
-        let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{MOST}"));
-        let open =
-            |r: &Running| std::fs::read_dir(format!("/proc/{}/fd", r.0.id())).map_or(0, Iterator::count);
-        let crowd = async |n: usize| {
+        let ProgramFixture { front, json, folder, admin_addrs, .. } = program_fixture(ex);
+        let folder_path = folder.path();
+        let json = json.replace("\"sockets\":1024", &format!("\"sockets\":{MAX_DESCRIPTORS}"));
+        let open = |r: &RunningProgram| {
+            std::fs::read_dir(format!("/proc/{}/fd", r.0.id())).map_or(0, Iterator::count)
+        };
+        let connect_clients = async |n: usize| {
             let mut all = Vec::new();
             for _ in 0..n {
                 all.push(Client::connect(front).await);
             }
             all
         };
-        let callers = async |door: SocketAddr| {
+        let connect_callers = async |admin_addr: SocketAddr| {
             let mut all = Vec::new();
             for _ in 0..MAX_CALLERS {
-                all.push(Client::connect(door).await);
+                all.push(Client::connect(admin_addr).await);
             }
             all
         };
-        let old = program(&json, dir, doors[0]);
-        ready(doors[0]).await;
-        let _first = (crowd(MOST).await, callers(doors[0]).await);
-        wait_until("the crowd", || open(&old) > MOST / 2).await;
-        let new = program(&json, dir, doors[1]);
-        ready(doors[1]).await;
-        let _second = (crowd(MOST).await, callers(doors[1]).await);
+        let old = start_program(&json, folder_path, admin_addrs[0]);
+        wait_until_ready(admin_addrs[0]).await;
+        let _first = (connect_clients(MAX_DESCRIPTORS).await, connect_callers(admin_addrs[0]).await);
+        wait_until("the crowd", || open(&old) > MAX_DESCRIPTORS / 2).await;
+        let new = start_program(&json, folder_path, admin_addrs[1]);
+        wait_until_ready(admin_addrs[1]).await;
+        let _second = (connect_clients(MAX_DESCRIPTORS).await, connect_callers(admin_addrs[1]).await);
         let mut most = 0;
         for _ in 0..50 {
             most = most.max(open(&old) + open(&new));
             sleep_until(now() + 10_000).await;
         }
-        assert!(most <= MOST, "{most} descriptors");
-        for door in &doors[..2] {
-            assert_eq!(admin_command(*door, &["READY\n"]).await, "done ready\n");
+        assert!(most <= MAX_DESCRIPTORS, "{most} descriptors");
+        for admin_addr in &admin_addrs[..2] {
+            assert_eq!(admin_command(*admin_addr, &["READY\n"]).await, "done ready\n");
         }
     });
 }
 
-/// Without a door nothing of it is there: no file, and a second process ends. With one that cannot be opened the start ends
-/// with one line.
+/// Without an admin address there is none of its files, and a second process cannot start beside the first.
+/// With an address that cannot be opened, or one in the configuration file, the start fails with one line.
 #[test]
-fn without_a_door() {
+fn without_an_admin_address_nothing_of_it_exists() {
     run(|ex| async move {
-        let Site { front, json, folder, doors, .. } = site(ex);
-        let dir = folder.path();
-        let start = |door: Option<&str>, json: &str| {
-            let config = dir.join("config.json");
+        let ProgramFixture { front, json, folder, admin_addrs, .. } = program_fixture(ex);
+        let folder_path = folder.path();
+        let start = |admin_addr: Option<&str>, json: &str| {
+            let config = folder_path.join("config.json");
             std::fs::write(&config, json).unwrap();
             let mut command = Command::new(env!("CARGO_BIN_EXE_threadward"));
-            command.env("LB_CONFIG", config).env("TMPDIR", dir).env_remove("LB_ADMIN_ADDR");
-            command.envs(door.map(|d| ("LB_ADMIN_ADDR", d)));
-            Running(command.stderr(std::process::Stdio::piped()).spawn().unwrap())
+            command.env("LB_CONFIG", config).env("TMPDIR", folder_path).env_remove("LB_ADMIN_ADDR");
+            command.envs(admin_addr.map(|d| ("LB_ADMIN_ADDR", d)));
+            RunningProgram(command.stderr(std::process::Stdio::piped()).spawn().unwrap())
         };
         let first = start(None, &json);
-        let there = || std::net::TcpStream::connect(front).is_ok();
-        wait_until("the front", there).await;
-        let files = std::fs::read_dir(dir).unwrap().filter_map(|e| e.unwrap().file_name().into_string().ok());
+        let accepts_connections = || std::net::TcpStream::connect(front).is_ok();
+        wait_until("the front", accepts_connections).await;
+        let files =
+            std::fs::read_dir(folder_path).unwrap().filter_map(|e| e.unwrap().file_name().into_string().ok());
         assert_eq!(files.collect::<Vec<_>>(), ["config.json"]);
-        let taken = std::net::TcpListener::bind(doors[0]).unwrap();
-        let taken = taken.local_addr().unwrap().to_string();
-        let listed = json.replacen('{', "{\"admin_addr\":\"nowhere\",", 1);
-        for (door, json) in [(None, &json), (Some("nowhere"), &json), (Some(&*taken), &json), (None, &listed)]
-        {
-            let out = end(start(door, json)).await;
+        let occupied_socket = std::net::TcpListener::bind(admin_addrs[0]).unwrap();
+        let occupied_socket = occupied_socket.local_addr().unwrap().to_string();
+        let admin_in_config = json.replacen('{', "{\"admin_addr\":\"nowhere\",", 1);
+        for (admin_addr, json) in [
+            (None, &json),
+            (Some("nowhere"), &json),
+            (Some(&*occupied_socket), &json),
+            (None, &admin_in_config),
+        ] {
+            let out = wait_for_exit(start(admin_addr, json)).await;
             let text = String::from_utf8(out.stderr).unwrap();
-            assert_eq!((out.status.code(), text.lines().count()), (Some(2), 1), "{door:?}: {text}");
+            assert_eq!((out.status.code(), text.lines().count()), (Some(2), 1), "{admin_addr:?}: {text}");
             assert!(text.starts_with("threadward: cannot start: "), "{text}");
         }
         drop(first);
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -1,5 +1,6 @@
-//! Zones between proxies that are processes of their own: a hub that dies, comes back, comes back cold and falls again, a
-//! decider that is stopped in a return, a cut, a peer that lies, two hubs at once, and all proxies started anew.
+//! Decisions on zones between proxies that are processes of their own: a parent zone that fails, comes back,
+//! comes back cold and fails again, a coordinator that is stopped during a return, a network cut, a peer that
+//! lies, two parent zones that fail at once, and a restart of all proxies.
 mod common;
 use async_executor::LocalExecutor;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -24,28 +25,32 @@
 
 type Ex = &'static LocalExecutor<'static>;
 
-/// Places in the operators' files: the last is nobody's, or the liar's.
+/// How many proxies run. The operators' files name one more, the last, which is absent or the lying peer.
 const PROXIES: usize = 5;
-const LIAR: usize = PROXIES;
-/// What stands for the locations' caches in the relay.
-const CACHES: usize = PROXIES + 1;
+const LYING_PEER: usize = PROXIES;
+/// The index of the locations' caches in the relay.
+const CACHES_INDEX: usize = PROXIES + 1;
+/// Names of the zones: two parent zones and two locations.
 const ZONES: [&str; 4] = ["north", "south", "east", "west"];
 const EAST: usize = 2;
 const WEST: usize = 3;
 
-/// What all members share: zones that are down, and which member was used as a source, or sent to, and when.
+/// The state that all members of zones share: the first letters of the zones that fail, and which member was
+/// sent a request or used as its source, and when.
 #[derive(Default)]
-struct Town {
-    down: Cell<&'static str>,
-    used: RefCell<Vec<(u64, String)>>,
+struct ZoneMembers {
+    failed_zones: Cell<&'static str>,
+    uses: RefCell<Vec<(u64, String)>>,
 }
 
-impl Town {
-    fn lost(&self, id: &str) -> bool {
-        self.down.get().contains(&id[..1])
+impl ZoneMembers {
+    /// Returns whether the zone of a member fails.
+    fn has_failed(&self, id: &str) -> bool {
+        self.failed_zones.get().contains(&id[..1])
     }
 
-    /// Each fourth part is held. The rest is filled from where the request says.
+    /// Answers a request. A member holds every fourth segment and fills the others from the source that the
+    /// request names.
     fn answer(&self, id: &str, parts: &[&[u8]]) -> Option<Vec<u8>> {
         let text: Vec<_> = parts.iter().map(|p| String::from_utf8_lossy(p)).collect();
         let [word, call, fields, _] = &text[..] else { return None };
@@ -55,9 +60,9 @@
         let field = |name| threadward::wire::find_field(fields, name);
         let part: u32 = field("blk").unwrap().parse().unwrap();
         let source = field("fetch").filter(|_| !part.is_multiple_of(4)).unwrap_or(id);
-        self.used.borrow_mut().push((now(), source.to_owned()));
+        self.uses.borrow_mut().push((now(), source.to_owned()));
         let (said, detail) = match source {
-            _ if self.lost(source) => ("crashed", "UP_DOWN"),
+            _ if self.has_failed(source) => ("crashed", "UP_DOWN"),
             _ if source == id => ("served", "HIT"),
             "origin" => ("served", "MISS_ORIGIN"),
             _ => ("served", "MISS"),
@@ -68,23 +73,23 @@
     }
 }
 
-/// A member of a zone; the first letter of its id says which.
-fn member(ex: Ex, town: &Rc<Town>, id: &'static str) -> SocketAddr {
-    let ((l, at), town) = (listen(), town.clone());
+/// Starts a member of a zone and returns its address; the first letter of its id is that of the zone.
+fn start_member(ex: Ex, zone_members: &Rc<ZoneMembers>, id: &'static str) -> SocketAddr {
+    let ((l, at), zone_members) = (listen(), zone_members.clone());
     ex.spawn(async move {
         loop {
             let (stream, _) = l.accept().await.unwrap();
-            let town = town.clone();
+            let zone_members = zone_members.clone();
             ex.spawn(async move {
                 let (mut stream, mut buf, mut chunk) = (&stream, Vec::new(), [0u8; 4096]);
                 loop {
                     let n = stream.read(&mut chunk).await.unwrap_or(0);
-                    if n == 0 || town.lost(id) {
+                    if n == 0 || zone_members.has_failed(id) {
                         return;
                     }
                     buf.extend_from_slice(&chunk[..n]);
                     while let Some((parts, used)) = threadward::wire::parse_resp(&buf).unwrap() {
-                        let answer = town.answer(id, &parts).unwrap_or_default();
+                        let answer = zone_members.answer(id, &parts).unwrap_or_default();
                         buf.drain(..used);
                         stream.write_all(&answer).await.ok();
                     }
@@ -97,43 +102,44 @@
     at
 }
 
-/// Requests of all clients; one ends only with its last request's final answer.
+/// Counts of all clients. A client ends only with the final answer to its last request.
 #[derive(Default)]
-struct Asked {
-    over: Cell<bool>,
+struct ClientCounts {
+    stopped: Cell<bool>,
     sent: Cell<u64>,
-    /// Of each proxy, those that were served.
+    /// How many were served, for each proxy.
     served: [Cell<u64>; PROXIES],
-    clients: Cell<u32>,
+    running_clients: Cell<u32>,
 }
 
-fn secret(place: usize) -> [u8; 32] {
-    [place as u8 + 1; 32]
+/// Returns the secret key of a proxy.
+fn secret(proxy: usize) -> [u8; 32] {
+    [proxy as u8 + 1; 32]
 }
 
 struct Fleet {
     ex: Ex,
     relay: Relay,
-    town: Rc<Town>,
+    zone_members: Rc<ZoneMembers>,
     fronts: Vec<SocketAddr>,
-    news: Vec<(DiscoveryEvents, Rc<Signal>)>,
-    hubs: Vec<(&'static str, SocketAddr)>,
-    liar: Liar,
-    asked: Rc<Asked>,
+    discoveries: Vec<(DiscoveryEvents, Rc<Signal>)>,
+    parents: Vec<(&'static str, SocketAddr)>,
+    lying_peer: LyingPeer,
+    client_counts: Rc<ClientCounts>,
     proxies: Vec<Process>,
     folder: TempDir,
 }
 
 impl Fleet {
-    /// Five proxies that stand in these zones, and one in the files that is not there.
-    async fn start(ex: Ex, stands: [usize; PROXIES]) -> Fleet {
-        let (folder, town) = (TempDir::new().unwrap(), Rc::new(Town::default()));
+    /// Starts five proxies in these zones; the files name a sixth, for the lying peer.
+    async fn start(ex: Ex, proxy_zones: [usize; PROXIES]) -> Fleet {
+        let (folder, zone_members) = (TempDir::new().unwrap(), Rc::new(ZoneMembers::default()));
         let file = |name: String| folder.path().join(name);
-        let (relay, fronts) = (Relay::new(7, CACHES + 1).unwrap(), free_addresses(PROXIES));
-        let (own, talk) = (free_addresses(CACHES + 1), free_addresses(PROXIES + 1));
+        let (relay, fronts) = (Relay::new(7, CACHES_INDEX + 1).unwrap(), free_addresses(PROXIES));
+        let (own, talk) = (free_addresses(CACHES_INDEX + 1), free_addresses(PROXIES + 1));
         let at = relay.udp(&own).unwrap();
         let ids = ["n-0", "n-1", "s-0", "s-1", "e-0", "e-1", "w-0", "w-1", "origin"];
-        let members: Vec<_> = ids.iter().map(|id| (*id, member(ex, &town, id))).collect();
+        let members: Vec<_> = ids.iter().map(|id| (*id, start_member(ex, &zone_members, id))).collect();
         std::fs::write(file("key".into()), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
         let mut peers = String::new();
         for (i, at) in talk.iter().enumerate() {
@@ -142,21 +148,21 @@
                 "[[gossip.peer]]\nname = \"n{i}\"\naddress = \"{at}\"\nkeys = [\"{key}\"]\nseed = true\n"
             );
         }
-        let mut told = Vec::new();
+        let mut discoveries = Vec::new();
         for p in 0..PROXIES {
             let listed = |(id, at): &(&str, SocketAddr)| match &id[..1] {
                 "n" | "s" => listed(id, *at, 0),
                 "o" => server_entry(id, *at, "origin", "active", 0),
-                _ => listed(id, relay.tcp(p, CACHES, *at).unwrap(), 0),
+                _ => listed(id, relay.tcp(p, CACHES_INDEX, *at).unwrap(), 0),
             };
             let servers: Vec<String> = members.iter().map(listed).collect();
-            let (news, signal, bulletin) = start_discovery(ex);
-            told.push((news, signal));
-            let west = stands.iter().filter(|s| **s == WEST).count();
-            let (zone, counts) = (stands[p], [0, 0, PROXIES - west, west]);
+            let (events, signal, discovery_addr) = start_discovery(ex);
+            discoveries.push((events, signal));
+            let west = proxy_zones.iter().filter(|s| **s == WEST).count();
+            let (zone, counts) = (proxy_zones[p], [0, 0, PROXIES - west, west]);
             let zones = format!("\"zones\":{ZONES:?},\"zone\":{zone}");
             let counts = format!("\"zone_hub\":[0,1,0,1],\"direct\":true,\"count_by_zone\":{counts:?}");
-            let json = configuration(fronts[p], bulletin, &servers)
+            let json = configuration(fronts[p], discovery_addr, &servers)
                 .replace("\"n0\"", &format!("\"n{p}\""))
                 .replace(r#""zones":["hub","east"],"zone":1"#, &zones)
                 .replace("\"count_by_zone\":[0,1]", &counts)
@@ -173,14 +179,27 @@
             }
             std::fs::write(file(format!("{p}.toml")), text).unwrap();
         }
-        let (hubs, liar) = (members[..4].to_vec(), Liar::new(own[LIAR], at[LIAR].clone()));
-        let (asked, proxies) = (Rc::default(), Vec::new());
-        let mut f = Fleet { ex, relay, town, fronts, news: told, hubs, liar, asked, proxies, folder };
-        f.run().await;
-        f
+        let (parents, lying_peer) =
+            (members[..4].to_vec(), LyingPeer::new(own[LYING_PEER], at[LYING_PEER].clone()));
+        let (client_counts, proxies) = (Rc::default(), Vec::new());
+        let mut fleet = Fleet {
+            ex,
+            relay,
+            zone_members,
+            fronts,
+            discoveries,
+            parents,
+            lying_peer,
+            client_counts,
+            proxies,
+            folder,
+        };
+        fleet.run().await;
+        fleet
     }
 
-    /// Starts all processes and their clients, and waits until each served a little: it is ready then.
+    /// Starts all processes and their clients, and waits until each has served a few requests and so is
+    /// ready.
     async fn run(&mut self) {
         let path = self.folder.path();
         let start = |p: usize| {
@@ -195,55 +214,64 @@
         for p in &self.proxies {
             wait_for_log(p, "start: zones are left and taken back by all proxies together").await;
         }
-        let asked = Rc::new(Asked::default());
+        let client_counts = Rc::new(ClientCounts::default());
         for p in 0..PROXIES {
-            (0..4).for_each(|k| client(self.ex, self.fronts[p], p, k, asked.clone()));
+            (0..4).for_each(|k| start_client(self.ex, self.fronts[p], p, k, client_counts.clone()));
         }
-        self.asked = asked.clone();
-        within("every proxy serves", || asked.served.iter().all(|n| n.get() > 20)).await;
+        self.client_counts = client_counts.clone();
+        wait_for("every proxy serves", || client_counts.served.iter().all(|n| n.get() > 20)).await;
     }
 
-    /// Ends the clients: every request has its final answer.
-    async fn finish(&self) {
-        let asked = &self.asked;
-        asked.over.set(true);
-        within("the last answers", || asked.clients.get() == 0).await;
-        let served: u64 = asked.served.iter().map(Cell::get).sum();
-        assert!(served * 10 > asked.sent.get() * 6, "{served} served of {}", asked.sent.get());
+    /// Stops the clients, waits until every request has its final answer, and checks that most were served.
+    async fn stop_clients(&self) {
+        let client_counts = &self.client_counts;
+        client_counts.stopped.set(true);
+        wait_for("the last answers", || client_counts.running_clients.get() == 0).await;
+        let served: u64 = client_counts.served.iter().map(Cell::get).sum();
+        assert!(
+            served * 10 > client_counts.sent.get() * 6,
+            "{served} served of {}",
+            client_counts.sent.get()
+        );
     }
 
-    /// What a process said of zones: the epoch, and the rest of the line.
-    fn moves(&self, p: usize) -> Vec<(u64, String)> {
+    /// Returns the changes of zones that a process has logged: the epoch and the rest of the line.
+    fn zone_changes(&self, p: usize) -> Vec<(u64, String)> {
         let text = self.proxies[p].output();
         let lines = text.lines().filter_map(|l| l.split_once("zones: epoch ")?.1.split_once(": "));
         lines.map(|(n, rest)| (n.parse().unwrap(), rest.to_owned())).collect()
     }
 
-    /// The last epoch of which it said so.
+    /// Returns the last epoch at which a process logged a line that contains this.
     fn epoch(&self, p: usize, what: &str) -> Option<u64> {
-        self.moves(p).iter().rfind(|(_, rest)| rest.contains(what)).map(|(n, _)| *n)
+        self.zone_changes(p).iter().rfind(|(_, rest)| rest.contains(what)).map(|(n, _)| *n)
     }
 
-    async fn all_say(&self, what: &str) {
-        within(what, || (0..PROXIES).all(|p| self.epoch(p, what).is_some())).await;
+    /// Waits until all processes have logged a line that contains this.
+    async fn wait_until_all_log(&self, what: &str) {
+        wait_for(what, || (0..PROXIES).all(|p| self.epoch(p, what).is_some())).await;
     }
 
-    async fn one_says(&self, what: &str) {
-        within(what, || (0..PROXIES).any(|p| self.epoch(p, what).is_some())).await;
+    /// Waits until any process has logged a line that contains this.
+    async fn wait_until_any_logs(&self, what: &str) {
+        wait_for(what, || (0..PROXIES).any(|p| self.epoch(p, what).is_some())).await;
     }
 
-    /// No two processes said different things of one epoch. "In service" depends on where the process was.
-    fn agree(&self) {
+    /// Checks that no two processes logged different things of a zone at one epoch, but for "in service",
+    /// whose text depends on the state that the process had before.
+    fn assert_logs_agree(&self) {
         let mut said = BTreeMap::new();
-        for (n, rest) in (0..PROXIES).flat_map(|p| self.moves(p)).filter(|(_, r)| !r.contains("in service")) {
+        for (n, rest) in
+            (0..PROXIES).flat_map(|p| self.zone_changes(p)).filter(|(_, r)| !r.contains("in service"))
+        {
             let zone = rest.split(' ').next().unwrap_or_default().to_owned();
             let first = said.entry((n, zone)).or_insert(rest.clone());
             assert_eq!(*first, rest, "epoch {n}");
         }
     }
 
-    /// The one that decides, by the logs.
-    fn decides(&self) -> Option<usize> {
+    /// Returns the proxy that is the coordinator by the logs.
+    fn find_coordinator(&self) -> Option<usize> {
         (0..PROXIES).find(|p| {
             let text = self.proxies[*p].output();
             let last =
@@ -252,28 +280,29 @@
         })
     }
 
-    /// Tells all that a hub's members have started just now.
-    fn restarted(&self, zone: &str) {
-        for (news, told) in &self.news {
-            let own = self.hubs.iter().filter(|(id, _)| id[..1] == zone[..1]);
+    /// Publishes to all proxies that the members of a parent zone have started just now.
+    fn publish_restart(&self, zone: &str) {
+        for (events, changed) in &self.discoveries {
+            let own = self.parents.iter().filter(|(id, _)| id[..1] == zone[..1]);
             let own: Vec<_> = own.map(|(id, at)| listed(id, *at, unix_ms())).collect();
-            let (no, own) = (news.borrow().len() + 1, own.join(","));
+            let (no, own) = (events.borrow().len() + 1, own.join(","));
             let event = format!(r#"{{"no":{no},"roster":{{"version":2,"full":false,"servers":[{own}]}}}}"#);
-            news.borrow_mut().push(event);
-            told.notify();
+            events.borrow_mut().push(event);
+            changed.notify();
         }
     }
 
-    /// Nothing is sent to a hub's members, nor with them as a source, in the next two seconds.
-    async fn untouched(&self, zone: &str) {
+    /// Checks that for two seconds nothing is sent to the members of a zone, nor with them as a source.
+    async fn assert_unused(&self, zone: &str) {
         let from = now();
         wait(2_000).await;
-        let used = self.town.used.borrow();
-        let late: Vec<_> = used.iter().filter(|(at, id)| *at > from && id[..1] == zone[..1]).collect();
+        let uses = self.zone_members.uses.borrow();
+        let late: Vec<_> = uses.iter().filter(|(at, id)| *at > from && id[..1] == zone[..1]).collect();
         assert!(late.is_empty(), "{late:?} after {from}");
     }
 }
 
+/// Returns the entry of a member in the list of servers.
 fn listed(id: &str, at: SocketAddr, started_ms: u64) -> String {
     let zone = ZONES.iter().find(|z| z[..1] == id[..1]).unwrap();
     let kind = if ["north", "south"].contains(zone) { "parent" } else { "std" };
@@ -282,23 +311,24 @@
         .replace(&format!("\"zone\":\"{of}\""), &format!("\"zone\":\"{zone}\""))
 }
 
-/// A request each 100 ms, each with its final answer.
-fn client(ex: Ex, front: SocketAddr, p: usize, k: u32, asked: Rc<Asked>) {
-    asked.clients.set(asked.clients.get() + 1);
+/// Starts a client that sends a request 100 ms after the answer to the one before, and checks that each gets
+/// its final answer.
+fn start_client(ex: Ex, front: SocketAddr, p: usize, k: u32, client_counts: Rc<ClientCounts>) {
+    client_counts.running_clients.set(client_counts.running_clients.get() + 1);
     ex.spawn(async move {
         let mut c = Client::connect(front).await;
         let mut id = k * 1_000_000;
-        while !asked.over.get() {
+        while !client_counts.stopped.get() {
             id += 1;
             let row = format!("{:016x}", u64::from(id % 97 + 1) * 0x9e37_79b9);
-            asked.sent.set(asked.sent.get() + 1);
+            client_counts.sent.set(client_counts.sent.get() + 1);
             c.send(&request(id, "media", &[("row", &row), ("seg", &(id % 13).to_string())])).await;
             let (of, word, _) = c.answer().await.expect("a final answer");
             assert_eq!(of, id);
-            asked.served[p].set(asked.served[p].get() + u64::from(word.is_none()));
+            client_counts.served[p].set(client_counts.served[p].get() + u64::from(word.is_none()));
             wait(100).await;
         }
-        asked.clients.set(asked.clients.get() - 1);
+        client_counts.running_clients.set(client_counts.running_clients.get() - 1);
     })
     .detach();
 }
@@ -307,95 +337,99 @@
     sleep_until(now() + ms * 1000).await;
 }
 
-/// Waits until something holds; the bound only ends a test that fails.
-async fn within(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds. The bound is so long that only a test that fails reaches it.
+async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = now() + 40_000_000;
-    while !holds() {
+    while !condition() {
         assert!(now() < end, "never came: {what}");
         wait(5).await;
     }
 }
 
-/// A decider that is stopped in the middle of the return, and wakes when another has ended it.
+/// A coordinator is stopped in the middle of a zone's return and continues when another one has completed it.
 #[test]
-fn a_hub_that_dies_is_left_on_one_epoch_and_its_return_outlives_its_decider() {
+fn a_failed_parent_zone_is_left_at_one_epoch_and_returns_though_its_coordinator_stops() {
     run(|ex| async move {
-        let f = Fleet::start(ex, [EAST, EAST, EAST, WEST, WEST]).await;
-        f.town.down.set("n");
-        f.one_says("north is left").await;
+        let fleet = Fleet::start(ex, [EAST, EAST, EAST, WEST, WEST]).await;
+        fleet.zone_members.failed_zones.set("n");
+        fleet.wait_until_any_logs("north is left").await;
         wait(1_000).await;
-        f.untouched("north").await;
-        f.all_say("north is out").await;
-        let left: Vec<_> = (0..PROXIES).map(|p| f.epoch(p, "north is left")).collect();
+        fleet.assert_unused("north").await;
+        fleet.wait_until_all_log("north is out").await;
+        let left: Vec<_> = (0..PROXIES).map(|p| fleet.epoch(p, "north is left")).collect();
         assert!(left.iter().all(|e| *e == left[0]), "{left:?}");
-        f.town.down.set("");
-        // Its members did not start anew: what they hold is still there.
-        f.one_says("north is returning (Fine), step 5 of 8").await;
-        f.one_says("north is returning (Step), step 6 of 8").await;
-        let first = f.decides().unwrap();
-        f.proxies[first].stop().unwrap();
+        fleet.zone_members.failed_zones.set("");
+        // Its members did not restart, so they still hold what they held, and the return begins at a later
+        // step.
+        fleet.wait_until_any_logs("north is returning (Fine), step 5 of 8").await;
+        fleet.wait_until_any_logs("north is returning (Step), step 6 of 8").await;
+        let first = fleet.find_coordinator().unwrap();
+        fleet.proxies[first].stop().unwrap();
         let others: Vec<usize> = (0..PROXIES).filter(|p| *p != first).collect();
-        within("the return's end", || {
-            others.iter().all(|p| f.epoch(*p, "north is in service again").is_some())
+        wait_for("the return's end", || {
+            others.iter().all(|p| fleet.epoch(*p, "north is in service again").is_some())
         })
         .await;
-        let second = others.iter().find(|p| f.proxies[**p].output().contains("this proxy divides"));
-        assert!(second.is_some(), "another decider");
-        f.proxies[first].cont().unwrap();
-        within("the first learns", || f.epoch(first, "north is in service again").is_some()).await;
-        f.agree();
+        let second = others.iter().find(|p| fleet.proxies[**p].output().contains("this proxy divides"));
+        assert!(second.is_some(), "no second coordinator");
+        fleet.proxies[first].cont().unwrap();
+        wait_for("the first learns", || fleet.epoch(first, "north is in service again").is_some()).await;
+        fleet.assert_logs_agree();
         for p in 0..PROXIES {
-            let all: Vec<_> = f.moves(p).into_iter().map(|(_, m)| m).collect();
+            let all: Vec<_> = fleet.zone_changes(p).into_iter().map(|(_, m)| m).collect();
             let steps: Vec<_> = all.iter().filter_map(|m| m.split_once("step ")).map(|(_, k)| k).collect();
             assert!(steps.is_sorted(), "a step back: {steps:?}");
             assert_eq!(all.iter().filter(|m| m.contains("north is out")).count(), 1, "{all:?}");
         }
-        f.finish().await;
+        fleet.stop_clients().await;
     });
 }
 
 #[test]
-fn a_hub_that_falls_in_its_return_is_held_longer_and_found_out_by_a_fleet_started_anew() {
+fn a_parent_zone_that_fails_while_returning_waits_longer_and_is_left_again_by_a_restarted_fleet() {
     run(|ex| async move {
-        let mut f = Fleet::start(ex, [EAST, EAST, EAST, WEST, WEST]).await;
-        f.town.down.set("n");
-        f.all_say("north is out (Acted), tried again in 5 s").await;
-        // What failed before it was left is told for a while, and says nothing of those that start.
-        f.town.down.set("");
-        f.restarted("north");
-        f.one_says("north is tried by a few (Restarted)").await;
-        f.one_says("north is returning (Fine), step 1 of 8").await;
-        f.one_says("north is returning (Step), step 2 of 8").await;
-        f.town.down.set("n");
-        f.all_say("north is out (Failing), tried again in 10 s").await;
-        assert!((0..PROXIES).all(|p| f.epoch(p, "step 5").is_none()), "found out within a step");
-        f.untouched("north").await;
-        f.finish().await;
-        f.agree();
-        for p in &f.proxies {
+        let mut fleet = Fleet::start(ex, [EAST, EAST, EAST, WEST, WEST]).await;
+        fleet.zone_members.failed_zones.set("n");
+        fleet.wait_until_all_log("north is out (Acted), tried again in 5 s").await;
+        // Failures from before it was left are reported for a while, and say nothing of members that have
+        // restarted.
+        fleet.zone_members.failed_zones.set("");
+        fleet.publish_restart("north");
+        fleet.wait_until_any_logs("north is tried by a few (Restarted)").await;
+        fleet.wait_until_any_logs("north is returning (Fine), step 1 of 8").await;
+        fleet.wait_until_any_logs("north is returning (Step), step 2 of 8").await;
+        fleet.zone_members.failed_zones.set("n");
+        fleet.wait_until_all_log("north is out (Failing), tried again in 10 s").await;
+        assert!((0..PROXIES).all(|p| fleet.epoch(p, "step 5").is_none()), "not detected within a step");
+        fleet.assert_unused("north").await;
+        fleet.stop_clients().await;
+        fleet.assert_logs_agree();
+        for p in &fleet.proxies {
             p.kill().unwrap();
         }
         let began = now();
-        f.run().await;
+        fleet.run().await;
         let took = (now() - began) / 1000;
         assert!(took < 8_000, "served after {took} ms");
-        f.all_say("north is left").await;
-        f.agree();
-        f.finish().await;
+        fleet.wait_until_all_log("north is left").await;
+        fleet.assert_logs_agree();
+        fleet.stop_clients().await;
     });
 }
 
-/// A proxy of the fleet, with keys of its own, whose every word is a lie.
-struct Liar {
+/// A proxy of the fleet, with keys of its own, that sends only false messages.
+struct LyingPeer {
     socket: UdpSocket,
-    /// Where it reaches each proxy, and the lives of those that spoke to it.
-    at: Vec<SocketAddr>,
-    lives: [u64; PROXIES],
+    /// Where it reaches each proxy.
+    addrs: Vec<SocketAddr>,
+    /// The incarnations of the proxies that have sent it a message.
+    incarnations: [u64; PROXIES],
     seq: u32,
 }
 
-/// The MAC of a message between two places: under X25519 of their keys, hashed with both public ones.
-fn mac(from: usize, to: usize, bytes: &[u8]) -> [u8; 16] {
+/// Returns the MAC of a message from one proxy to another. Its key is the X25519 secret of their keys, hashed
+/// with both public keys.
+fn message_mac(from: usize, to: usize, bytes: &[u8]) -> [u8; 16] {
     let of = |key: &[u8], parts: &[&[u8]]| -> [u8; 32] {
         let mut m = Hmac::<Sha256>::new_from_slice(key).unwrap();
         parts.iter().for_each(|p| m.update(p));
@@ -406,44 +440,44 @@
     let theirs = VerifyingKey::from_bytes(&b).unwrap().to_montgomery();
     let shared = theirs.mul_clamped(SigningKey::from_bytes(&secret(from)).to_scalar_bytes());
     let key = of(domain, &[&shared.to_bytes(), &a.min(b), &a.max(b)]);
-    let places = [from as u16, to as u16].map(u16::to_be_bytes);
-    of(&key, &[domain, &places[0], &places[1], bytes])[..16].try_into().unwrap()
+    let indices = [from as u16, to as u16].map(u16::to_be_bytes);
+    of(&key, &[domain, &indices[0], &indices[1], bytes])[..16].try_into().unwrap()
 }
 
-impl Liar {
-    fn new(own: SocketAddr, at: Vec<SocketAddr>) -> Liar {
+impl LyingPeer {
+    fn new(own: SocketAddr, addrs: Vec<SocketAddr>) -> LyingPeer {
         let socket = UdpSocket::bind(own).unwrap();
         socket.set_nonblocking(true).unwrap();
-        Liar { socket, at, lives: [0; PROXIES], seq: 0 }
+        LyingPeer { socket, addrs, incarnations: [0; PROXIES], seq: 0 }
     }
 
-    /// Sends a message in the name of a place, and more behind it.
+    /// Sends a message in the name of a proxy, with further bytes behind it.
     fn send(&self, to: usize, name: usize, body: &Body, more: &[u8]) {
         let mut bytes = wire::write(Author { index: name as u16, incarnation: 9 }, body, now());
         bytes.extend(more);
-        bytes.extend(mac(LIAR, to, &bytes));
-        self.socket.send_to(&bytes, self.at[to]).unwrap();
+        bytes.extend(message_mac(LYING_PEER, to, &bytes));
+        self.socket.send_to(&bytes, self.addrs[to]).unwrap();
     }
 
-    /// All zones fail, all are out, and a majority is said to have taken that.
-    fn lie(&mut self) {
+    /// Claims to each proxy that all zones fail and are out, and that a majority has accepted that.
+    fn send_lies(&mut self) {
         let mut buf = [0; 2_048];
         while let Ok((n, from)) = self.socket.recv_from(&mut buf) {
-            let (Some(p), Some(n)) = (self.at.iter().position(|a| *a == from), n.checked_sub(16)) else {
+            let (Some(p), Some(n)) = (self.addrs.iter().position(|a| *a == from), n.checked_sub(16)) else {
                 continue;
             };
-            let right = mac(p, LIAR, &buf[..n]) == buf[n..n + 16];
-            if let Some((by, _)) = wire::read(&buf[..n], now()).filter(|_| right && p < PROXIES) {
-                self.lives[p] = by.incarnation;
+            let authentic = message_mac(p, LYING_PEER, &buf[..n]) == buf[n..n + 16];
+            if let Some((by, _)) = wire::read(&buf[..n], now()).filter(|_| authentic && p < PROXIES) {
+                self.incarnations[p] = by.incarnation;
             }
         }
         let mut map = Map::new(ZONES.len(), now());
         map.epoch = Epoch { number: 1_000_000, incarnation: 9 };
         map.zones.iter_mut().for_each(|z| z.state = State::Out);
         self.seq += 1;
-        // Who sees every zone fail is cut off itself: one is left out now and then.
+        // A proxy that sees every zone fail counts as cut off itself, so one zone is left out now and then.
         let zones = (0..ZONES.len() as u16).filter(|z| self.seq % 8 != u32::from(*z));
-        let seen: Vec<ZoneObservation> = zones
+        let observations: Vec<ZoneObservation> = zones
             .map(|zone| ZoneObservation {
                 zone,
                 attempts: 99,
@@ -455,72 +489,73 @@
             })
             .collect();
         for p in 0..PROXIES {
-            let (seq, to, epoch, hash) = (self.seq, self.lives[p], map.epoch, map.hash());
+            let (seq, to, epoch, hash) = (self.seq, self.incarnations[p], map.epoch, map.hash());
             let report = Body::Report {
                 seq,
                 to_incarnation: to,
                 map_number: 1,
                 map_hash: hash,
                 own_zone: WEST as u16,
-                observed: seen.clone(),
+                observed: observations.clone(),
             };
-            let told = [Body::Announce { map: map.clone() }, Body::Propose { map: map.clone() }];
-            let vouched = [Body::Confirm { epoch, hash }, Body::Accepted { epoch }];
-            let all = [[report.clone(), report], told, vouched].concat();
-            all.iter().for_each(|body| self.send(p, LIAR, body, &[]));
+            let announcements = [Body::Announce { map: map.clone() }, Body::Propose { map: map.clone() }];
+            let confirmations = [Body::Confirm { epoch, hash }, Body::Accepted { epoch }];
+            let all = [[report.clone(), report], announcements, confirmations].concat();
+            all.iter().for_each(|body| self.send(p, LYING_PEER, body, &[]));
         }
     }
 }
 
 #[test]
-fn neither_a_cut_from_some_nor_a_liar_nor_two_hubs_at_once_take_a_zone_that_is_needed() {
+fn a_needed_zone_stays_through_a_partial_cut_a_lying_peer_and_two_failed_parent_zones() {
     run(|ex| async move {
-        let mut f = Fleet::start(ex, [EAST; PROXIES]).await;
-        f.relay.cut(&[0, 1], &[CACHES]);
-        f.one_says("east is suspect").await;
+        let mut fleet = Fleet::start(ex, [EAST; PROXIES]).await;
+        fleet.relay.cut(&[0, 1], &[CACHES_INDEX]);
+        fleet.wait_until_any_logs("east is suspect").await;
         wait(3_000).await;
-        f.relay.heal(&[0, 1], &[CACHES]);
-        f.all_say("east is in service, no longer suspect").await;
-        assert!((0..PROXIES).all(|p| f.epoch(p, "left").is_none()), "two of five saw it fail");
+        fleet.relay.heal(&[0, 1], &[CACHES_INDEX]);
+        fleet.wait_until_all_log("east is in service, no longer suspect").await;
+        assert!((0..PROXIES).all(|p| fleet.epoch(p, "left").is_none()), "only two of five saw it fail");
 
-        let before: Vec<_> = (0..PROXIES).map(|p| f.moves(p)).collect();
+        let before: Vec<_> = (0..PROXIES).map(|p| fleet.zone_changes(p)).collect();
         for _ in 0..60 {
-            f.liar.lie();
+            fleet.lying_peer.send_lies();
             wait(50).await;
         }
-        assert!(f.liar.lives.iter().any(|l| *l > 0), "it reported to the one that decides");
-        // In another's name, and one that is too long.
-        let took = Body::Accepted { epoch: Epoch { number: 1, incarnation: 9 } };
+        assert!(fleet.lying_peer.incarnations.iter().any(|l| *l > 0), "no message reached the lying peer");
+        // One message in another proxy's name, and one that is too long.
+        let accepted = Body::Accepted { epoch: Epoch { number: 1, incarnation: 9 } };
         for p in 0..PROXIES {
-            f.liar.send(p, (p + 1) % PROXIES, &took, &[]);
-            f.liar.send(p, LIAR, &took, &[0]);
+            fleet.lying_peer.send(p, (p + 1) % PROXIES, &accepted, &[]);
+            fleet.lying_peer.send(p, LYING_PEER, &accepted, &[0]);
         }
         wait(500).await;
         for (p, before) in before.iter().enumerate() {
-            let said = &f.proxies[p];
+            let process = &fleet.proxies[p];
             for name in ["zoneForged", "zoneMalformed"] {
-                assert_eq!(read_counter(said, name).await, 1, "{name} of {p}");
+                assert_eq!(read_counter(process, name).await, 1, "{name} of {p}");
             }
-            assert!(read_counter(said, "zoneUnvouched").await > 0, "{}", said.output());
+            assert!(read_counter(process, "zoneUnvouched").await > 0, "{}", process.output());
 
-            // Who has no vote is asked to take nothing.
-            assert!(p == PROXIES - 1 || read_counter(said, "zoneOld").await >= 60, "{}", said.output());
+            // A proxy without a vote is not asked to accept anything.
+            assert!(p == PROXIES - 1 || read_counter(process, "zoneOld").await >= 60, "{}", process.output());
 
-            assert_eq!(&f.moves(p), before, "a liar moved a zone");
+            assert_eq!(&fleet.zone_changes(p), before, "a lying peer changed a zone");
         }
 
-        f.town.down.set("ns");
-        f.one_says("is left").await;
-        // The other is kept once enough see it fail: they skip it first, and try it again.
+        fleet.zone_members.failed_zones.set("ns");
+        fleet.wait_until_any_logs("is left").await;
+        // The other one is kept in service once enough proxies see it fail: they skip it first, and then try
+        // it again.
         let end = now() + 40_000_000;
-        while read_counter(&f.proxies[f.decides().unwrap_or(0)], "zoneKept").await == 0 {
-            assert!(now() < end, "never kept: {:?}", f.moves(0));
+        while read_counter(&fleet.proxies[fleet.find_coordinator().unwrap_or(0)], "zoneKept").await == 0 {
+            assert!(now() < end, "never kept: {:?}", fleet.zone_changes(0));
             wait(100).await;
         }
         wait(1_000).await;
-        let left = |zone: &str| (0..PROXIES).any(|p| f.epoch(p, &format!("{zone} is left")).is_some());
-        assert!(left("north") != left("south"), "one hub has to stay");
-        f.agree();
-        f.finish().await;
+        let left = |zone: &str| (0..PROXIES).any(|p| fleet.epoch(p, &format!("{zone} is left")).is_some());
+        assert!(left("north") != left("south"), "exactly one parent zone has to stay");
+        fleet.assert_logs_agree();
+        fleet.stop_clients().await;
     });
 }
