--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the parsers: each case whole, and cut at every byte.
+//! Tables of cases for the parsers. Each message is parsed whole, and many also cut at every byte.
 use rstest::rstest;
 use threadward::config::{self, address_for_id};
 use threadward::wire::{self, Malformed, MsgpackValue, Rpc};
@@ -48,7 +48,7 @@
     assert!(wire::parse_rpc(&[0x91, 0]).is_err());
 }
 
-/// What is written can be read again, at the edges of the length forms.
+/// Encoded answers can be parsed again, with bodies at the limits of the length encodings.
 #[rstest]
 #[case(0)]
 #[case(255)]
@@ -111,24 +111,25 @@
     let columns = ["cpu", "x1", "x0"].map(str::to_owned);
     let body: &[u8] = if word == "served" { b"body" } else { b"" };
     let parts = [b"9b1f", word.as_bytes(), fields.as_bytes(), body];
-    let (id, told) = threadward::caches::parse_answer(&parts, &columns).unwrap();
-    assert_eq!((&*id, told.outcome, told.note), ("9b1f", outcome, note));
-    assert_eq!(told.payload.is_some(), outcome == Outcome::Ok);
+    let (id, parsed) = threadward::caches::parse_answer(&parts, &columns).unwrap();
+    assert_eq!((&*id, parsed.outcome, parsed.note), ("9b1f", outcome, note));
+    assert_eq!(parsed.payload.is_some(), outcome == Outcome::Ok);
     if fields.contains("use=") {
         assert_eq!(
-            (told.source_wait, told.report.count, told.report.values),
+            (parsed.source_wait, parsed.report.count, parsed.report.values),
             (12_500, 3, [0.5, 0.0, 0.25, 0.0])
         );
     }
 }
 
-/// Answers that no cache makes: a word or tag missing, bytes where none may be, a part too few.
+/// Answers that no cache sends are refused: with no known word, without the version, with a body where none
+/// is allowed, or with a part missing.
 #[rstest]
 #[case(&["9b1f", "still_good", "detail=HIT", ""])]
 #[case(&["9b1f", "still_good", "version=ab", "body"])]
 #[case(&["9b1f", "what", "-", ""])]
 #[case(&["9b1f", "served", "version=ab"])]
-fn spoilt_answers(#[case] parts: &[&str]) {
+fn malformed_answers_are_refused(#[case] parts: &[&str]) {
     let parts: Vec<&[u8]> = parts.iter().map(|p| p.as_bytes()).collect();
     assert_eq!(threadward::caches::parse_answer(&parts, &[]), None);
 }
@@ -158,7 +159,7 @@
     assert_eq!(wire::parse_http_head(bytes).is_ok_and(|h| h.is_some_and(|(_, n)| n == bytes.len())), good);
 }
 
-/// A head that would never end, and one with more headers than are taken, are refused though more may come.
+/// A head that is too long, and one with too many headers, are refused even though they are incomplete.
 #[rstest]
 #[case(&[b'a'; 16 * 1024 + 1])]
 #[case(&[&b"GET /a HTTP/1.1\r\n"[..], &b"A: b\r\n".repeat(101)].concat())]
@@ -178,9 +179,9 @@
     assert_eq!(wire::parse_http_chunk(bytes), found);
 }
 
-/// Proxies have to rank alike: what stands for an id is fixed.
+/// All proxies have to rank members alike, so the address that stands for an id is fixed.
 #[test]
-fn stand_ins_are_fixed_and_differ() {
+fn addresses_for_ids_are_fixed_and_distinct() {
     let a = address_for_id("s-00c41f7a");
     assert_eq!(a, address_for_id("s-00c41f7a"));
     assert!((0..10_000).all(|i| address_for_id(&format!("s-{i:08x}")) != a));
@@ -192,31 +193,31 @@
 #[case(r#"{"settings":{}}"#, "no usable classes")]
 #[case(r#"{"settings":{"classes":[{"name":"a"}]}}"#, "'listen'")]
 #[case(r#"{"settings":{"classes":[{"name":"a"}]},"listen":"x"}"#, "'listen' is no address")]
-fn bad_configuration(#[case] json: &str, #[case] says: &str) {
+fn bad_configurations_are_refused(#[case] json: &str, #[case] expected_error: &str) {
     let line = threadward::config::parse(json).unwrap_err();
-    assert!(line.contains(says) && !line.contains('\n'), "{line}");
+    assert!(line.contains(expected_error) && !line.contains('\n'), "{line}");
 }
 
 #[rstest]
 #[case("x", "not TOML")]
 #[case("[signed]\n", "[signed]: no key")]
 #[case("[snmp]\nlisten = \"127.0.0.1:1\"\n", "[snmp]: 'community_file' is missing")]
-fn bad_fronts(#[case] text: &str, #[case] says: &str) {
+fn bad_operators_files_are_refused(#[case] text: &str, #[case] expected_error: &str) {
     let line = threadward::operators::parse_text(text, "n0", std::path::Path::new(".")).err().unwrap();
-    assert!(line.contains(says) && !line.contains('\n'), "{line}");
+    assert!(line.contains(expected_error) && !line.contains('\n'), "{line}");
 }
 
-/// The file in the repository is good as it stands, once its secrets are there.
+/// `deploy/signed.toml` is valid as it is, once its secrets exist.
 #[test]
-fn the_fronts_file_of_the_repository() {
+fn the_signed_file_in_deploy_is_valid() {
     let folder = std::env::temp_dir().join(format!("threadward-fronts-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("secrets")).unwrap();
     std::fs::write(folder.join("secrets/depot-1.key"), "MDEyMzQ1Njc4OWFiY2RlZjAxMjM0NTY3ODlhYmNkZWY\n")
         .unwrap();
     std::fs::write(folder.join("secrets/community"), "depot\n").unwrap();
     let text = include_str!("../../deploy/signed.toml");
-    let f = threadward::operators::parse_text(text, "n0", &folder).unwrap();
-    let (signed, snmp) = (f.signed.unwrap(), f.snmp.unwrap());
+    let operators_file = threadward::operators::parse_text(text, "n0", &folder).unwrap();
+    let (signed, snmp) = (operators_file.signed.unwrap(), operators_file.snmp.unwrap());
     assert_eq!(
         (signed.keys["depot-1"].len(), signed.skew, snmp.community.as_str()),
         (32, 2_000_000, "depot")
@@ -228,7 +229,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// A weight that cannot be reckoned with counts as not told.
+/// A weight that cannot be used counts as not given.
 #[rstest]
 #[case("7.5", 7.5)]
 #[case("0", 0.0)]
@@ -236,18 +237,18 @@
 #[case("1e300", 0.0)]
 #[case("null", 0.0)]
 #[case("\"NaN\"", 0.0)]
-fn weights(#[case] told: &str, #[case] taken: f32) {
+fn weights(#[case] given: &str, #[case] parsed_weight: f32) {
     let json = format!(
-        r#"{{"no":1,"roster":{{"full":true,"servers":[{{"id":"s","addr":"127.0.0.1:9","state":"active","weight":{told}}}]}}}}"#
+        r#"{{"no":1,"roster":{{"full":true,"servers":[{{"id":"s","addr":"127.0.0.1:9","state":"active","weight":{given}}}]}}}}"#
     );
     let (_, b) =
         config::parse_event(&serde_json::from_str(&json).unwrap(), &config::Names::default()).unwrap();
     let Some(config::DiscoveryEvent::Members { servers, .. }) = b else { panic!("no list") };
-    assert_eq!(servers[0].entry.weight, taken);
+    assert_eq!(servers[0].entry.weight, parsed_weight);
 }
 
-/// A client's request of the first class with the fields given, as the front reads it.
-fn asked(extra: &[(&'static str, &'static str)]) -> Option<threadward_core::ClientRequest> {
+/// Parses a client's request of the first class, with further fields, as the front does.
+fn parse_client_request(extra: &[(&'static str, &'static str)]) -> Option<threadward_core::ClientRequest> {
     let class = nickelgate::Class { deadline: 6_000_000, ..Default::default() };
     let settings = threadward_core::Settings { classes: vec![class], ..Default::default() };
     let base = [
@@ -280,10 +281,10 @@
 #[case(&[("heap", "1e3")], 0.0)]
 #[case(&[("heap", "")], 0.0)]
 #[case(&[("heap", "99999999999")], 0.0)]
-fn a_stated_size_reaches_the_request_and_a_bad_one_is_not_told(
+fn a_stated_size_reaches_the_request_and_a_bad_one_is_ignored(
     #[case] extra: &[(&'static str, &'static str)],
     #[case] kbytes: f32,
 ) {
-    let ask = asked(extra).expect("the request stands whatever its size says");
-    assert_eq!(ask.size_kb, kbytes);
+    let client_request = parse_client_request(extra).expect("the request is accepted whatever its size is");
+    assert_eq!(client_request.size_kb, kbytes);
 }
