--- a/node/tests/budgets.rs
+++ b/node/tests/budgets.rs
@@ -21,6 +21,7 @@
 /// The pause between two requests to a proxy, so short that each proxy would probe as often as it may.
 const REQUEST_PAUSE_US: u64 = 2_000;
 
+/// Proxies and the relay between them.
 struct Fleet {
     relay: Relay,
     own: Vec<SocketAddr>,
--- a/node/tests/control.rs
+++ b/node/tests/control.rs
@@ -39,6 +39,7 @@
 /// The pause between two requests to a proxy, short enough for more probes than its part of the budget.
 const REQUEST_PAUSE_US: u64 = 5_000;
 
+/// Eight proxies and the relay between them.
 struct Fleet {
     relay: Relay,
     own: Vec<SocketAddr>,
--- a/node/tests/settings.rs
+++ b/node/tests/settings.rs
@@ -169,7 +169,7 @@
 }
 
 /// With no `aim` given, or one near zero, the planner looked at a request that may not be repeated again
-/// every few microseconds, which used a whole processor core.
+/// every few microseconds.
 #[test]
 fn waiting_for_a_silent_cache_uses_little_processor_time() {
     for aim in [json!(null), json!(0), json!(1)] {
--- a/node/tests/zones.rs
+++ b/node/tests/zones.rs
@@ -25,8 +25,9 @@
 
 type Ex = &'static LocalExecutor<'static>;
 
-/// How many proxies run. The operators' files name one more, the last, which is absent or the lying peer.
+/// How many proxies run. The operators' files name one more, the last.
 const PROXIES: usize = 5;
+/// The index of the proxy that is absent or the lying peer.
 const LYING_PEER: usize = PROXIES;
 /// The index of the locations' caches in the relay.
 const CACHES_INDEX: usize = PROXIES + 1;
@@ -61,14 +62,14 @@
         let part: u32 = field("blk").unwrap().parse().unwrap();
         let source = field("fetch").filter(|_| !part.is_multiple_of(4)).unwrap_or(id);
         self.uses.borrow_mut().push((now(), source.to_owned()));
-        let (said, detail) = match source {
+        let (status, detail) = match source {
             _ if self.has_failed(source) => ("crashed", "UP_DOWN"),
             _ if source == id => ("served", "HIT"),
             "origin" => ("served", "MISS_ORIGIN"),
             _ => ("served", "MISS"),
         };
         let rest = format!("version=4be0c1927d55a6f3,stamp=1,detail={detail}");
-        let answer = [call.as_bytes(), said.as_bytes(), rest.as_bytes(), b"whole"];
+        let answer = [call.as_bytes(), status.as_bytes(), rest.as_bytes(), b"whole"];
         Some(threadward::wire::encode_resp(&answer))
     }
 }
@@ -102,7 +103,7 @@
     at
 }
 
-/// Counts of all clients. A client ends only with the final answer to its last request.
+/// Counts over all clients. A client ends only with the final answer to its last request.
 #[derive(Default)]
 struct ClientCounts {
     stopped: Cell<bool>,
@@ -117,6 +118,7 @@
     [proxy as u8 + 1; 32]
 }
 
+/// Five proxies, their relay and everything that they talk to.
 struct Fleet {
     ex: Ex,
     relay: Relay,
@@ -136,13 +138,13 @@
         let (folder, zone_members) = (TempDir::new().unwrap(), Rc::new(ZoneMembers::default()));
         let file = |name: String| folder.path().join(name);
         let (relay, fronts) = (Relay::new(7, CACHES_INDEX + 1).unwrap(), free_addresses(PROXIES));
-        let (own, talk) = (free_addresses(CACHES_INDEX + 1), free_addresses(PROXIES + 1));
-        let at = relay.udp(&own).unwrap();
+        let (budget_addrs, gossip_addrs) = (free_addresses(CACHES_INDEX + 1), free_addresses(PROXIES + 1));
+        let relayed_addrs = relay.udp(&budget_addrs).unwrap();
         let ids = ["n-0", "n-1", "s-0", "s-1", "e-0", "e-1", "w-0", "w-1", "origin"];
         let members: Vec<_> = ids.iter().map(|id| (*id, start_member(ex, &zone_members, id))).collect();
         std::fs::write(file("key".into()), URL_SAFE_NO_PAD.encode([7; 32])).unwrap();
         let mut peers = String::new();
-        for (i, at) in talk.iter().enumerate() {
+        for (i, at) in gossip_addrs.iter().enumerate() {
             let key = URL_SAFE_NO_PAD.encode(public_key(&secret(i)));
             peers += &format!(
                 "[[gossip.peer]]\nname = \"n{i}\"\naddress = \"{at}\"\nkeys = [\"{key}\"]\nseed = true\n"
@@ -173,14 +175,16 @@
                 "[zones]\n[gossip]\nsecret_file = \"{p}.key\"\nperiod_ms = 200\n{peers}\
                  [budgets]\nsecret_file = \"key\"\nlease_ms = 500\nprobes_per_cache_s = 2\n"
             );
-            for (b, at) in at[p].iter().take(PROXIES + 1).enumerate() {
+            for (b, at) in relayed_addrs[p].iter().take(PROXIES + 1).enumerate() {
                 let votes = b != PROXIES - 1;
                 text += &format!("[[budgets.proxy]]\nname = \"n{b}\"\naddress = \"{at}\"\nvoter = {votes}\n");
             }
             std::fs::write(file(format!("{p}.toml")), text).unwrap();
         }
-        let (parents, lying_peer) =
-            (members[..4].to_vec(), LyingPeer::new(own[LYING_PEER], at[LYING_PEER].clone()));
+        let (parents, lying_peer) = (
+            members[..4].to_vec(),
+            LyingPeer::new(budget_addrs[LYING_PEER], relayed_addrs[LYING_PEER].clone()),
+        );
         let (client_counts, proxies) = (Rc::default(), Vec::new());
         let mut fleet = Fleet {
             ex,
@@ -194,13 +198,13 @@
             proxies,
             folder,
         };
-        fleet.run().await;
+        fleet.start_processes().await;
         fleet
     }
 
     /// Starts all processes and their clients, and waits until each has served a few requests and so is
     /// ready.
-    async fn run(&mut self) {
+    async fn start_processes(&mut self) {
         let path = self.folder.path();
         let start = |p: usize| {
             ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward"))
@@ -243,29 +247,29 @@
     }
 
     /// Returns the last epoch at which a process logged a line that contains this.
-    fn epoch(&self, p: usize, what: &str) -> Option<u64> {
+    fn last_epoch_logged(&self, p: usize, what: &str) -> Option<u64> {
         self.zone_changes(p).iter().rfind(|(_, rest)| rest.contains(what)).map(|(n, _)| *n)
     }
 
     /// Waits until all processes have logged a line that contains this.
     async fn wait_until_all_log(&self, what: &str) {
-        wait_for(what, || (0..PROXIES).all(|p| self.epoch(p, what).is_some())).await;
+        wait_for(what, || (0..PROXIES).all(|p| self.last_epoch_logged(p, what).is_some())).await;
     }
 
     /// Waits until any process has logged a line that contains this.
     async fn wait_until_any_logs(&self, what: &str) {
-        wait_for(what, || (0..PROXIES).any(|p| self.epoch(p, what).is_some())).await;
+        wait_for(what, || (0..PROXIES).any(|p| self.last_epoch_logged(p, what).is_some())).await;
     }
 
     /// Checks that no two processes logged different things of a zone at one epoch, but for "in service",
     /// whose text depends on the state that the process had before.
     fn assert_logs_agree(&self) {
-        let mut said = BTreeMap::new();
+        let mut logged = BTreeMap::new();
         for (n, rest) in
             (0..PROXIES).flat_map(|p| self.zone_changes(p)).filter(|(_, r)| !r.contains("in service"))
         {
             let zone = rest.split(' ').next().unwrap_or_default().to_owned();
-            let first = said.entry((n, zone)).or_insert(rest.clone());
+            let first = logged.entry((n, zone)).or_insert(rest.clone());
             assert_eq!(*first, rest, "epoch {n}");
         }
     }
@@ -283,10 +287,11 @@
     /// Publishes to all proxies that the members of a parent zone have started just now.
     fn publish_restart(&self, zone: &str) {
         for (events, changed) in &self.discoveries {
-            let own = self.parents.iter().filter(|(id, _)| id[..1] == zone[..1]);
-            let own: Vec<_> = own.map(|(id, at)| listed(id, *at, unix_ms())).collect();
-            let (no, own) = (events.borrow().len() + 1, own.join(","));
-            let event = format!(r#"{{"no":{no},"roster":{{"version":2,"full":false,"servers":[{own}]}}}}"#);
+            let of_zone = self.parents.iter().filter(|(id, _)| id[..1] == zone[..1]);
+            let entries: Vec<_> = of_zone.map(|(id, at)| listed(id, *at, unix_ms())).collect();
+            let (no, servers) = (events.borrow().len() + 1, entries.join(","));
+            let event =
+                format!(r#"{{"no":{no},"roster":{{"version":2,"full":false,"servers":[{servers}]}}}}"#);
             events.borrow_mut().push(event);
             changed.notify();
         }
@@ -356,7 +361,7 @@
         wait(1_000).await;
         fleet.assert_unused("north").await;
         fleet.wait_until_all_log("north is out").await;
-        let left: Vec<_> = (0..PROXIES).map(|p| fleet.epoch(p, "north is left")).collect();
+        let left: Vec<_> = (0..PROXIES).map(|p| fleet.last_epoch_logged(p, "north is left")).collect();
         assert!(left.iter().all(|e| *e == left[0]), "{left:?}");
         fleet.zone_members.failed_zones.set("");
         // Its members did not restart, so they still hold what they held, and the return begins at a later
@@ -367,13 +372,16 @@
         fleet.proxies[first].stop().unwrap();
         let others: Vec<usize> = (0..PROXIES).filter(|p| *p != first).collect();
         wait_for("the return's end", || {
-            others.iter().all(|p| fleet.epoch(*p, "north is in service again").is_some())
+            others.iter().all(|p| fleet.last_epoch_logged(*p, "north is in service again").is_some())
         })
         .await;
         let second = others.iter().find(|p| fleet.proxies[**p].output().contains("this proxy divides"));
         assert!(second.is_some(), "no second coordinator");
         fleet.proxies[first].cont().unwrap();
-        wait_for("the first learns", || fleet.epoch(first, "north is in service again").is_some()).await;
+        wait_for("the first learns", || {
+            fleet.last_epoch_logged(first, "north is in service again").is_some()
+        })
+        .await;
         fleet.assert_logs_agree();
         for p in 0..PROXIES {
             let all: Vec<_> = fleet.zone_changes(p).into_iter().map(|(_, m)| m).collect();
@@ -400,7 +408,10 @@
         fleet.wait_until_any_logs("north is returning (Step), step 2 of 8").await;
         fleet.zone_members.failed_zones.set("n");
         fleet.wait_until_all_log("north is out (Failing), tried again in 10 s").await;
-        assert!((0..PROXIES).all(|p| fleet.epoch(p, "step 5").is_none()), "not detected within a step");
+        assert!(
+            (0..PROXIES).all(|p| fleet.last_epoch_logged(p, "step 5").is_none()),
+            "not detected within a step"
+        );
         fleet.assert_unused("north").await;
         fleet.stop_clients().await;
         fleet.assert_logs_agree();
@@ -408,7 +419,7 @@
             p.kill().unwrap();
         }
         let began = now();
-        fleet.run().await;
+        fleet.start_processes().await;
         let took = (now() - began) / 1000;
         assert!(took < 8_000, "served after {took} ms");
         fleet.wait_until_all_log("north is left").await;
@@ -515,7 +526,10 @@
         wait(3_000).await;
         fleet.relay.heal(&[0, 1], &[CACHES_INDEX]);
         fleet.wait_until_all_log("east is in service, no longer suspect").await;
-        assert!((0..PROXIES).all(|p| fleet.epoch(p, "left").is_none()), "only two of five saw it fail");
+        assert!(
+            (0..PROXIES).all(|p| fleet.last_epoch_logged(p, "left").is_none()),
+            "only two of five saw it fail"
+        );
 
         let before: Vec<_> = (0..PROXIES).map(|p| fleet.zone_changes(p)).collect();
         for _ in 0..60 {
@@ -553,7 +567,9 @@
             wait(100).await;
         }
         wait(1_000).await;
-        let left = |zone: &str| (0..PROXIES).any(|p| fleet.epoch(p, &format!("{zone} is left")).is_some());
+        let left = |zone: &str| {
+            (0..PROXIES).any(|p| fleet.last_epoch_logged(p, &format!("{zone} is left")).is_some())
+        };
         assert!(left("north") != left("south"), "exactly one parent zone has to stay");
         fleet.assert_logs_agree();
         fleet.stop_clients().await;
