--- a/node/src/bulletin.rs
+++ b/node/src/bulletin.rs
@@ -4,7 +4,7 @@
 //! Events are applied to the pool and the planner at once, in order and once each, by their numbers. A single
 //! event stream is read at a time.
 use crate::clock::unix_now;
-use crate::config::{event, stand_in, Bulletin, ListedServer};
+use crate::config::{address_for_id, parse_event, DiscoveryEvent, ListedServer};
 use crate::net::{self, now, sleep_until};
 use crate::node::Node;
 use crate::wire::{self, Malformed};
@@ -50,8 +50,9 @@
 /// The operator's call behind the change was made at most `max_age` ago.
 pub fn apply_bans(node: &Node, servers: Vec<ListedServer>, max_age: Micros) {
     let bans = node.bans.borrow();
-    node.pool
-        .set_disabled(bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| stand_in(id)).collect());
+    node.pool.set_disabled(
+        bans.states().keys().filter(|id| bans.is_banned(id)).map(|id| address_for_id(id)).collect(),
+    );
     drop(bans);
     if !servers.is_empty() {
         apply_servers(node, ListForm::Delta, servers, max_age);
@@ -60,7 +61,7 @@
 
 /// Applies listed servers to the pool and the planner. Servers whose address another one has now are removed.
 fn apply_servers(node: &Node, form: ListForm, mut servers: Vec<ListedServer>, max_age: Micros) {
-    node.start_times.borrow_mut().place(form, &mut servers, (unix_now(), now()), max_age);
+    node.start_times.borrow_mut().assign(form, &mut servers, (unix_now(), now()), max_age);
     let displaced = node.pool.update_listed(form, &servers);
     let gone = |addr| Entry { addr, state: Lifecycle::Gone, ..Entry::default() };
     let listed = servers.into_iter().map(|s| s.entry);
@@ -70,9 +71,9 @@
 
 /// Applies a list or a purge. `cached` tells that it comes from the stored configuration rather than from
 /// discovery.
-pub fn apply(node: &Node, update: Bulletin, cached: bool) {
+pub fn apply(node: &Node, update: DiscoveryEvent, cached: bool) {
     match update {
-        Bulletin::Roster { form, mut servers } => {
+        DiscoveryEvent::Members { form, mut servers } => {
             let is_new = |s: &&ListedServer| {
                 s.entry.state != Lifecycle::Gone && node.pool.member_id(s.entry.addr).is_none()
             };
@@ -92,12 +93,12 @@
             }
             let form = if cached && form == ListForm::Full { ListForm::Cached } else { form };
             node.bans.borrow_mut().apply_list(form, &mut servers);
-            let max_age = node.all_heard.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
+            let max_age = node.caught_up_at.get().map_or(Micros::MAX, |at| now().saturating_sub(at));
             apply_servers(node, form, servers, if cached { Micros::MAX } else { max_age });
         }
         // The purge takes effect now rather than when it was issued: every earlier copy is then older,
         // whatever the wall clocks say.
-        Bulletin::Recall { issued: _, object, group } => {
+        DiscoveryEvent::Purge { issued: _, object, group } => {
             node.plan(|p, now| p.purge(now, 0, object, group));
         }
     }
@@ -126,10 +127,10 @@
     let rng = RefCell::new(fastrand::Rng::with_seed(node.config.seed));
     let pacer = CallPacer { rng, next_call_at: Cell::new(0) };
     loop {
-        let address = node.bulletin.get();
+        let address = node.discovery_addr.get();
         let address_changed = async {
-            while node.bulletin.get() == address {
-                node.moved.wait().await;
+            while node.discovery_addr.get() == address {
+                node.discovery_moved.wait().await;
             }
         };
         address_changed.or(follow_address(&node, address, &pacer)).await;
@@ -222,7 +223,7 @@
         if head.start_line[1] != "200" {
             return Err(Malformed("the bulletin refused"));
         }
-        node.heard.set(true);
+        node.discovery_heard.set(true);
         received.drain(..length);
         let chunked = head.header("transfer-encoding").unwrap_or("").eq_ignore_ascii_case("chunked");
         return Ok(EventStream { stream, received, chunked });
@@ -241,7 +242,7 @@
 /// ones for good.
 fn should_refetch(node: &Node) -> bool {
     let next = node.last_event.get().saturating_add(1);
-    node.unread.replace(next) != next
+    node.reread_event.replace(next) != next
 }
 
 /// Reads a stream and applies its events until it ends.
@@ -303,7 +304,7 @@
             }
         }
         text.drain(..start);
-        node.all_heard.set(Some(last_received_at.get()));
+        node.caught_up_at.set(Some(last_received_at.get()));
         if last_chunk {
             return Ok(());
         }
@@ -333,14 +334,14 @@
             return Ok(());
         }
     };
-    match event(&json, &node.config.names) {
+    match parse_event(&json, &node.config.names) {
         // Events that were sent again after a reconnect are skipped.
         Ok((number, _)) if number <= last_event.get() => {}
         Ok((number, _)) if number > MAX_EVENT_NUMBER => reject_event(node, "a number that none can follow"),
         // Events before this one are missing. They are requested once, as numbers may also have been left
         // out. The second time the event is accepted whatever its number: otherwise nothing would ever be
         // accepted from a discovery service that only sends new events.
-        Ok((number, _)) if number > next && node.out_of_turn.replace(next) != next => {
+        Ok((number, _)) if number > next && node.out_of_order_event.replace(next) != next => {
             return Err(Malformed("an event out of turn"));
         }
         Ok((number, update)) => {
--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -395,9 +395,9 @@
     fn select_or_open(self: &Rc<Self>, server: &Rc<Server>, call: &str) -> Option<Rc<CacheConnection>> {
         let at = now();
         let connections = server.connections.borrow();
-        let usable = connections.iter().filter(|conn| conn.can_take(call, self.names.streams));
+        let usable = connections.iter().filter(|conn| conn.can_take(call, self.names.streams_per_connection));
         let least_loaded = usable
-            .filter(|conn| !conn.is_silent(at, self.names.connect))
+            .filter(|conn| !conn.is_silent(at, self.names.connect_timeout))
             .min_by_key(|conn| conn.pending.borrow().len());
         let open_count = connections.iter().filter(|conn| !conn.closed.get()).count();
         let may_open_another = open_count < TARGET_CONNECTIONS_PER_MEMBER
@@ -463,7 +463,7 @@
         conn.probes.borrow_mut().push((tag.clone(), None));
         conn.queue.borrow_mut().push_back(QueueItem::Probe(word, tag.clone()));
         conn.signal.notify();
-        let until = now() + self.names.connect;
+        let until = now() + self.names.connect_timeout;
         let result = |conn: &CacheConnection| {
             conn.probes.borrow().iter().find(|(t, _)| *t == tag).and_then(|(_, result)| *result)
         };
@@ -478,7 +478,7 @@
 
     /// Runs a connection from its establishment to its end, then moves or reports the attempts left on it.
     async fn run_connection(self: &Rc<Self>, server: &Rc<Server>, conn: &Rc<CacheConnection>) {
-        let until = now() + self.names.connect;
+        let until = now() + self.names.connect_timeout;
         let connected = async { Async::<TcpStream>::connect(conn.socket_addr).await };
         let timeout = async { (sleep_until(until).await, Err(ErrorKind::TimedOut.into())).1 };
         let connect_error = match connected.or(timeout).await {
@@ -514,7 +514,7 @@
         // to it work (the member then accepts no further ones) or the error is local to this machine.
         let local_failure =
             connect_error.as_ref().is_some_and(|e| !matches!(e.kind(), REFUSED | RESET | TIMED_OUT));
-        let recently = now().saturating_sub(self.names.connect);
+        let recently = now().saturating_sub(self.names.connect_timeout);
         let others_work = server.connections.borrow().iter().any(|o| o.is_working(recently));
         if connect_error.is_some() && others_work {
             server.open_not_before.set(now() + OPEN_PAUSE_AFTER_FAILURE);
@@ -668,7 +668,7 @@
             decided_at: dispatch.decided_at,
             // Purges and drains reported since the decision count up to the first byte.
             notified_since: owner.epoch() != dispatch.epoch,
-            grace: NOTIFICATION_GRACE.min(self.names.grace),
+            grace: NOTIFICATION_GRACE.min(self.names.epoch_grace),
             send_by: dispatch.send_by,
             // A ban holds from the moment it is acknowledged, also for an attempt decided just before.
             server_out: [Some(dispatch.member), dispatch.source]
@@ -909,13 +909,13 @@
         let Some((call_id, pending_attempt)) = found else { return false };
         // Withdrawn attempts no longer count for `is_silent`. Without this, a connection blocked by an answer
         // that never ends would look usable again and delay every later attempt.
-        if conn.is_silent(now(), self.0.names.connect) {
+        if conn.is_silent(now(), self.0.names.connect_timeout) {
             conn.retired.set(true);
         }
         conn.pending.borrow_mut().remove(&call_id);
         if pending_attempt.progress == Progress::NotConnected {
             let is_its_item =
-                |i: &QueueItem| matches!(i, QueueItem::Serve(dispatch) if is_this_attempt(dispatch));
+                |i: &QueueItem| matches!( i , QueueItem::Serve ( dispatch ) if is_this_attempt ( dispatch ) );
             conn.queue.borrow_mut().retain(|i| !is_its_item(i));
         }
         // An attempt that has been written in part is written to its end and then cancelled. The cache never
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -5,7 +5,7 @@
 //! down, nothing that arrives on it is processed.
 use crate::calls::{AcceptFailure, AcceptRetry};
 use crate::net::{self, now, read_some, sleep_until, OutgoingAnswer, Signal, LISTEN_BACKLOG};
-use crate::node::{Node, Place};
+use crate::node::{ConnectionSlot, Node};
 use crate::wire::{self, MsgpackValue, Rpc};
 use async_io::Async;
 use futures_lite::{future, FutureExt};
@@ -42,7 +42,7 @@
 /// A client's connection.
 struct Client {
     node: Rc<Node>,
-    place: Place,
+    slot: ConnectionSlot,
     /// Message ids that are still to be answered, with the planner's request ids (0: not known yet).
     open_requests: RefCell<HashMap<u32, u64>>,
     outgoing: RefCell<VecDeque<OutgoingAnswer>>,
@@ -59,7 +59,7 @@
     /// Queues an answer for writing.
     fn push(&self, answer: impl Into<OutgoingAnswer>) {
         let answer = answer.into();
-        self.node.unwritten.set(self.node.unwritten.get() + 1);
+        self.node.unwritten_answers.set(self.node.unwritten_answers.get() + 1);
         self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() + answer.memory_bytes());
         self.outgoing.borrow_mut().push_back(answer);
         self.update_busy();
@@ -71,7 +71,7 @@
         let answer_owed = self.writing.get()
             || !self.open_requests.borrow().is_empty()
             || !self.outgoing.borrow().is_empty();
-        self.place.1.busy(answer_owed);
+        self.slot.1.set_busy(answer_owed);
     }
     /// Tells the planner that the client no longer waits for any of its open requests.
     fn cancel_open_requests(&self) {
@@ -82,7 +82,7 @@
     }
     /// Takes an answer out of the totals of unwritten answers.
     fn count_written(&self, answer: &OutgoingAnswer) {
-        self.node.unwritten.set(self.node.unwritten.get() - 1);
+        self.node.unwritten_answers.set(self.node.unwritten_answers.get() - 1);
         self.node.unwritten_bytes.set(self.node.unwritten_bytes.get() - answer.memory_bytes());
     }
 }
@@ -90,25 +90,25 @@
 /// Accepts clients for as long as the program runs, also while it is shutting down, until it hands over to
 /// another process.
 pub async fn serve(node: Rc<Node>, listener: Rc<Async<TcpListener>>) {
-    // A place prepared for a client whose connection turned out to be gone is kept for the next client if
-    // that one is accepted at once. A client's time to send its first request runs from when its place was
+    // A slot prepared for a client whose connection turned out to be gone is kept for the next client if
+    // that one is accepted at once. A client's time to send its first request runs from when its slot was
     // made.
-    let (mut place, mut retry) = (None, AcceptRetry::default());
+    let (mut slot, mut retry) = (None, AcceptRetry::default());
     // This also ends a task that was restarted after a panic when the process had given way already.
-    while !node.giving_way.get() {
+    while !node.handing_over.get() {
         let gave_way = async {
-            node.gave_way.wait().await;
+            node.handover_started.wait().await;
             Err(std::io::ErrorKind::NotConnected.into())
         };
         let accepted = match listener.readable().or(gave_way).await {
-            Ok(()) => accept_client(&node, &listener, &mut place).await,
+            Ok(()) => accept_client(&node, &listener, &mut slot).await,
             Err(e) => Err(e),
         };
         let Err(e) = accepted else {
             retry.reset();
             continue;
         };
-        if node.giving_way.get() {
+        if node.handing_over.get() {
             break;
         }
         let failure = AcceptFailure::of(&e);
@@ -118,39 +118,39 @@
             net::log(&format!("accept: {e}"));
         }
         if !retry.wait_after(failure).await {
-            place = None;
+            slot = None;
         }
     }
     // If the successor has a backlog of its own, closing this socket would reset the connections still in
     // this one.
     for _ in 0..LISTEN_BACKLOG {
-        let Err(e) = accept_client(&node, &listener, &mut place).await else { continue };
+        let Err(e) = accept_client(&node, &listener, &mut slot).await else { continue };
         let failure = AcceptFailure::of(&e);
         if failure == AcceptFailure::NoneWaiting {
             break;
         }
         if !retry.wait_after(failure).await {
-            place = None;
+            slot = None;
         }
     }
 }
 
-/// Accepts one connection and starts its task. Its place is reserved before; if there is none, the connection
+/// Accepts one connection and starts its task. Its slot is reserved before; if there is none, the connection
 /// is closed at once.
 async fn accept_client(
     node: &Rc<Node>,
     listener: &Async<TcpListener>,
-    place: &mut Option<Place>,
+    slot: &mut Option<ConnectionSlot>,
 ) -> std::io::Result<()> {
-    if place.is_none() {
-        *place = node.welcome().await;
+    if slot.is_none() {
+        *slot = node.admit_client().await;
     }
     let stream = Async::new(listener.get_ref().accept()?.0)?;
-    let Some(place) = place.take() else { return Ok(()) };
+    let Some(slot) = slot.take() else { return Ok(()) };
     // Set before anything is written: data that the system holds back would be lost in a reset.
     stream.get_ref().set_nodelay(true).ok();
     let n = node.clone();
-    node.spawn("client connection", async move { run_client(n, place, stream).await });
+    node.spawn("client connection", async move { run_client(n, slot, stream).await });
     Ok(())
 }
 
@@ -168,10 +168,10 @@
 }
 
 /// Serves a client's connection to its end.
-async fn run_client(node: Rc<Node>, place: Place, stream: Async<TcpStream>) {
+async fn run_client(node: Rc<Node>, slot: ConnectionSlot, stream: Async<TcpStream>) {
     let c = Rc::new(Client {
         node,
-        place,
+        slot,
         open_requests: RefCell::default(),
         outgoing: RefCell::default(),
         signal: Signal::default(),
@@ -182,15 +182,15 @@
     });
     let held = ClientGuard(c.clone());
     let overdue = async {
-        c.place.1.overdue(|| net::has_unread_bytes(&stream)).await;
-        let drained = c.node.giving_way.get() || c.node.closing();
+        c.slot.1.wait_until_due(|| net::has_unread_bytes(&stream)).await;
+        let drained = c.node.handing_over.get() || c.node.refuses_new_requests();
         Some(if drained { Counter::ClosedDrained } else { Counter::Overdue })
     };
     let reason = write(&c, &stream).or(read(&c, &stream)).or(overdue).await;
     reason.into_iter().for_each(|counter| c.node.count(counter));
     // Nothing is read or written from here on, and the open requests are cancelled.
     drop(held);
-    c.place.close(&stream).await;
+    c.slot.close(&stream).await;
 }
 
 /// An answer that is being written. Its bytes are taken out of the totals however that ends, also when the
@@ -224,7 +224,7 @@
             return Some(Counter::ClosedStalled);
         }
         c.writing.set(false);
-        c.place.1.answered();
+        c.slot.1.set_answered();
         c.update_busy();
     }
 }
@@ -239,7 +239,7 @@
         if further_reads.into_iter().any(|n| n == 0) {
             break;
         }
-        c.place.1.reading(true);
+        c.slot.1.set_parsing(true);
         let mut parsed = 0;
         for n in 1.. {
             match wire::parse_rpc(&buf[parsed..]) {
@@ -262,10 +262,10 @@
         }
         buf.drain(..parsed);
         if parsed > 0 {
-            c.place.1.receiving(false);
+            c.slot.1.set_receiving(false);
         }
-        c.place.1.receiving(!buf.is_empty());
-        c.place.1.reading(false);
+        c.slot.1.set_receiving(!buf.is_empty());
+        c.slot.1.set_parsing(false);
         if buf.is_empty() && buf.capacity() > MAX_IDLE_BUFFER_BYTES {
             buf = Vec::new();
         }
@@ -316,7 +316,7 @@
             c.last_message_id.set(id);
             if method == b"alive" {
                 // If a successor takes over, the proxy goes on although this process ends.
-                let accepting = c.node.stopping.get().is_none() || c.node.giving_way.get();
+                let accepting = c.node.stopping.get().is_none() || c.node.handing_over.get();
                 let ready = accepting && c.node.plan(|p, _| p.ready());
                 c.push(wire::encode_alive(id, ready));
                 return Ok(());
@@ -334,7 +334,7 @@
                 received_at,
             ) {
                 Some(mut request) => {
-                    request.expires_at = request.expires_at.min(c.node.last_due());
+                    request.expires_at = request.expires_at.min(c.node.latest_answer_time());
                     submit(c, id, request);
                 }
                 None => {
@@ -353,7 +353,7 @@
 
 /// Submits a request to the planner, or refuses it while the program is shutting down.
 fn submit(c: &Rc<Client>, id: u32, request: ClientRequest) {
-    if c.node.closing() {
+    if c.node.refuses_new_requests() {
         c.node.count(Counter::RefusedClosing);
         return c.push(wire::encode_error(id, "Full", &[]));
     }
@@ -377,7 +377,7 @@
             FinalAnswer::Failed => wire::encode_error(id, "Error", &[]).into(),
         });
     });
-    let request_id = c.node.plan(|p, now| p.accept_request(now, c.node.held(), request, reply));
+    let request_id = c.node.plan(|p, now| p.accept_request(now, c.node.held_bytes(), request, reply));
     if let (Some(planner_id), Some(entry)) = (request_id, c.open_requests.borrow_mut().get_mut(&id)) {
         *entry = planner_id;
     }
--- a/node/src/signed.rs
+++ b/node/src/signed.rs
@@ -15,8 +15,8 @@
 //!   is released, because nothing ran for it.
 use crate::calls::{self, AcceptFailure, AcceptRetry};
 use crate::net::{has_unread_bytes, now, read_some, sleep_until, OutgoingAnswer, Signal};
-use crate::node::{Guest, Node};
-pub use crate::operators::Signed as Settings;
+use crate::node::{ClientConnection, Node};
+pub use crate::operators::SignedLinks as Settings;
 use crate::wire::{self, HttpHead, Malformed};
 use async_io::Async;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -413,34 +413,34 @@
 
 /// Accepts clients for as long as the program runs.
 pub async fn serve(front: Rc<SignedFront>, listener: Rc<Async<TcpListener>>) {
-    let (mut reserved_place, mut retry) = (None, AcceptRetry::default());
+    let (mut reserved_slot, mut retry) = (None, AcceptRetry::default());
     loop {
         calls::readable(&listener).await;
-        // The place is reserved before the connection is accepted; if there is none, the connection is closed
+        // The slot is reserved before the connection is accepted; if there is none, the connection is closed
         // at once.
-        if reserved_place.is_none() {
-            reserved_place = front.node.welcome().await;
+        if reserved_slot.is_none() {
+            reserved_slot = front.node.admit_client().await;
         }
         let stream = match listener.get_ref().accept().and_then(|accepted| Async::new(accepted.0)) {
             Ok(stream) => stream,
             Err(e) => {
                 if !retry.wait_after(AcceptFailure::of(&e)).await {
-                    reserved_place = None;
+                    reserved_slot = None;
                 }
                 continue;
             }
         };
         retry.reset();
-        let Some(place) = reserved_place.take() else { continue };
+        let Some(connection_slot) = reserved_slot.take() else { continue };
         stream.get_ref().set_nodelay(true).ok();
         let connection_front = front.clone();
         front.node.spawn("signed connection", async move {
             let overdue = async {
-                place.1.overdue(|| has_unread_bytes(&stream)).await;
+                connection_slot.1.wait_until_due(|| has_unread_bytes(&stream)).await;
                 connection_front.node.count(Counter::Overdue);
             };
-            run_connection(&connection_front, &place.1, &stream).or(overdue).await;
-            place.close(&stream).await;
+            run_connection(&connection_front, &connection_slot.1, &stream).or(overdue).await;
+            connection_slot.close(&stream).await;
         });
     }
 }
@@ -452,12 +452,12 @@
     // The totals are corrected however the writing ends, also when the task is dropped meanwhile.
     impl Drop for AnswerBeingWritten<'_> {
         fn drop(&mut self) {
-            self.0.unwritten.set(self.0.unwritten.get() - 1);
+            self.0.unwritten_answers.set(self.0.unwritten_answers.get() - 1);
             self.0.unwritten_bytes.set(self.0.unwritten_bytes.get() - self.1.memory_bytes());
         }
     }
     let until = now() + WRITE_TIMEOUT;
-    node.unwritten.set(node.unwritten.get() + 1);
+    node.unwritten_answers.set(node.unwritten_answers.get() + 1);
     node.unwritten_bytes.set(node.unwritten_bytes.get() + answer.memory_bytes());
     let answer = AnswerBeingWritten(node, answer);
     answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await
@@ -470,11 +470,11 @@
 }
 
 /// Serves a client's connection until it is to be closed.
-async fn run_connection(front: &Rc<SignedFront>, guest: &Guest, stream: &Async<TcpStream>) {
+async fn run_connection(front: &Rc<SignedFront>, client: &ClientConnection, stream: &Async<TcpStream>) {
     let (mut buf, mut refused) = (Vec::new(), 0);
     loop {
         let (head, length) = loop {
-            guest.receiving(!buf.is_empty());
+            client.set_receiving(!buf.is_empty());
             match wire::parse_http_head(&buf) {
                 Ok(Some(found)) => break found,
                 Ok(None) => {
@@ -495,8 +495,8 @@
                 return;
             }
         }
-        guest.receiving(false);
-        guest.busy(true);
+        client.set_receiving(false);
+        client.set_busy(true);
         let body: Vec<u8> = buf.drain(..request.body_bytes).collect();
         let close_after = request.close_connection;
         let Some(answer) = answer_request(front, stream, &mut buf, request, body).await else { return };
@@ -504,8 +504,8 @@
         if !send_answer(&front.node, stream, answer).await || close_after || refused > MAX_REFUSED_REQUESTS {
             return;
         }
-        guest.answered();
-        guest.busy(false);
+        client.set_answered();
+        client.set_busy(false);
     }
 }
 
@@ -543,7 +543,7 @@
     body: Vec<u8>,
 ) -> Option<OutgoingAnswer> {
     let node = &front.node;
-    if node.closing() {
+    if node.refuses_new_requests() {
         return Some(response(503, &[("Retry-After", "1")], 0).into());
     }
     let token = match front.verifier.verify((front.clock)(), &request.path, request.token.as_deref()) {
@@ -591,7 +591,7 @@
         *reply_slot.borrow_mut() = Some(final_answer);
         reply_signal.notify();
     });
-    let request_id = node.plan(|p, now| p.accept_request(now, node.held(), client_request, reply));
+    let request_id = node.plan(|p, now| p.accept_request(now, node.held_bytes(), client_request, reply));
     let cancel_guard = CancelOnDrop { node: node.clone(), request_id: Cell::new(request_id) };
     let client_leaves = async {
         // Pipelined requests are buffered for later, up to a limit.
