--- a/node/src/operators/budgets.rs
+++ b/node/src/operators/budgets.rs
@@ -1,6 +1,6 @@
-//! The part `[budgets]`: budgets that all proxies share, and how they are divided. The shared key is never taken from the
-//! operators' file itself.
-use super::{Own, Part, Wrong};
+//! The part `[budgets]`: budgets that all proxies share, and how they are divided. The shared key is never in
+//! the operators' file itself.
+use super::{FileError, Part, ReadContext};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,24 +10,29 @@
 
 pub const KEYS: &[&str] =
     &["secret_file", "lease_ms", "probes_per_cache_s", "cold_per_s", "probes_scope", "cold_scope", "proxy"];
-const PROXY: &[&str] = &["name", "address", "voter", "region", "site"];
+const PROXY_KEYS: &[&str] = &["name", "address", "voter", "region", "site"];
 
-/// Keys of the budget totals and of their scopes, in the order of the budgets.
-const WHOLES: [&str; 2] = ["probes_per_cache_s", "cold_per_s"];
-const SCOPES: [&str; 2] = ["probes_scope", "cold_scope"];
+/// Keys of the budgets' totals, in the order of the budgets.
+const TOTAL_KEYS: [&str; 2] = ["probes_per_cache_s", "cold_per_s"];
+/// Keys of the budgets' scopes, in the order of the budgets.
+const SCOPE_KEYS: [&str; 2] = ["probes_scope", "cold_scope"];
 
-/// Units of the budget of probes in a probe a second: its shares are whole numbers that 300 proxies can still divide.
+/// Units of the budget of probes per probe a second: shares are whole numbers of units, so that 300 proxies
+/// can still divide the budget.
 pub const PROBE_UNITS: Micros = 1000;
-/// Units of the budget of cold members in a request a second.
+/// Units of the budget of cold members per request a second.
 pub const COLD_UNITS: u32 = 10;
 
-/// What it says of budgets that all proxies share.
+/// The settings of the budgets that all proxies share.
 #[derive(Clone)]
 pub struct BudgetSettings {
-    /// The own address, and all proxies' in the order of the file.
+    /// The address of this proxy.
     pub listen: SocketAddr,
+    /// The addresses of all proxies, in the order of the file.
     pub proxies: Vec<SocketAddr>,
+    /// The names of all proxies, in the order of the file.
     pub names: Vec<String>,
+    /// The key that all proxies share.
     pub key: [u8; 32],
     pub division: Division,
 }
@@ -35,13 +40,13 @@
 /// Who divides the budgets.
 #[derive(Clone)]
 pub enum Division {
-    /// One proxy for all: the file names no regions and sites.
+    /// One proxy for the whole fleet: the file names no regions and sites.
     Plain(threadward_budgets::Settings),
     /// The leaders of sites, regions and the fleet.
     Tree(TreeSettings),
 }
 
-/// What the control tree is told, and the names of where this proxy stands.
+/// The settings of the control tree, and the names of this proxy's site and region.
 #[derive(Clone)]
 pub struct TreeSettings {
     pub settings: threadward_control::Settings,
@@ -49,7 +54,7 @@
     pub region: String,
 }
 
-/// One proxy as the file names it.
+/// A proxy as listed in the file.
 struct Entry<'a> {
     part: Part<'a>,
     name: &'a str,
@@ -58,10 +63,11 @@
     location: Option<Location<'a>>,
 }
 
-pub fn read(part: &Part, own: &Own) -> Result<BudgetSettings, Wrong> {
+/// Reads the part.
+pub fn read(part: &Part, context: &ReadContext) -> Result<BudgetSettings, FileError> {
     let entries = entries(part)?;
-    let division = division(part, own, &entries)?;
-    let key = part.secret_key("secret_file", own.folder)?;
+    let division = division(part, context, &entries)?;
+    let key = part.secret_key("secret_file", context.folder)?;
     let proxies: Vec<SocketAddr> = entries.iter().map(|entry| entry.address).collect();
     let listen = proxies[usize::from(division.own_index())];
     let names = entries.iter().map(|entry| entry.name.to_owned()).collect();
@@ -69,7 +75,7 @@
 }
 
 impl Division {
-    /// The own place among the proxies of the file.
+    /// Returns the index of this proxy among the proxies of the file.
     pub fn own_index(&self) -> u16 {
         match self {
             Division::Plain(settings) => settings.index,
@@ -77,7 +83,7 @@
         }
     }
 
-    /// The whole of each budget, in units.
+    /// Returns the total of each budget in units.
     pub fn budget_totals(&self) -> Vec<u32> {
         match self {
             Division::Plain(settings) => settings.totals.clone(),
@@ -86,90 +92,98 @@
     }
 }
 
-/// The proxies in the order of the file, no name twice.
-fn entries<'a>(part: &Part<'a>) -> Result<Vec<Entry<'a>>, Wrong> {
+/// Reads the proxies in the order of the file. No name may be used twice.
+fn entries<'a>(part: &Part<'a>) -> Result<Vec<Entry<'a>>, FileError> {
     let mut names = BTreeSet::new();
     let mut entries = Vec::new();
-    for proxy in part.tables("proxy", PROXY)? {
+    for proxy in part.tables("proxy", PROXY_KEYS)? {
         let entry = entry(proxy)?;
         if !names.insert(entry.name) {
-            return Err(entry.part.wrong(format!("proxy '{}' stands twice", entry.name)));
+            return Err(entry.part.head_error(format!("proxy '{}' stands twice", entry.name)));
         }
         entries.push(entry);
     }
     match entries.is_empty() {
-        true => Err(part.wrong("no proxy")),
+        true => Err(part.head_error("no proxy")),
         false => Ok(entries),
     }
 }
 
-fn entry(part: Part<'_>) -> Result<Entry<'_>, Wrong> {
+/// Reads a proxy.
+fn entry(part: Part<'_>) -> Result<Entry<'_>, FileError> {
     let named = part.text("name")?.filter(|name| !name.is_empty());
-    let name = named.ok_or_else(|| part.wrong("a proxy without 'name'"))?;
-    let whose = format!("proxy '{name}'");
-    let address = part.address("address").map_err(|wrong| wrong.of(&whose))?;
-    let location = location(&part).map_err(|wrong| wrong.of(&whose))?;
+    let name = named.ok_or_else(|| part.head_error("a proxy without 'name'"))?;
+    let prefix = format!("proxy '{name}'");
+    let address = part.address("address").map_err(|e| e.about(&prefix))?;
+    let location = location(&part).map_err(|e| e.about(&prefix))?;
     let voter = part.flag("voter")?;
     if location.is_some() && part.has("voter") {
         let what =
             "'voter' has no place beside 'region': the voters of each level follow from the file's order";
-        return Err(part.wrong_at("voter", what).of(&whose));
+        return Err(part.key_error("voter", what).about(&prefix));
     }
     Ok(Entry { part, name, address, voter, location })
 }
 
-/// Where a proxy stands, if it says so.
-fn location<'a>(part: &Part<'a>) -> Result<Option<Location<'a>>, Wrong> {
+/// Reads the region and site of a proxy, if it names them.
+fn location<'a>(part: &Part<'a>) -> Result<Option<Location<'a>>, FileError> {
     let named = |key: &str| match part.text(key)? {
-        Some("") => Err(part.wrong_at(key, format!("'{key}' is empty"))),
+        Some("") => Err(part.key_error(key, format!("'{key}' is empty"))),
         text => Ok(text),
     };
     match (named("region")?, named("site")?) {
         (None, None) => Ok(None),
         (Some(region), Some(site)) => Ok(Some(Location { region, site })),
-        (Some(_), None) => Err(part.wrong_at("region", "'region' without 'site'")),
-        (None, Some(_)) => Err(part.wrong_at("site", "'site' without 'region'")),
+        (Some(_), None) => Err(part.key_error("region", "'region' without 'site'")),
+        (None, Some(_)) => Err(part.key_error("site", "'site' without 'region'")),
     }
 }
 
-/// Where all proxies stand; nothing if none says so.
-fn locations<'a>(entries: &[Entry<'a>]) -> Result<Option<Vec<Location<'a>>>, Wrong> {
+/// Returns the regions and sites of all proxies, or `None` if no proxy names any.
+fn locations<'a>(entries: &[Entry<'a>]) -> Result<Option<Vec<Location<'a>>>, FileError> {
     if entries.iter().all(|entry| entry.location.is_none()) {
         return Ok(None);
     }
     let located = |entry: &Entry<'a>| {
         let what =
             format!("proxy '{}' names no region and site, others do: all name both, or none", entry.name);
-        entry.location.ok_or_else(|| entry.part.wrong(what))
+        entry.location.ok_or_else(|| entry.part.head_error(what))
     };
     entries.iter().map(located).collect::<Result<Vec<_>, _>>().map(Some)
 }
 
-fn division(part: &Part, own: &Own, entries: &[Entry]) -> Result<Division, Wrong> {
+/// Reads how the budgets are divided.
+fn division(part: &Part, context: &ReadContext, entries: &[Entry]) -> Result<Division, FileError> {
     let locations = locations(entries)?;
     if locations.is_none() && entries.len() > MAX_PROXIES {
         let count = entries.len();
-        return Err(part.wrong(format!(
+        return Err(part.head_error(format!(
             "the file names {count} proxies, more than the {MAX_PROXIES} that this version takes without regions and \
              sites: name 'region' and 'site' for each proxy"
         )));
     }
-    let place = entries.iter().position(|entry| entry.name == own.name);
-    let place = place.ok_or_else(|| part.wrong(format!("no proxy has this one's name, '{}'", own.name)))?;
+    let own_position = entries.iter().position(|entry| entry.name == context.name);
+    let own_position = own_position
+        .ok_or_else(|| part.head_error(format!("no proxy has this one's name, '{}'", context.name)))?;
     match locations {
-        None => plain(part, place, entries).map(Division::Plain),
-        Some(locations) => tree(part, place, entries, &locations).map(Division::Tree),
+        None => plain(part, own_position, entries).map(Division::Plain),
+        Some(locations) => tree(part, own_position, entries, &locations).map(Division::Tree),
     }
 }
 
-fn plain(part: &Part, place: usize, entries: &[Entry]) -> Result<threadward_budgets::Settings, Wrong> {
-    if let Some(key) = SCOPES.iter().find(|key| part.has(key)) {
-        return Err(part.wrong_at(key, format!("'{key}' needs 'region' and 'site' of each proxy")));
+/// Reads the settings of a division by one proxy.
+fn plain(
+    part: &Part,
+    own_position: usize,
+    entries: &[Entry],
+) -> Result<threadward_budgets::Settings, FileError> {
+    if let Some(key) = SCOPE_KEYS.iter().find(|key| part.has(key)) {
+        return Err(part.key_error(key, format!("'{key}' needs 'region' and 'site' of each proxy")));
     }
-    // At most MAX_PROXIES, which fits.
-    let voters = (0u16..).zip(entries).filter(|(_, entry)| entry.voter).map(|(place, _)| place).collect();
+    // There are at most MAX_PROXIES, so an index fits.
+    let voters = (0u16..).zip(entries).filter(|(_, entry)| entry.voter).map(|(number, _)| number).collect();
     let settings = threadward_budgets::Settings {
-        index: place as u16,
+        index: own_position as u16,
         proxies: entries.len() as u16,
         voters,
         totals: budget_totals(part)?,
@@ -177,18 +191,24 @@
     };
     threadward_budgets::check(&settings).map_err(|e| {
         let key = if e.starts_with("'lease_ms'") { "lease_ms" } else { "" };
-        part.wrong_at(key, e)
+        part.key_error(key, e)
     })?;
     Ok(settings)
 }
 
-fn tree(part: &Part, place: usize, entries: &[Entry], locations: &[Location]) -> Result<TreeSettings, Wrong> {
+/// Reads the settings of a division by the control tree.
+fn tree(
+    part: &Part,
+    own_position: usize,
+    entries: &[Entry],
+    locations: &[Location],
+) -> Result<TreeSettings, FileError> {
     let topology = Topology::new(locations).map_err(|error| topology_error(part, entries, &error))?;
     let scopes = [scope(part, 0)?, scope(part, 1)?];
     let budgets = budget_totals(part)?.into_iter().zip(scopes);
     let settings = threadward_control::Settings {
-        // The topology takes no more proxies than fit.
-        proxy_index: place as u16,
+        // The topology takes no more proxies than an index can number.
+        proxy_index: own_position as u16,
         topology: Arc::new(topology),
         budgets: budgets.map(|(whole, scope)| SharedBudget { total_units: whole, scope }).collect(),
         lease: lease(part)?,
@@ -196,17 +216,19 @@
     settings.check().map_err(|error| {
         let key = match &error {
             SettingsError::Lease(_) => "lease_ms",
-            SettingsError::TotalOutOfRange { budget, .. } => WHOLES.get(*budget).copied().unwrap_or_default(),
+            SettingsError::TotalOutOfRange { budget, .. } => {
+                TOTAL_KEYS.get(*budget).copied().unwrap_or_default()
+            }
             _ => "",
         };
-        part.wrong_at(key, error.to_string())
+        part.key_error(key, error.to_string())
     })?;
-    let own = locations[place];
-    Ok(TreeSettings { settings, site: own.site.to_owned(), region: own.region.to_owned() })
+    let own_location = locations[own_position];
+    Ok(TreeSettings { settings, site: own_location.site.to_owned(), region: own_location.region.to_owned() })
 }
 
-/// At the proxy that it is about, where it is about one.
-fn topology_error(part: &Part, entries: &[Entry], error: &TopologyError) -> Wrong {
+/// Returns an error of the topology, at the proxy that it is about if there is one.
+fn topology_error(part: &Part, entries: &[Entry], error: &TopologyError) -> FileError {
     let at = match error {
         TopologyError::SiteInTwoRegions { site, second, .. } => {
             let second = Some(Location { region: second, site });
@@ -214,23 +236,23 @@
         }
         _ => None,
     };
-    at.unwrap_or(part).wrong(error.to_string())
+    at.unwrap_or(part).head_error(error.to_string())
 }
 
-/// Who shares a budget.
-fn scope(part: &Part, budget: usize) -> Result<Scope, Wrong> {
-    let (key, whole) = (SCOPES[budget], WHOLES[budget]);
+/// Reads the scope of a budget: which proxies share it.
+fn scope(part: &Part, budget: usize) -> Result<Scope, FileError> {
+    let (key, whole) = (SCOPE_KEYS[budget], TOTAL_KEYS[budget]);
     match part.text(key)? {
-        Some(_) if !part.has(whole) => Err(part.wrong_at(key, format!("'{key}' without '{whole}'"))),
+        Some(_) if !part.has(whole) => Err(part.key_error(key, format!("'{key}' without '{whole}'"))),
         None | Some("fleet") => Ok(Scope::Fleet),
         Some("region") => Ok(Scope::Region),
-        Some(_) => Err(part.wrong_at(key, format!("'{key}' is neither \"fleet\" nor \"region\""))),
+        Some(_) => Err(part.key_error(key, format!("'{key}' is neither \"fleet\" nor \"region\""))),
     }
 }
 
-/// The whole of each budget that the file gives, in units.
-fn budget_totals(part: &Part) -> Result<Vec<u32>, Wrong> {
-    let [probes, cold] = WHOLES;
+/// Reads the total of each budget in the file, in units.
+fn budget_totals(part: &Part) -> Result<Vec<u32>, FileError> {
+    let [probes, cold] = TOTAL_KEYS;
     let mut budget_totals = vec![(positive(part, probes)? * PROBE_UNITS as f64) as u32];
     if part.has(cold) {
         budget_totals.push((positive(part, cold)? * f64::from(COLD_UNITS)) as u32);
@@ -238,11 +260,13 @@
     Ok(budget_totals)
 }
 
-fn lease(part: &Part) -> Result<Micros, Wrong> {
+/// Reads the length of a lease.
+fn lease(part: &Part) -> Result<Micros, FileError> {
     Ok((positive(part, "lease_ms")? * 1000.0) as Micros)
 }
 
-fn positive(part: &Part, key: &str) -> Result<f64, Wrong> {
+/// Reads a number over 0 and under a million.
+fn positive(part: &Part, key: &str) -> Result<f64, FileError> {
     let number = part.number(key)?.filter(|number| *number > 0.0 && *number < 1e6);
-    number.ok_or_else(|| part.wrong_at(key, format!("'{key}' is missing or no number over 0")))
+    number.ok_or_else(|| part.key_error(key, format!("'{key}' is missing or no number over 0")))
 }
--- a/node/src/operators/signed.rs
+++ b/node/src/operators/signed.rs
@@ -1,6 +1,6 @@
-//! The part `[signed]`: the front for signed links. It owns what that is told. It must never take a key from the
-//! operators' file itself, nor one for another algorithm than HS256.
-use super::{Own, Part, Wrong};
+//! The part `[signed]`: the front end for signed links. A key is never in the operators' file itself, and
+//! only keys for HS256 are accepted.
+use super::{FileError, Part, ReadContext};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use std::collections::HashMap;
@@ -8,70 +8,73 @@
 use threadward_core::Micros;
 
 pub const KEYS: &[&str] = &["base", "skew_ms", "register", "audience", "front", "key"];
-const FRONT: &[&str] = &["name", "listen", "url"];
-const KEY: &[&str] = &["kid", "alg", "secret_file"];
+const FRONT_KEYS: &[&str] = &["name", "listen", "url"];
+const KEY_KEYS: &[&str] = &["kid", "alg", "secret_file"];
 
-/// What the file says of the front for signed links.
+/// The settings of the front end for signed links.
 #[derive(Clone)]
 pub struct SignedLinks {
     pub name: String,
     pub listen: SocketAddr,
     /// Scheme and authority of the links as their signer wrote them.
     pub base: String,
+    /// By how much the clocks of signer and proxy may differ.
     pub skew: Micros,
+    /// Number of used links that are remembered.
     pub register: usize,
-    /// Keys by `kid`; each is for HS256 alone.
+    /// Keys by `kid`, all for HS256.
     pub keys: HashMap<String, Vec<u8>>,
-    /// The tier's fronts: name, and the address that clients are sent to.
+    /// The fronts of the tier: the name, and the URL that clients are redirected to.
     pub fronts: Vec<(String, String)>,
     pub audience: Option<String>,
 }
 
-pub fn read(part: &Part, own: &Own) -> Result<SignedLinks, Wrong> {
-    let number = |key: &str, least: i64, most: i64| {
-        let n = part.whole(key)?.filter(|n| (least..=most).contains(n));
-        n.ok_or_else(|| part.wrong_at(key, format!("'{key}' is missing or not from {least} to {most}")))
+/// Reads the part.
+pub fn read(part: &Part, context: &ReadContext) -> Result<SignedLinks, FileError> {
+    let number = |key: &str, lowest: i64, highest: i64| {
+        let n = part.integer(key)?.filter(|n| (lowest..=highest).contains(n));
+        n.ok_or_else(|| part.key_error(key, format!("'{key}' is missing or not from {lowest} to {highest}")))
     };
     let mut keys = HashMap::new();
-    for k in part.tables("key", KEY)? {
-        let kid = k.word("kid")?;
-        if k.word("alg")? != "HS256" {
-            return Err(k.wrong_at("alg", format!("key '{kid}': only HS256 is known")));
+    for k in part.tables("key", KEY_KEYS)? {
+        let kid = k.required_text("kid")?;
+        if k.required_text("alg")? != "HS256" {
+            return Err(k.key_error("alg", format!("key '{kid}': only HS256 is known")));
         }
-        let text = k.secret("secret_file", own.folder)?;
-        let wrong = |what: &str| k.wrong_at("secret_file", format!("key '{kid}': {what}"));
-        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| wrong("not base64url"))?;
+        let text = k.secret("secret_file", context.folder)?;
+        let error = |what: &str| k.key_error("secret_file", format!("key '{kid}': {what}"));
+        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| error("not base64url"))?;
         // RFC 7518, section 3.2: a key at least as long as the hash.
         if bytes.len() < 32 {
-            return Err(wrong("shorter than 32 bytes"));
+            return Err(error("shorter than 32 bytes"));
         }
         if keys.insert(kid.to_owned(), bytes).is_some() {
-            return Err(k.wrong(format!("key '{kid}' stands twice")));
+            return Err(k.head_error(format!("key '{kid}' stands twice")));
         }
     }
     if keys.is_empty() {
-        return Err(part.wrong("no key"));
+        return Err(part.head_error("no key"));
     }
     let mut fronts: Vec<(String, String)> = Vec::new();
     let mut listen = None;
-    for f in part.tables("front", FRONT)? {
-        let (name, url) = (f.word("name")?, f.word("url")?);
+    for f in part.tables("front", FRONT_KEYS)? {
+        let (name, url) = (f.required_text("name")?, f.required_text("url")?);
         if fronts.iter().any(|(n, _)| *n == name) {
-            return Err(f.wrong(format!("front '{name}' stands twice")));
+            return Err(f.head_error(format!("front '{name}' stands twice")));
         }
-        // Another's address may be a name: it is for that proxy to read.
-        if name == own.name {
+        // The address of another front may be a host name: only that proxy reads it.
+        if name == context.name {
             listen = Some(f.address("listen")?);
         } else {
             f.text("listen")?;
         }
         fronts.push((name.to_owned(), url.trim_end_matches('/').to_owned()));
     }
-    let name = own.name;
+    let name = context.name;
     Ok(SignedLinks {
         name: name.to_owned(),
-        listen: listen.ok_or_else(|| part.wrong(format!("no front has this proxy's name, '{name}'")))?,
-        base: part.word("base")?.trim_end_matches('/').to_owned(),
+        listen: listen.ok_or_else(|| part.head_error(format!("no front has this proxy's name, '{name}'")))?,
+        base: part.required_text("base")?.trim_end_matches('/').to_owned(),
         skew: number("skew_ms", 0, 60_000)? as Micros * 1000,
         register: number("register", 1, 1_000_000)? as usize,
         keys,
--- a/node/src/operators/snmp.rs
+++ b/node/src/operators/snmp.rs
@@ -1,21 +1,21 @@
-//! The part `[snmp]`: the management agent. It owns what that is told. It must never take a community from the
-//! operators' file itself.
-use super::{Own, Part, Wrong};
+//! The part `[snmp]`: the SNMP agent. The community is never in the operators' file itself.
+use super::{FileError, Part, ReadContext};
 use std::net::SocketAddr;
 
 pub const KEYS: &[&str] = &["listen", "community_file"];
 
-/// What it says of the agent.
+/// The settings of the SNMP agent.
 #[derive(Clone)]
 pub struct SnmpAgent {
     pub listen: SocketAddr,
     pub community: String,
 }
 
-pub fn read(part: &Part, own: &Own) -> Result<SnmpAgent, Wrong> {
-    let community = part.secret("community_file", own.folder)?;
+/// Reads the part.
+pub fn read(part: &Part, context: &ReadContext) -> Result<SnmpAgent, FileError> {
+    let community = part.secret("community_file", context.folder)?;
     if community.is_empty() {
-        return Err(part.wrong_at("community_file", "an empty community"));
+        return Err(part.key_error("community_file", "an empty community"));
     }
     Ok(SnmpAgent { listen: part.address("listen")?, community })
 }
