--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Caller {
     line_complete: Cell<bool>,
-    gone: Cell<bool>,
+    slot_freed: Cell<bool>,
     evict: Signal,
 }
 
@@ -64,7 +64,7 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.0.gone.set(true);
+        self.0.slot_freed.set(true);
     }
 }
 
@@ -84,7 +84,7 @@
             }
         };
         let mut all = callers.borrow_mut();
-        all.retain(|w| !w.gone.get());
+        all.retain(|w| !w.slot_freed.get());
         if all.len() >= MAX_CALLERS {
             // A caller with a complete line is answered within moments, so one without is disconnected.
             match all.iter().position(|w| !w.line_complete.get()).and_then(|at| all.remove(at)) {
@@ -147,7 +147,7 @@
         }
     };
     // The caller's slot is free from here on.
-    own.gone.set(true);
+    own.slot_freed.set(true);
     let until = now() + LINGER_TIMEOUT;
     if OutgoingAnswer::from(text.into_bytes()).write(stream).await {
         stream.get_ref().shutdown(Shutdown::Write).ok();
--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -223,7 +223,6 @@
     }
 
     /// Limits the requests to members that started recently to this proxy's share, and asks for as much as it
-
     /// would send them.
     fn limit_cold_requests(&self) {
         let share = self.share(COLD_BUDGET);
--- a/node/src/ledger.rs
+++ b/node/src/ledger.rs
@@ -134,7 +134,7 @@
     folder: PathBuf,
     name: String,
     /// This process's status file, which it keeps locked; `None` while it can't be created.
-    own: RefCell<Option<File>>,
+    status_file: RefCell<Option<File>>,
     rank: Rank,
     /// The other processes that were live when the folder could last be read.
     last_live: RefCell<Vec<ProcessStatus>>,
@@ -142,7 +142,8 @@
 
 impl SharedFiles {
     /// Opens the folder and creates this process's status file in it. If nothing can be written for now, the
-    /// files there can still be read, and each [`SharedFiles::publish`] tries to create the status file again.
+    /// files there can still be read, and each [`SharedFiles::publish`] tries to create the status file
+    /// again.
     ///
     /// # Errors
     /// If there is no such folder.
@@ -153,8 +154,8 @@
             return Err(format!("{}: no such folder", folder.display()));
         }
         remove_unnamed(folder, &format!("{name}.new-"));
-        let (own, last_live) = (RefCell::default(), RefCell::default());
-        let ledger = SharedFiles { folder: folder.to_owned(), name, own, rank, last_live };
+        let (status_file, last_live) = (RefCell::default(), RefCell::default());
+        let ledger = SharedFiles { folder: folder.to_owned(), name, status_file, rank, last_live };
         // Tried again by `publish`.
         if let Err(why) = ledger.create_status_file() {
             crate::net::log(&format!("shift: other processes cannot see this one yet: {why}"));
@@ -167,11 +168,11 @@
         let temporary = self.path("new", self.rank);
         let with_path = |e: std::io::Error| format!("{}: {e}", temporary.display());
         let open = OpenOptions::new().write(true).create(true).truncate(true).open(&temporary);
-        let own = open.map_err(with_path)?;
+        let status_file = open.map_err(with_path)?;
         // Locked before it gets its name: a status file found unlocked belongs to a process that has ended.
-        own.try_lock().map_err(|e| format!("{}: {e}", temporary.display()))?;
+        status_file.try_lock().map_err(|e| format!("{}: {e}", temporary.display()))?;
         std::fs::rename(&temporary, self.path("run", self.rank)).map_err(with_path)?;
-        self.own.replace(Some(own));
+        self.status_file.replace(Some(status_file));
         Ok(())
     }
 
@@ -197,11 +198,11 @@
         };
         // Always of the same length, so that nothing of an earlier text remains.
         let text = format!("{word:<8} {bans:>20}\n");
-        if self.own.borrow().is_none() {
+        if self.status_file.borrow().is_none() {
             self.create_status_file()?;
         }
-        let own = self.own.borrow();
-        let written = own.as_ref().map_or(Ok(()), |file| file.write_all_at(text.as_bytes(), 0));
+        let status_file = self.status_file.borrow();
+        let written = status_file.as_ref().map_or(Ok(()), |file| file.write_all_at(text.as_bytes(), 0));
         written.map_err(|e| format!("{}: {e}", self.path("run", self.rank).display()))
     }
 
@@ -218,13 +219,13 @@
     /// Reads the status files of the other processes. A file that isn't locked belongs to a process that has
     /// ended: its files are removed.
     fn read_status_files(&self) -> std::io::Result<Vec<ProcessStatus>> {
-        let (prefix, own) = (format!("{}.run-", self.name), self.path("run", self.rank));
+        let (prefix, own_path) = (format!("{}.run-", self.name), self.path("run", self.rank));
         let names = std::fs::read_dir(&self.folder)?.take(MAX_FOLDER_ENTRIES);
         let names = names.filter_map(|e| e.ok()?.file_name().into_string().ok());
         let mut found = Vec::new();
         for file in names.filter(|n| n.starts_with(&prefix)) {
             let path = self.folder.join(&file);
-            if path == own {
+            if path == own_path {
                 continue;
             }
             let mut f = match File::open(&path) {
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -47,26 +47,28 @@
         (register_signal(SIGTERM)?, register_signal(SIGUSR1)?, register_signal(SIGHUP)?);
     let path = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set".to_owned())?;
     let config = read(&path)?;
-    let fronts = match &file {
+    let operator_config = match &file {
         Some(file) => operators::read(file, &config.name)?,
         None => operators::OperatorConfig::default(),
     };
-    let door = config.admin_addr.map_or_else(admin_addr_from_env, |at| Ok(Some(at)))?;
+    let admin_addr = config.admin_addr.map_or_else(admin_addr_from_env, |at| Ok(Some(at)))?;
     // With an admin socket a second process may start beside this one, at the same addresses.
-    let reserved =
-        net::bind_address(config.listen, door.is_some()).map_err(|e| format!("{}: {e}", config.listen))?;
-    let door = match door {
+    let bound_addr = net::bind_address(config.listen, admin_addr.is_some())
+        .map_err(|e| format!("{}: {e}", config.listen))?;
+    let admin_listener = match admin_addr {
         Some(at) => Some(Async::<TcpListener>::bind(at).map_err(|e| format!("door: {at}: {e}"))?),
         None => None,
     };
     // Where gossip is on it uses this address instead.
-    let udp = match config.peer_listen.filter(|_| fronts.gossip.is_none()) {
-        Some(at) => Some(net::bind_datagram_socket(at, door.is_some()).map_err(|e| format!("{at}: {e}"))?),
+    let peer_socket = match config.peer_listen.filter(|_| operator_config.gossip.is_none()) {
+        Some(at) => {
+            Some(net::bind_datagram_socket(at, admin_addr.is_some()).map_err(|e| format!("{at}: {e}"))?)
+        }
         None => None,
     };
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let node = Node::new(config, executor);
-    if fronts.zones.is_some() {
+    if operator_config.zones.is_some() {
         // Before the first member list, so that every member is assigned to its zone.
         node.plan(|p, _| p.enable_zones(node.config.names.zones.len()));
     }
@@ -77,19 +79,19 @@
     let n = node.clone();
     node.spawn_restarting("bulletin", move || bulletin::follow(n.clone()));
     let mut shift = None;
-    if let Some(door) = door {
-        let at = door.get_ref().local_addr().map_err(|e| e.to_string())?;
+    if let Some(admin_listener) = admin_listener {
+        let at = admin_listener.get_ref().local_addr().map_err(|e| e.to_string())?;
         net::log(&format!("start: door on {at}"));
         let s = ProcessGroup::new(node.clone(), std::env::var_os("TMPDIR").as_deref().map(Path::new));
-        let (n, t, door) = (node.clone(), s.clone(), Rc::new(door));
-        node.spawn_restarting("door", move || admin::serve(n.clone(), t.clone(), door.clone()));
+        let (n, t, admin_listener) = (node.clone(), s.clone(), Rc::new(admin_listener));
+        node.spawn_restarting("door", move || admin::serve(n.clone(), t.clone(), admin_listener.clone()));
         let t = s.clone();
         node.spawn_restarting("shift", move || t.clone().watch_files());
         shift = Some(s);
     }
     match shift.clone().filter(|s| !s.may_listen()) {
         None => {
-            let at = reserved.listen().map_err(|e| format!("{}: {e}", node.config.listen))?;
+            let at = bound_addr.listen().map_err(|e| format!("{}: {e}", node.config.listen))?;
             listen(&node, at, shift.as_ref());
         }
         // Another process serves here: it goes on alone until this one could take over.
@@ -106,18 +108,20 @@
                 if n.stopping.get().is_some() {
                     return;
                 }
-                match received.map_or_else(|| reserved.listen(), Ok) {
+                match received.map_or_else(|| bound_addr.listen(), Ok) {
                     Ok(at) => listen(&n, at, Some(&s)),
                     Err(e) => net::log(&format!("front: {e}")),
                 }
             });
         }
     }
-    if let Some(udp) = udp {
-        let (n, udp) = (node.clone(), Rc::new(udp));
-        node.spawn_restarting("peers", move || bulletin::receive_peer_messages(n.clone(), udp.clone()));
+    if let Some(peer_socket) = peer_socket {
+        let (n, peer_socket) = (node.clone(), Rc::new(peer_socket));
+        node.spawn_restarting("peers", move || {
+            bulletin::receive_peer_messages(n.clone(), peer_socket.clone())
+        });
     }
-    if let Some(s) = fronts.signed {
+    if let Some(s) = operator_config.signed {
         let at = s.listen;
         let listener = Async::<TcpListener>::bind(at).map_err(|e| format!("{at}: {e}"))?;
         net::log(&format!("start: signed links on {at}"));
@@ -125,13 +129,13 @@
         let listener = Rc::new(listener);
         node.spawn_restarting("signed front", move || signed::serve(front.clone(), listener.clone()));
     }
-    if let Some(s) = fronts.snmp {
+    if let Some(s) = operator_config.snmp {
         let socket = Async::<UdpSocket>::bind(s.listen).map_err(|e| format!("{}: {e}", s.listen))?;
         net::log(&format!("start: agent on {}", s.listen));
         let (n, socket) = (node.clone(), Rc::new(socket));
         node.spawn_restarting("agent", move || snmp::serve(n.clone(), socket.clone(), s.community.clone()));
     }
-    let gossip_client = match fronts.gossip {
+    let gossip_client = match operator_config.gossip {
         Some(s) => Some(gossip::GossipClient::new(node.clone(), s)?),
         None => None,
     };
@@ -142,7 +146,7 @@
         let t = gossip_client.clone();
         node.spawn_restarting("gossip", move || gossip::run_timers(t.clone()));
     }
-    let client = fronts.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
+    let client = operator_config.budgets.map(|d| budgets::BudgetClient::new(node.clone(), d)).transpose()?;
     if let Some(client) = &client {
         net::log("start: budgets shared by all proxies are on");
         let socket = client.socket();
@@ -151,7 +155,7 @@
         node.spawn_restarting("budgets", move || budgets::run_timers(c.clone()));
     }
     let mut zone_client = None;
-    if let Some((z, client)) = fronts.zones.zip(client.as_ref()) {
+    if let Some((z, client)) = operator_config.zones.zip(client.as_ref()) {
         let f = zones::ZoneClient::new(node.clone(), client.clone(), z)?;
         net::log("start: zones are left and taken back by all proxies together");
         zone_client = Some(f.clone());
@@ -230,9 +234,9 @@
         };
         print_line(&text.to_string())?;
     }
-    let fronts = read?;
+    let operator_config = read?;
     if !json {
-        let on = fronts.enabled_parts().join(", ");
+        let on = operator_config.enabled_parts().join(", ");
         let on = if on.is_empty() { "nothing" } else { &on };
         print_line(&format!("{}: right for {name}, turns on: {on}", file.display()))?;
     }
--- a/node/src/operators/budgets.rs
+++ b/node/src/operators/budgets.rs
@@ -210,7 +210,7 @@
         // The topology takes no more proxies than an index can number.
         proxy_index: own_position as u16,
         topology: Arc::new(topology),
-        budgets: budgets.map(|(whole, scope)| SharedBudget { total_units: whole, scope }).collect(),
+        budgets: budgets.map(|(total, scope)| SharedBudget { total_units: total, scope }).collect(),
         lease: lease(part)?,
     };
     settings.check().map_err(|error| {
@@ -241,9 +241,9 @@
 
 /// Reads the scope of a budget: which proxies share it.
 fn scope(part: &Part, budget: usize) -> Result<Scope, FileError> {
-    let (key, whole) = (SCOPE_KEYS[budget], TOTAL_KEYS[budget]);
+    let (key, total) = (SCOPE_KEYS[budget], TOTAL_KEYS[budget]);
     match part.text(key)? {
-        Some(_) if !part.has(whole) => Err(part.key_error(key, format!("'{key}' without '{whole}'"))),
+        Some(_) if !part.has(total) => Err(part.key_error(key, format!("'{key}' without '{total}'"))),
         None | Some("fleet") => Ok(Scope::Fleet),
         Some("region") => Ok(Scope::Region),
         Some(_) => Err(part.key_error(key, format!("'{key}' is neither \"fleet\" nor \"region\""))),
--- a/node/src/operators/mod.rs
+++ b/node/src/operators/mod.rs
@@ -105,11 +105,11 @@
     if let Some(first) = errors.iter().min_by_key(|e| offset(e)) {
         return Err(FileError::at(offset(first), format!("not TOML: {}", first.message())));
     }
-    let mut fronts = OperatorConfig::read(&Part::new(table.get_ref(), 0, PARTS)?, context)?;
-    if let Some(z) = &mut fronts.zones {
-        zones::resolve(z, fronts.gossip.as_ref(), fronts.budgets.as_ref())?;
+    let mut config = OperatorConfig::read(&Part::new(table.get_ref(), 0, PARTS)?, context)?;
+    if let Some(z) = &mut config.zones {
+        zones::resolve(z, config.gossip.as_ref(), config.budgets.as_ref())?;
     }
-    Ok(fronts)
+    Ok(config)
 }
 
 /// Reads a file of at most so many bytes.
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -54,7 +54,6 @@
     /// Starts the instance and registers it at the control socket.
     ///
     /// # Errors
-
     /// One line that says why zones cannot start.
     pub fn new(
         node: Rc<Node>,
@@ -88,7 +87,6 @@
     }
 
     /// Applies the public keys of a reloaded operators'file. A key that is no longer in it is no longer
-
     /// accepted.
     pub fn reload(&self, zoned: ZoneSettings) {
         self.pair_keys.borrow_mut().replace_public_keys(zoned.keys);
