--- a/node/src/budgets.rs
+++ b/node/src/budgets.rs
@@ -133,7 +133,6 @@
             has_cold_budget: totals.len() > COLD_BUDGET,
         });
         client.limit_probes(totals.get(PROBE_BUDGET).copied().unwrap_or(0));
-
         let receiver = Rc::downgrade(&client);
         let on_datagram = move |datagram: &[u8]| {
             if let Some(client) = receiver.upgrade() {
@@ -223,7 +222,6 @@
     }
 
     /// Limits the requests to members that started recently to this proxy's share, and asks for as much as it
-
     /// would send them.
     fn limit_cold_requests(&self) {
         let share = self.share(COLD_BUDGET);
--- a/node/src/gossip.rs
+++ b/node/src/gossip.rs
@@ -181,7 +181,6 @@
         self.node.live_peers.set(g.quorum().live);
         self.node.suspected_count.set(g.suspected_members().len());
         let totals = g.counts;
-
         self.node.plan(|p, _| {
             let c = &mut p.counters;
             c.set(Counter::GossipSent, totals.sent);
--- a/node/src/snmp.rs
+++ b/node/src/snmp.rs
@@ -98,7 +98,6 @@
 pub fn view(node: &Node) -> Vec<(Oid, Value)> {
     node.update_call_counters();
     let name = |table: u32, n: usize| [&ROOT_OID[..], &[table, n as u32 + 1, 0]].concat();
-
     let mut objects: Vec<(Oid, Value)> = node.plan(|p, _| {
         let counters = Counter::ALL.iter().enumerate();
         counters.map(|(i, c)| (name(1, i), Value::Counter64(p.counters.get(*c)))).collect()
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -40,7 +40,6 @@
     let other_parents = |except: usize| {
         (0..names.zones.len()).filter(|z| is_parent(*z) && *z != except).map(|z| z as u16).collect()
     };
-
     let zone = |z: usize| Zone {
         kind: if is_parent(z) { Kind::Parent } else { Kind::Location },
         region: if is_parent(z) { z as u16 } else { assigned_parent(z) },
@@ -54,7 +53,6 @@
     /// Starts the instance and registers it at the control socket.
     ///
     /// # Errors
-
     /// One line that says why zones cannot start.
     pub fn new(
         node: Rc<Node>,
@@ -63,7 +61,6 @@
     ) -> Result<Rc<ZoneClient>, String> {
         let identity = budgets.identity_and_settings();
         let (me, shared) = identity.ok_or("zones: they take no part in the tree of regions and sites")?;
-
         let settings = Settings {
             me,
             proxies: shared.proxies,
@@ -87,8 +84,7 @@
         Ok(client)
     }
 
-    /// Applies the public keys of a reloaded operators'file. A key that is no longer in it is no longer
-
+    /// Applies the public keys of a reloaded operators' file. A key that is no longer in it is no longer
     /// accepted.
     pub fn reload(&self, zoned: ZoneSettings) {
         self.pair_keys.borrow_mut().replace_public_keys(zoned.keys);
