--- a/node/tests/crossings_bulletin.rs
+++ b/node/tests/crossings_bulletin.rs
@@ -108,9 +108,9 @@
 
 /// Returns the configuration with discovery at another address.
 fn with_discovery(json: &str, at: SocketAddr) -> String {
-    let mut v: serde_json::Value = serde_json::from_str(json).unwrap();
-    v["bulletin"] = at.to_string().into();
-    v.to_string()
+    let mut config_json: serde_json::Value = serde_json::from_str(json).unwrap();
+    config_json["bulletin"] = at.to_string().into();
+    config_json.to_string()
 }
 
 async fn start_testbed_at(ex: Executor, caches: usize, at: SocketAddr) -> Testbed {
@@ -123,8 +123,8 @@
     node.reload(&config::parse(&configuration(node.config.listen, at, &[])).unwrap())
 }
 
-fn count(testbed: &Testbed, c: Counter) -> u64 {
-    testbed.node.plan(|p, _| p.counters.get(c))
+fn count(testbed: &Testbed, counter: Counter) -> u64 {
+    testbed.node.plan(|p, _| p.counters.get(counter))
 }
 
 async fn wait_for_event(testbed: &Testbed, no: u64) {
@@ -142,10 +142,10 @@
 /// Checks that the first of two caches gets no requests from now on.
 async fn assert_drain_is_kept(testbed: &Testbed) {
     let before = testbed.caches[0].commands.borrow().len();
-    let mut c = Client::connect(testbed.front).await;
+    let mut client = Client::connect(testbed.front).await;
     for id in 1..20 {
-        c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        client.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
     }
     assert_eq!(testbed.caches[0].commands.borrow().len(), before, "sent to a cache that drains");
 }
@@ -177,7 +177,10 @@
         assert!(now() < started_at + 7 * SECOND, "{:?}", requests.borrow());
         assert_eq!((count(&testbed, Counter::Purges), count(&testbed, Counter::Lists)), (1, 2));
         let requests = requests.borrow().clone();
-        assert!(requests.len() <= first.len() + 3 && requests.iter().all(|c| c.1 == 0), "{requests:?}");
+        assert!(
+            requests.len() <= first.len() + 3 && requests.iter().all(|request| request.1 == 0),
+            "{requests:?}"
+        );
         assert_drain_is_kept(&testbed).await;
     });
 }
@@ -197,7 +200,7 @@
         let testbed = start_testbed_at(ex, 1, at).await;
         wait_for_event(&testbed, 3).await;
         assert_eq!(count(&testbed, Counter::Purges), 3);
-        assert_eq!(requests.borrow().iter().map(|c| c.1).collect::<Vec<_>>(), [0, 2]);
+        assert_eq!(requests.borrow().iter().map(|request| request.1).collect::<Vec<_>>(), [0, 2]);
     });
 }
 
@@ -272,7 +275,7 @@
             let (new, to) = start_scripted(ex, vec![new]);
             reload_with_discovery_at(&testbed.node, to);
 
-            wait_until("the new watch", || !new.borrow().is_empty()).await;
+            wait_until("the new connection", || !new.borrow().is_empty()).await;
             (requests, testbed)
         } else {
             let (requests, at) = start_scripted(ex, vec![old, new]);
@@ -348,7 +351,7 @@
         more.notify();
         wait_for_event(&testbed, 2).await;
         assert_eq!(count(&testbed, Counter::Purges), 2);
-        let last_events: Vec<u64> = requests.borrow().iter().map(|c| c.1).collect();
+        let last_events: Vec<u64> = requests.borrow().iter().map(|request| request.1).collect();
         assert_eq!(last_events, if variant == 0 { vec![0] } else { vec![0, 1] });
     });
 }
@@ -411,7 +414,7 @@
         let (requests, at) = start_scripted(ex, scripts);
         let testbed = start_testbed_at(ex, 1, at).await;
         wait_for_event(&testbed, 12).await;
-        let last_events: Vec<u64> = requests.borrow().iter().map(|c| c.1).collect();
+        let last_events: Vec<u64> = requests.borrow().iter().map(|request| request.1).collect();
         assert!(last_events.len() <= 3, "{last_events:?}");
         assert_eq!(count(&testbed, Counter::Panics), 0);
     });
@@ -489,10 +492,10 @@
         let odd = server_entry("s-0", testbed.caches[0].addr, "std", "active", 0).replace(usual, value);
         let usual = server_entry("s-1", testbed.caches[1].addr, "std", "active", 0);
         testbed.publish_event(&list_event(true, &[odd, usual])).await;
-        let mut c = Client::connect(testbed.front).await;
+        let mut client = Client::connect(testbed.front).await;
         for id in 1..20 {
-            c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
-            assert_eq!(c.answer().await.unwrap().0, id);
+            client.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
+            assert_eq!(client.answer().await.unwrap().0, id);
         }
         assert_eq!((count(&testbed, Counter::Panics), count(&testbed, Counter::Malformed)), (0, 0));
         assert!(
@@ -524,7 +527,7 @@
 #[case::whole_list_without_it("whole")]
 #[case::left("left")]
 #[case::drains("leaving")]
-#[case::started_anew("again")]
+#[case::restarted("again")]
 #[case::left_then_another_in_one_event("left,new")]
 #[case::another_then_left_in_one_event("new,left")]
 #[case::left_then_another_in_two("left;new")]
@@ -535,8 +538,8 @@
         let (at, other_cache) = (testbed.caches[0].addr, start_cache(ex));
         *other_cache.behavior.borrow_mut() =
             CacheBehavior::Answer("served", "version=bb,stamp=1,detail=HIT", b"other".to_vec());
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[("ttl", "5900")])).await;
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[("ttl", "5900")])).await;
         wait_until("the attempt", || !testbed.received_requests().is_empty()).await;
         let call = testbed.received_requests()[0][1].clone();
         for part in variant.split(';') {
@@ -550,15 +553,15 @@
             testbed.publish_event(&list_event(part == "whole", &servers)).await;
         }
         testbed.caches[0].reply(&call, b"of before").await;
-        assert_eq!(c.answer().await, Some((1, None, b"of before".to_vec())));
+        assert_eq!(client.answer().await, Some((1, None, b"of before".to_vec())));
         testbed.caches[0].reply(&call, b"once more").await;
         testbed.set_behavior(CacheBehavior::Answer(
             "served",
             "version=cc,stamp=1,detail=HIT",
             b"new".to_vec(),
         ));
-        c.send(&request(2, "media", &[])).await;
-        let (id, word, body) = c.answer().await.unwrap();
+        client.send(&request(2, "media", &[])).await;
+        let (id, word, body) = client.answer().await.unwrap();
         let wanted: (Option<&str>, &[u8]) = match variant {
             "whole" => (None, b"other"),
             "left" | "leaving" => (Some("Full"), b""),
@@ -574,7 +577,7 @@
 #[case::drains("leaving", 150_000, false)]
 #[case::drains_within_the_grace("leaving", 0, true)]
 #[case::left("left", 150_000, false)]
-fn a_drain_before_an_attempt_is_written(#[case] state: &str, #[case] waits: Micros, #[case] sent: bool) {
+fn a_drain_before_an_attempt_is_written(#[case] state: &str, #[case] waits_us: Micros, #[case] sent: bool) {
     run(|ex| async move {
         let testbed = start_testbed_with_config(ex, 2, |json| {
             json.replace("\"drain_grace\":1000000", "\"drain_grace\":50000")
@@ -595,13 +598,13 @@
         });
         // This blocks the executor, so no task runs: the attempt waits in the queue of a connection that is
         // not yet up.
-        std::thread::sleep(std::time::Duration::from_micros(waits));
+        std::thread::sleep(std::time::Duration::from_micros(waits_us));
         // Both servers are named, as it is not known which was chosen; the origin stays.
         let both: Vec<String> = testbed
             .caches
             .iter()
             .enumerate()
-            .map(|(i, c)| server_entry(&format!("s-{i}"), c.addr, "std", state, 0))
+            .map(|(i, cache)| server_entry(&format!("s-{i}"), cache.addr, "std", state, 0))
             .collect();
         let text = format!(r#"{{"no":1,{}}}"#, list_event(false, &both));
         let (_, b) =
--- a/node/tests/crossings_caches.rs
+++ b/node/tests/crossings_caches.rs
@@ -79,7 +79,7 @@
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             table.lines().any(|row| {
                 let cells: Vec<&str> = row.split_whitespace().collect();
-                let ends = |cell: usize, port: &str| cells.get(cell).is_some_and(|c| c.ends_with(port));
+                let ends = |cell: usize, port: &str| cells.get(cell).is_some_and(|text| text.ends_with(port));
                 let state = cells.get(3).copied();
                 ends(1, &local) && ends(2, &remote) && [Some(FIN_WAIT_1), Some(ESTABLISHED)].contains(&state)
             })
@@ -107,8 +107,8 @@
             self.buf.extend_from_slice(&chunk[..n]);
         }
     }
-    async fn answer_with(&self, call_id: &str, word: &str, fields: &str, body: &[u8]) {
-        let answer = [call_id.as_bytes(), word.as_bytes(), fields.as_bytes(), body];
+    async fn answer_with(&self, call_id: &str, outcome: &str, fields: &str, body: &[u8]) {
+        let answer = [call_id.as_bytes(), outcome.as_bytes(), fields.as_bytes(), body];
         (&self.stream).write_all(&wire::encode_resp(&answer)).await.unwrap();
     }
     async fn serve(&self, call_id: &str, body: &[u8]) {
@@ -131,8 +131,8 @@
     let servers: Vec<Value> = caches
         .iter()
         .enumerate()
-        .map(|(i, c)| {
-            serde_json::from_str(&server_entry(&format!("c-{i}"), c.at, "std", "active", 0)).unwrap()
+        .map(|(i, cache)| {
+            serde_json::from_str(&server_entry(&format!("c-{i}"), cache.at, "std", "active", 0)).unwrap()
         })
         .collect();
     start_testbed_with_config(ex, 0, |text| {
@@ -151,8 +151,8 @@
     .await
 }
 
-fn count(testbed: &Testbed, c: Counter) -> u64 {
-    testbed.node.plan(|p, _| p.counters.get(c))
+fn count(testbed: &Testbed, counter: Counter) -> u64 {
+    testbed.node.plan(|p, _| p.counters.get(counter))
 }
 
 fn cancel(id: u32) -> Vec<u8> {
@@ -175,22 +175,22 @@
 #[case::half_a_line(Some("*4\r\n$16\r\n00"))]
 #[case::half_an_answer_to_it(Some("*4\r\n$16\r\n0000000000000002\r\n$6\r\nserved\r\n"))]
 #[case::an_answer_to_it(Some("*4\r\n$16\r\n0000000000000002\r\n$8\r\nnot_here\r\n$1\r\n-\r\n$0\r\n\r\n"))]
-fn an_idle_connection_that_ends_or_brings_bytes_as_it_is_taken(#[case] said: Option<&str>) {
+fn an_idle_connection_that_ends_or_brings_bytes_as_it_is_taken(#[case] unrequested: Option<&str>) {
     run(|ex| async move {
         let cache = ManualCache::new();
         let testbed = start_testbed_before(ex, &[&cache], &[]).await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "booking", &[("dedupe", "k")])).await;
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "booking", &[("dedupe", "k")])).await;
         let mut first = cache.accept().await;
         assert_eq!(first.next().await.unwrap()[1], call_id(1));
         first.serve(&call_id(1), b"one").await;
-        assert_eq!(c.answer().await, Some((1, None, b"one".to_vec())));
-        match said {
+        assert_eq!(client.answer().await, Some((1, None, b"one".to_vec())));
+        match unrequested {
             // Blocking calls: the proxy does not run before both are in its sockets.
             Some(text) => drop(std::io::Write::write_all(&mut first.stream.get_ref(), text.as_bytes())),
             None => first.stream.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
         }
-        std::io::Write::write_all(&mut c.stream.get_ref(), &request(2, "booking", &[("dedupe", "l")]))
+        std::io::Write::write_all(&mut client.stream.get_ref(), &request(2, "booking", &[("dedupe", "l")]))
             .unwrap();
         std::thread::sleep(std::time::Duration::from_millis(20));
         let mut second = cache.accept().await;
@@ -201,7 +201,7 @@
             "written on the connection that had ended or brought unrequested bytes"
         );
         second.serve(&call_id(2), b"two").await;
-        assert_eq!(c.answer().await, Some((2, None, b"two".to_vec())));
+        assert_eq!(client.answer().await, Some((2, None, b"two".to_vec())));
         assert_eq!((count(&testbed, Counter::Sent), count(&testbed, Counter::EndMiss)), (2, 0));
     });
 }
@@ -215,24 +215,24 @@
 #[case::drained("leaving")]
 #[case::gone("left")]
 #[case::replaced("replaced")]
-#[case::started_anew("anew")]
+#[case::restarted("restarted")]
 fn a_connection_that_is_established_too_late(#[case] variant: &'static str) {
     run(|ex| async move {
         let (cache, backlog_filler) = ManualCache::with_full_backlog();
         let testbed = start_testbed_before(ex, &[&cache], &[]).await;
-        let mut c = Some(Client::connect(testbed.front).await);
-        c.as_ref().unwrap().send(&request(1, "media", &[("ttl", "6000")])).await;
+        let mut client = Some(Client::connect(testbed.front).await);
+        client.as_ref().unwrap().send(&request(1, "media", &[("ttl", "6000")])).await;
         wait_until("the attempt", || count(&testbed, Counter::Sent) == 1).await;
         let list_entry = |state, started| server_entry("c-0", cache.at, "std", state, started);
         let list = |s: String| format!(r#""roster":{{"version":2,"full":false,"servers":[{s}]}}"#);
         match variant {
-            "close" => c = None,
+            "close" => client = None,
             "reset" => {
-                let c = c.take().unwrap();
-                sockopt::set_socket_linger(c.stream.get_ref(), Some(std::time::Duration::ZERO)).unwrap();
+                let client = client.take().unwrap();
+                sockopt::set_socket_linger(client.stream.get_ref(), Some(std::time::Duration::ZERO)).unwrap();
             }
-            "cancel" => c.as_ref().unwrap().send(&cancel(1)).await,
-            "anew" => testbed.publish_event(&list(list_entry("active", unix_ms()))).await,
+            "cancel" => client.as_ref().unwrap().send(&cancel(1)).await,
+            "restarted" => testbed.publish_event(&list(list_entry("active", unix_ms()))).await,
             "replaced" => {
                 testbed.publish_event(&list(server_entry("c-9", cache.at, "std", "active", unix_ms()))).await
             }
@@ -253,7 +253,7 @@
                 "the request that was given up was written"
             );
         } else if variant == "leaving" {
-            assert_eq!(c.unwrap().answer().await.unwrap().1.as_deref(), Some("Full"));
+            assert_eq!(client.unwrap().answer().await.unwrap().1.as_deref(), Some("Full"));
             assert_eq!(connection.unread_bytes(), 0, "written to a server that drains");
         } else {
             assert_eq!(connection.next().await, None, "written to the server that is there now");
@@ -274,20 +274,20 @@
         let testbed =
             start_testbed_before(ex, &[&cache, &slow_cache], &[("/settings/classes/1/dedup_window", window)])
                 .await;
-        let mut c = Client::connect(testbed.front).await;
+        let mut client = Client::connect(testbed.front).await;
         // Finds an object whose first cache is the one that answers.
         let mut id = 0;
         let mut connection = loop {
             id += 1;
             let row = format!("{id:016x}");
             let more = [("dedupe", "k"), ("row", row.as_str()), ("ttl", "4000")];
-            c.send(&request(id, "booking", &more)).await;
+            client.send(&request(id, "booking", &more)).await;
             wait_until("the attempt", || count(&testbed, Counter::Sent) == u64::from(id)).await;
             let accepted = async { Some(cache.accept().await) };
             let other = async { (sleep_until(now() + 30 * MILLISECOND).await, None).1 };
             match accepted.or(other).await {
                 Some(connection) => break connection,
-                None => c.send(&cancel(id)).await,
+                None => client.send(&cancel(id)).await,
             }
         };
         assert_eq!(connection.next().await.unwrap()[1], call_id(id));
@@ -299,10 +299,10 @@
         if is_sent {
             assert_eq!(second.next().await.unwrap()[1], call_id(id));
             second.serve(&call_id(id), b"once").await;
-            assert_eq!(c.answer().await, Some((id, None, b"once".to_vec())));
+            assert_eq!(client.answer().await, Some((id, None, b"once".to_vec())));
         } else {
-            let (_, word, _) = c.answer().await.unwrap();
-            assert!(word.is_some());
+            let (_, error_word, _) = client.answer().await.unwrap();
+            assert!(error_word.is_some());
             assert_eq!(second.unread_bytes(), 0, "written after its dedup window");
         }
     });
@@ -483,19 +483,19 @@
     run(|ex| async move {
         let cache = ManualCache::new();
         let testbed = start_testbed_before(ex, &[&cache], &[]).await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
         let mut connection = cache.accept().await;
         assert_eq!(connection.next().await.unwrap()[1], call_id(1));
         // Before the proxy runs, its sockets hold an answer to a request and that request.
         let early: [&[u8]; 4] = [b"0000000000000002", b"not_here", b"-", b""];
         std::io::Write::write_all(&mut connection.stream.get_ref(), &wire::encode_resp(&early)).unwrap();
-        c.send(&request(2, "media", &[("row", "0000000000000abc")])).await;
+        client.send(&request(2, "media", &[("row", "0000000000000abc")])).await;
         std::thread::sleep(std::time::Duration::from_millis(20));
         let parts = connection.next().await.unwrap();
         assert_eq!(parts[1], call_id(2));
         connection.serve(&call_id(2), b"own").await;
-        assert_eq!(c.answer().await, Some((2, None, b"own".to_vec())));
+        assert_eq!(client.answer().await, Some((2, None, b"own".to_vec())));
         assert_eq!(count(&testbed, Counter::EndMiss), 0);
     });
 }
@@ -507,8 +507,8 @@
     run(|ex| async move {
         let cache = ManualCache::new();
         let testbed = start_testbed_before(ex, &[&cache], &[]).await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "booking", &[("dedupe", "k")])).await;
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "booking", &[("dedupe", "k")])).await;
         let mut connection = cache.accept().await;
         assert_eq!(connection.next().await.unwrap()[1], call_id(1));
         let id = call_id(1);
@@ -516,12 +516,12 @@
         std::io::Write::write_all(&mut connection.stream.get_ref(), &wire::encode_resp(&answer)).unwrap();
         connection.stream.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
         connection.block_until_end_has_arrived();
-        c.send(&request(2, "booking", &[("dedupe", "l")])).await;
+        client.send(&request(2, "booking", &[("dedupe", "l")])).await;
         std::thread::sleep(std::time::Duration::from_millis(20));
         let mut second = cache.accept().await;
         let parts = second.next().await.unwrap();
         second.serve(&parts[1], b"two").await;
-        let mut answers = vec![c.answer().await.unwrap(), c.answer().await.unwrap()];
+        let mut answers = vec![client.answer().await.unwrap(), client.answer().await.unwrap()];
         answers.sort();
         assert_eq!(answers, [(1, None, b"one".to_vec()), (2, None, b"two".to_vec())]);
         assert_eq!(parts[1], call_id(2), "the answered request was sent again");
--- a/node/tests/crossings_clients.rs
+++ b/node/tests/crossings_clients.rs
@@ -26,15 +26,15 @@
 }
 
 /// Writes without letting the node run.
-fn write_without_yielding(c: &Client, bytes: &[u8]) {
-    assert_eq!(c.stream.get_ref().write(bytes).unwrap(), bytes.len());
+fn write_without_yielding(client: &Client, bytes: &[u8]) {
+    assert_eq!(client.stream.get_ref().write(bytes).unwrap(), bytes.len());
 }
 
 /// Reads to the end of the stream and returns the number of bytes, or `None` where the connection was reset.
-async fn bytes_to_end(c: &Client) -> Option<usize> {
+async fn bytes_to_end(client: &Client) -> Option<usize> {
     let (mut chunk, mut total) = ([0; 16384], 0);
     loop {
-        match (&c.stream).read(&mut chunk).await {
+        match (&client.stream).read(&mut chunk).await {
             Ok(0) => return Some(total),
             Ok(n) => total += n,
             Err(_) => return None,
@@ -43,14 +43,14 @@
 }
 
 /// Reads to the end of the stream; returns false where the connection was reset.
-async fn ends(c: &Client) -> bool {
-    bytes_to_end(c).await.is_some()
+async fn ends(client: &Client) -> bool {
+    bytes_to_end(client).await.is_some()
 }
 
 /// Closes the connection with a reset.
-fn reset(c: Client) {
+fn reset(client: Client) {
     let linger = Some(std::time::Duration::ZERO);
-    rustix::net::sockopt::set_socket_linger(&c.stream, linger).unwrap();
+    rustix::net::sockopt::set_socket_linger(&client.stream, linger).unwrap();
 }
 
 /// Why the proxy closes a connection on which a request was answered.
@@ -89,10 +89,10 @@
 ) -> (Testbed, Client) {
     let testbed = start_testbed_with_sockets(ex, 1, 8).await;
     testbed.set_behavior(served());
-    let mut c = Client::connect(testbed.front).await;
-    c.send(&request(1, "media", &[])).await;
-    assert_eq!(c.answer().await, Some((1, None, b"whole".to_vec())));
-    (testbed, c)
+    let mut client = Client::connect(testbed.front).await;
+    client.send(&request(1, "media", &[])).await;
+    assert_eq!(client.answer().await, Some((1, None, b"whole".to_vec())));
+    (testbed, client)
 }
 
 /// A request that has arrived, also behind more messages than are handled in one go, is answered before the
@@ -110,7 +110,7 @@
     #[case] word: Option<&str>,
 ) {
     run(|ex| async move {
-        let (testbed, mut c) = testbed_with_answered_client(ex).await;
+        let (testbed, mut client) = testbed_with_answered_client(ex).await;
         // With other tasks running, the proxy checks whether to close before it has parsed all that was read.
         for _ in 0..if messages_before > 0 { 20 } else { 0 } {
             let n = testbed.node.clone();
@@ -122,11 +122,14 @@
             })
             .detach();
         }
-        write_without_yielding(&c, &[cancel(9).repeat(messages_before), request(2, "media", &[])].concat());
+        write_without_yielding(
+            &client,
+            &[cancel(9).repeat(messages_before), request(2, "media", &[])].concat(),
+        );
         let _held = reason.apply(&testbed);
-        let (id, error_word, _) = c.answer().await.expect("an answer before the close");
+        let (id, error_word, _) = client.answer().await.expect("an answer before the close");
         assert_eq!((id, error_word.as_deref()), (2, word));
-        assert!(ends(&c).await, "reset");
+        assert!(ends(&client).await, "reset");
     });
 }
 
@@ -138,18 +141,18 @@
 #[case::evicted(CloseReason::Evicted)]
 fn a_request_after_the_proxy_closes_is_not_sent(#[case] reason: CloseReason) {
     run(|ex| async move {
-        let (testbed, c) = testbed_with_answered_client(ex).await;
+        let (testbed, client) = testbed_with_answered_client(ex).await;
         let held = reason.apply(&testbed);
-        assert!(ends(&c).await, "reset");
-        write_without_yielding(&c, &request(2, "media", &[]));
+        assert!(ends(&client).await, "reset");
+        write_without_yielding(&client, &request(2, "media", &[]));
         let last = now() + 400_000;
         while now() < last {
-            assert!((&mut c.stream.get_ref()).write(&cancel(2)).is_ok(), "reset");
+            assert!((&mut client.stream.get_ref()).write(&cancel(2)).is_ok(), "reset");
             sleep_until(now() + 20_000).await;
         }
         drop(held);
         wait_until("the close", || testbed.node.connection_count() == 0).await;
-        let counter_value = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        let counter_value = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         assert_eq!((testbed.received_requests().len(), counter_value(Counter::Taken)), (1, 1));
     });
 }
@@ -162,13 +165,13 @@
 #[case::a_call_id_again_after_its_cancel([request(2, "media", &[]), cancel(2), request(2, "media", &[])].concat(), 0)]
 fn a_malformed_message_costs_no_answer_made_before(#[case] before: Vec<u8>, #[case] errors: u32) {
     run(|ex| async move {
-        let (testbed, mut c) = testbed_with_answered_client(ex).await;
-        write_without_yielding(&c, &[before, vec![0xc1; 40_000]].concat());
+        let (testbed, mut client) = testbed_with_answered_client(ex).await;
+        write_without_yielding(&client, &[before, vec![0xc1; 40_000]].concat());
         wait_until("its end", || testbed.node.plan(|p, _| p.counters.get(Counter::Malformed)) == 1).await;
         for id in 2..2 + errors {
-            assert_eq!(c.answer().await, Some((id, Some("Error".into()), vec![])));
+            assert_eq!(client.answer().await, Some((id, Some("Error".into()), vec![])));
         }
-        assert!(ends(&c).await, "reset");
+        assert!(ends(&client).await, "reset");
         assert_eq!((testbed.node.plan(|p, _| p.open_requests()), testbed.received_requests().len()), (0, 1));
     });
 }
@@ -193,7 +196,7 @@
 ) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 8).await;
-        let c = Client::connect(testbed.front).await;
+        let client = Client::connect(testbed.front).await;
         let mut n = 0;
         if blocked {
             testbed.set_behavior(CacheBehavior::Answer(
@@ -201,10 +204,10 @@
                 "version=ab,stamp=1,detail=HIT",
                 vec![7; 240_000],
             ));
-            rustix::net::sockopt::set_socket_recv_buffer_size(&c.stream, 4096).unwrap();
+            rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 4096).unwrap();
             while testbed.node.unwritten_bytes.get() < 500_000 {
                 n += 1;
-                c.send(&request(n, "media", &[])).await;
+                client.send(&request(n, "media", &[])).await;
                 wait_until("its answer", || {
                     testbed.node.plan(|p, _| p.counters.get(Counter::Served)) == u64::from(n)
                 })
@@ -213,8 +216,8 @@
             testbed.set_behavior(CacheBehavior::Silent);
         }
         let first = n + 1;
-        c.send(&(first..first + 32).flat_map(|id| request(id, "media", &[])).collect::<Vec<_>>()).await;
-        let counter_value = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        client.send(&(first..first + 32).flat_map(|id| request(id, "media", &[])).collect::<Vec<_>>()).await;
+        let counter_value = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         wait_until("the requests", || {
             counter_value(Counter::Taken) == u64::from(n) + 32
                 && testbed.received_requests().len() > n as usize
@@ -225,16 +228,16 @@
         let ended_at = now();
         let mut kept = None;
         match client_end {
-            ClientEnd::Closes => drop(c),
-            ClientEnd::Resets => reset(c),
+            ClientEnd::Closes => drop(client),
+            ClientEnd::Resets => reset(client),
             ClientEnd::HalfCloses => {
-                c.send(&request(99, "media", &[])[..40]).await;
-                c.stream.get_ref().shutdown(Shutdown::Write).unwrap();
-                kept = Some(c);
+                client.send(&request(99, "media", &[])[..40]).await;
+                client.stream.get_ref().shutdown(Shutdown::Write).unwrap();
+                kept = Some(client);
             }
             ClientEnd::Cancels => {
-                c.send(&(first..first + 32).flat_map(|id| cancel(id as u8)).collect::<Vec<_>>()).await;
-                kept = Some(c);
+                client.send(&(first..first + 32).flat_map(|id| cancel(id as u8)).collect::<Vec<_>>()).await;
+                kept = Some(client);
             }
         }
         wait_until("the end", || counter_value(Counter::Left) == open).await;
@@ -266,8 +269,8 @@
 ) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let mut c = Some(Client::connect(testbed.front).await);
-        c.as_ref().unwrap().send(&request(1, "media", &[])).await;
+        let mut client = Some(Client::connect(testbed.front).await);
+        client.as_ref().unwrap().send(&request(1, "media", &[])).await;
         wait_until("the attempt", || testbed.received_requests().len() == 1).await;
         for answers in [answer_first, !answer_first] {
             if answers {
@@ -276,25 +279,25 @@
                 continue;
             }
             match client_end {
-                ClientEnd::Closes => drop(c.take()),
-                ClientEnd::Resets => reset(c.take().unwrap()),
+                ClientEnd::Closes => drop(client.take()),
+                ClientEnd::Resets => reset(client.take().unwrap()),
                 ClientEnd::HalfCloses => {
-                    c.as_ref().unwrap().stream.get_ref().shutdown(Shutdown::Write).unwrap()
+                    client.as_ref().unwrap().stream.get_ref().shutdown(Shutdown::Write).unwrap()
                 }
-                ClientEnd::Cancels => write_without_yielding(c.as_ref().unwrap(), &cancel(1)),
+                ClientEnd::Cancels => write_without_yielding(client.as_ref().unwrap(), &cancel(1)),
             }
         }
         wait_until("its end", || {
             testbed.node.plan(|p, _| p.open_requests()) == 0 && testbed.node.unwritten_bytes.get() == 0
         })
         .await;
-        if let Some(c) = c.as_mut() {
+        if let Some(client) = client.as_mut() {
             testbed.set_behavior(served());
             if matches!(client_end, ClientEnd::Cancels) {
-                c.send(&request(2, "media", &[])).await;
+                client.send(&request(2, "media", &[])).await;
             }
             let mut answers = Vec::new();
-            while let Some((id, word, _)) = c.answer().await {
+            while let Some((id, word, _)) = client.answer().await {
                 answers.push((id, word));
                 if id == 2 {
                     break;
@@ -319,14 +322,14 @@
 fn a_call_id_used_again_after_a_cancel(#[case] sent: bool) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let mut c = Client::connect(testbed.front).await;
-        write_without_yielding(&c, &request(1, "media", &[]));
+        let mut client = Client::connect(testbed.front).await;
+        write_without_yielding(&client, &request(1, "media", &[]));
         if sent {
             wait_until("the attempt", || testbed.received_requests().len() == 1).await;
         }
         testbed.set_behavior(served());
-        write_without_yielding(&c, &[cancel(1), request(2, "media", &[("call", &call_id(1))])].concat());
-        let (id, word, _) = c.answer().await.unwrap();
+        write_without_yielding(&client, &[cancel(1), request(2, "media", &[("call", &call_id(1))])].concat());
+        let (id, word, _) = client.answer().await.unwrap();
         assert!(id == 2 && (word.is_none() || word.as_deref() == Some("Error")), "{word:?}");
         let seen: Vec<String> =
             testbed.caches[0].commands.borrow().iter().map(|parts| parts[0].clone()).collect();
@@ -339,20 +342,20 @@
     ex: &'static async_executor::LocalExecutor<'static>,
     act: CacheBehavior,
 ) -> (Process, Cache, SocketAddr) {
-    let c = start_cache(ex);
-    *c.behavior.borrow_mut() = act;
+    let cache = start_cache(ex);
+    *cache.behavior.borrow_mut() = act;
     let (_, _, discovery) = start_discovery(ex);
     let front = free_addresses(1)[0];
     let folder = tempfile::tempdir().unwrap().keep();
     let path = folder.join("config.json");
     std::fs::write(
         &path,
-        configuration(front, discovery, &[server_entry("s-0", c.addr, "std", "active", 0)]),
+        configuration(front, discovery, &[server_entry("s-0", cache.addr, "std", "active", 0)]),
     )
     .unwrap();
     let start = ProcessBuilder::new(env!("CARGO_BIN_EXE_threadward")).env("LB_CONFIG", &path).folder(folder);
 
-    (start.spawn().unwrap(), c, front)
+    (start.spawn().unwrap(), cache, front)
 }
 
 /// SIGTERM arrives while one connection is idle, one request is half read, one answer is half written and one
@@ -474,7 +477,7 @@
             assert!(word.is_none() || sends_requests, "{word:?}");
             longest = longest.max(now() - asked);
             drop(crowd_streams);
-            let count = |c| testbed.node.plan(|p, _| p.counters.get(c)) as usize;
+            let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter)) as usize;
             let connected = (crowd + 1) * wave as usize;
             let all_accepted = || count(Counter::Accepted) + count(Counter::TurnedAway) == connected;
             wait_until("the whole backlog is accepted", all_accepted).await;
@@ -502,13 +505,13 @@
 #[case::large(45_056)]
 fn a_request_of_a_client_that_has_closed_is_not_sent(#[case] body: usize) {
     run(|ex| async move {
-        let (testbed, c) = testbed_with_answered_client(ex).await;
+        let (testbed, client) = testbed_with_answered_client(ex).await;
         let mut frame = request(2, "media", &[("call", "00000000000000aa")]);
         frame.truncate(frame.len() - 2);
         frame.extend([0xc5, (body >> 8) as u8, body as u8]);
         frame.extend(vec![7; body]);
-        write_without_yielding(&c, &frame);
-        drop(c);
+        write_without_yielding(&client, &frame);
+        drop(client);
         let mut other = Client::connect(testbed.front).await;
         other.send(&request(1, "media", &[("call", "00000000000000ab")])).await;
         assert_eq!(other.answer().await.unwrap().1, None);
@@ -525,13 +528,13 @@
 fn a_malformed_message_costs_no_pending_answer() {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&[request(1, "media", &[]), vec![0xc1]].concat()).await;
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&[request(1, "media", &[]), vec![0xc1]].concat()).await;
         wait_until("the attempt", || !testbed.received_requests().is_empty()).await;
         sleep_until(now() + 100_000).await;
         testbed.caches[0].reply(&testbed.received_requests()[0][1], b"owed").await;
-        assert_eq!(with_timeout("the answer", c.answer()).await, Some((1, None, b"owed".to_vec())));
-        assert_eq!(with_timeout("the end", c.answer()).await, None);
+        assert_eq!(with_timeout("the answer", client.answer()).await, Some((1, None, b"owed".to_vec())));
+        assert_eq!(with_timeout("the end", client.answer()).await, None);
         // The request of a client that leaves is dropped.
         let gone = Client::connect(testbed.front).await;
         gone.send(&[request(1, "media", &[("call", "00000000000000aa")]), vec![0xc1]].concat()).await;
--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -48,7 +48,7 @@
 
 fn site(ex: &'static LocalExecutor<'static>) -> Site {
     let caches = [start_cache(ex), start_cache(ex)];
-    caches.iter().for_each(|c| *c.behavior.borrow_mut() = served());
+    caches.iter().for_each(|cache| *cache.behavior.borrow_mut() = served());
     let mut admin_addrs = free_addresses(4);
     let front = admin_addrs.remove(0);
     let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
@@ -100,9 +100,9 @@
                 continue;
             };
             drop(stream);
-            let (mut c, text) = (Client::connect(self.front).await, format!("{:016x}", now()));
-            c.send(&request(1, "media", &[("call", &text), ("row", &text)])).await;
-            match c.answer().await.expect("an answer") {
+            let (mut client, text) = (Client::connect(self.front).await, format!("{:016x}", now()));
+            client.send(&request(1, "media", &[("call", &text), ("row", &text)])).await;
+            match client.answer().await.expect("an answer") {
                 (1, None, body) if body == b"whole" => left -= 1,
                 (1, Some(word), _) if word == "Full" => sleep_until(now() + 5_000).await,
                 other => panic!("{other:?}"),
@@ -372,9 +372,9 @@
         drop(old);
         for _ in &new {
             wait_until("a listener", || !site.listening_sockets().is_empty()).await;
-            let mut c = Client::connect(site.front).await;
-            c.send(&request(1, "media", &[])).await;
-            assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
+            let mut client = Client::connect(site.front).await;
+            client.send(&request(1, "media", &[])).await;
+            assert_eq!(client.answer().await.unwrap().1.as_deref(), Some("Full"));
             new.iter().find(|process| site.is_listening(process)).unwrap().kill().unwrap();
         }
     });
@@ -420,8 +420,8 @@
         let (site, old) = start_serving(ex).await;
         let socket_before = site.listening_sockets();
         *site.caches[1].behavior.borrow_mut() = CacheBehavior::Silent;
-        let mut c = Client::connect(site.front).await;
-        c.send(&request(1, "media", &[("ttl", "6000")])).await;
+        let mut client = Client::connect(site.front).await;
+        client.send(&request(1, "media", &[("ttl", "6000")])).await;
         wait_until("the attempt", || !site.caches[1].commands.borrow().is_empty()).await;
         old.term().unwrap();
         wait_for_log(&old, "stop: SIGTERM, 1 requests open").await;
@@ -431,7 +431,7 @@
         wait_for_log(&old, "stop: gives way to another process").await;
         let call = site.caches[1].commands.borrow()[0][1].clone();
         site.caches[1].reply(&call, b"whole").await;
-        assert_eq!(c.answer().await, Some((1, None, b"whole".to_vec())));
+        assert_eq!(client.answer().await, Some((1, None, b"whole".to_vec())));
         assert_clean_end(&old).await;
         *site.caches[1].behavior.borrow_mut() = served();
         site.hand_over_to_next(2, &new).await;
@@ -444,7 +444,7 @@
 #[rstest]
 #[case::one_queue(true, false)]
 #[case::two_queues(false, false)]
-#[case::both_told_to_end(true, true)]
+#[case::both_get_sigterm(true, true)]
 fn connections_that_wait_when_the_old_process_stops(#[case] shared: bool, #[case] both: bool) {
     run(|ex| async move {
         let (site, old) = start_serving(ex).await;
@@ -462,9 +462,9 @@
         old.stop().unwrap();
         let mut waiting = Vec::new();
         for id in 0..16u32 {
-            let c = Client::connect(site.front).await;
-            c.send(&request(1, "media", &[("call", &format!("{:016x}", 50 + id))])).await;
-            waiting.push(c);
+            let client = Client::connect(site.front).await;
+            client.send(&request(1, "media", &[("call", &format!("{:016x}", 50 + id))])).await;
+            waiting.push(client);
         }
         old.term().unwrap();
         if both {
@@ -481,8 +481,8 @@
 
             new.cont().unwrap();
         }
-        for mut c in waiting {
-            assert_eq!(c.answer().await.map(|a| a.0), Some(1));
+        for mut client in waiting {
+            assert_eq!(client.answer().await.map(|a| a.0), Some(1));
         }
         if both {
             assert_clean_end(&old).await;
--- a/node/tests/rules.rs
+++ b/node/tests/rules.rs
@@ -28,17 +28,17 @@
 #[case::nonsense(CacheBehavior::Answer("what", "-", vec![]), Some("Full"), b"")]
 #[case::untagged(CacheBehavior::Answer("served", "detail=MISS_ORIGIN", b"whole".to_vec()), None, b"whole")]
 #[case::unasked(CacheBehavior::Answer("still_good", "version=ab,detail=HIT", vec![]), Some("Full"), b"")]
-fn one_final_answer(#[case] act: CacheBehavior, #[case] word: Option<&str>, #[case] body: &[u8]) {
+fn one_final_answer(#[case] behavior: CacheBehavior, #[case] error_word: Option<&str>, #[case] body: &[u8]) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 2).await;
-        testbed.set_behavior(act);
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[("ttl", "150")])).await;
-        assert_eq!(c.answer().await, Some((1, word.map(str::to_owned), body.to_vec())));
+        testbed.set_behavior(behavior);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[("ttl", "150")])).await;
+        assert_eq!(client.answer().await, Some((1, error_word.map(str::to_owned), body.to_vec())));
         // A second answer to it would come before the answer to the next request.
         testbed.set_behavior(served_hit());
-        c.send(&request(2, "nothing", &[])).await;
-        assert_eq!(c.answer().await.unwrap().0, 2);
+        client.send(&request(2, "nothing", &[])).await;
+        assert_eq!(client.answer().await.unwrap().0, 2);
         wait_until("all requests closed", || testbed.node.plan(|p, _| p.open_requests()) == 0).await;
     });
 }
@@ -47,14 +47,14 @@
 fn nothing_is_answered_after_a_cancel() {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
         wait_until("the attempt", || testbed.received_requests().len() == 1).await;
-        c.send(&cancel(1)).await;
-        let seen = &testbed.caches[0].commands;
-        wait_until("the cancel at the cache", || seen.borrow().iter().any(|p| p[0] == "cancel")).await;
-        c.send(&request(2, "nothing", &[])).await;
-        assert_eq!(c.answer().await.unwrap().0, 2);
+        client.send(&cancel(1)).await;
+        let commands = &testbed.caches[0].commands;
+        wait_until("the cancel at the cache", || commands.borrow().iter().any(|p| p[0] == "cancel")).await;
+        client.send(&request(2, "nothing", &[])).await;
+        assert_eq!(client.answer().await.unwrap().0, 2);
         assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Left)), 1);
     });
 }
@@ -64,15 +64,19 @@
 #[rstest]
 #[case::may_have_run(CacheBehavior::Close, 1, "Error")]
 #[case::never_ran(CacheBehavior::Answer("overload", "-", vec![]), 2, "Full")]
-fn no_duplicated_effect(#[case] act: CacheBehavior, #[case] least: usize, #[case] word: &str) {
+fn no_duplicated_effect(
+    #[case] behavior: CacheBehavior,
+    #[case] min_attempts: usize,
+    #[case] error_word: &str,
+) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 2).await;
-        testbed.set_behavior(act);
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "booking", &[("dedupe", "5c0f6e1a")])).await;
-        assert_eq!(c.answer().await.unwrap().1.as_deref(), Some(word));
+        testbed.set_behavior(behavior);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "booking", &[("dedupe", "5c0f6e1a")])).await;
+        assert_eq!(client.answer().await.unwrap().1.as_deref(), Some(error_word));
         let sent = testbed.received_requests();
-        assert!(sent.len() >= least && (least > 1 || sent.len() == 1), "{sent:?}");
+        assert!(sent.len() >= min_attempts && (min_attempts > 1 || sent.len() == 1), "{sent:?}");
         assert!(sent.iter().all(|p| p[2].contains("uniq=5c0f6e1a")));
     });
 }
@@ -88,10 +92,10 @@
         testbed.set_behavior(served_hit());
         let left = server_entry("s-0", testbed.caches[0].addr, "std", state, 0);
         testbed.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{left}]}}"#)).await;
-        let mut c = Client::connect(testbed.front).await;
+        let mut client = Client::connect(testbed.front).await;
         for id in 1..30 {
-            c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
-            assert_eq!(c.answer().await.unwrap().1, None);
+            client.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
+            assert_eq!(client.answer().await.unwrap().1, None);
         }
         assert_eq!(
             (testbed.caches[0].commands.borrow().len(), testbed.caches[1].commands.borrow().len()),
@@ -103,18 +107,18 @@
 /// Rule 4: a member that has just started gets fewer requests than the warm one beside it, also where it took
 /// over the address of a member whose end no event has reported.
 #[rstest]
-#[case::anew("s-0")]
-#[case::instead("s-new")]
+#[case::restarted("s-0")]
+#[case::replaced("s-new")]
 fn safe_fail_back(#[case] id: &str) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 2).await;
         testbed.set_behavior(served_hit());
         let cold = server_entry(id, testbed.caches[0].addr, "std", "active", unix_ms());
         testbed.publish_event(&format!(r#""roster":{{"version":2,"full":false,"servers":[{cold}]}}"#)).await;
-        let mut c = Client::connect(testbed.front).await;
+        let mut client = Client::connect(testbed.front).await;
         for id in 1..100 {
-            c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
-            c.answer().await.unwrap();
+            client.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
+            client.answer().await.unwrap();
         }
         let (cold, warm) =
             (testbed.caches[0].commands.borrow().len(), testbed.caches[1].commands.borrow().len());
@@ -134,9 +138,9 @@
         testbed.set_behavior(served_hit());
         let issued = unix_ms();
         testbed.publish_event(&format!(r#""recall":{{{purged},"issued":{issued}}}"#)).await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
-        c.answer().await.unwrap();
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
+        client.answer().await.unwrap();
         let sent = testbed.received_requests().remove(0);
         let newer: Option<u64> = threadward::wire::find_field(&sent[2], "newer").map(|n| n.parse().unwrap());
         assert_eq!(newer.is_some(), covers_object, "{sent:?}");
@@ -158,11 +162,11 @@
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         testbed.set_behavior(served_hit());
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, class, more)).await;
-        assert_eq!(c.answer().await, Some((1, Some("Error".into()), vec![])));
-        c.send(&request(2, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, class, more)).await;
+        assert_eq!(client.answer().await, Some((1, Some("Error".into()), vec![])));
+        client.send(&request(2, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
         assert_eq!(testbed.received_requests().len(), 1);
         assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Unusable)), 1);
     });
@@ -195,15 +199,15 @@
 #[rstest]
 #[case::broken("close")]
 #[case::silent("hush")]
-fn events_are_read_on_after_a_lost_connection(#[case] how: &str) {
+fn events_are_read_on_after_a_lost_connection(#[case] loss: &str) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         for issued in [1, 2] {
             testbed.publish_event(&format!(r#""recall":{{"lot":1,"issued":{issued}}}"#)).await;
-            testbed.end_discovery_connection(how);
+            testbed.end_discovery_connection(loss);
         }
         testbed.publish_event(r#""recall":{"lot":1,"issued":3}"#).await;
-        let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         assert_eq!((count(Counter::Purges), count(Counter::DiscoveryLosses)), (3, 2));
     });
 }
@@ -234,13 +238,13 @@
         let event = bad.strip_prefix("raw:").map_or(format!(r#"{{"no":{no},{bad}}}"#), str::to_owned);
         testbed.discovery_events.borrow_mut().push(event);
         testbed.publish_event(r#""recall":{"lot":1,"issued":3}"#).await;
-        let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         assert_eq!(count(Counter::Purges), 1, "the event after it is applied");
         assert!(count(Counter::Malformed) >= 1, "the unusable event is counted");
         assert!(count(Counter::DiscoveryLosses) <= 2, "it is requested again a bounded number of times");
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1, None, "the cache of the last good list serves");
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1, None, "the cache of the last good list serves");
     });
 }
 
@@ -251,8 +255,8 @@
         let testbed = start_testbed(ex, 1).await;
         testbed.set_behavior(served_hit());
         let at = |i: usize| ([127, 1, (i >> 8) as u8, i as u8], 9).into();
-        let many = |from: usize, n: usize| {
-            let all: Vec<String> = (from..from + n)
+        let many = |first: usize, n: usize| {
+            let all: Vec<String> = (first..first + n)
                 .map(|i| server_entry(&format!("x-{i}"), at(i), "unheard-of", "active", 0))
                 .collect();
             format!(r#""roster":{{"version":2,"full":false,"servers":[{}]}}"#, all.join(","))
@@ -261,9 +265,9 @@
         testbed.discovery_events.borrow_mut().push(format!(r#"{{"no":2,{}}}"#, many(0, 20_001)));
         testbed.publish_event(r#""recall":{"lot":1,"issued":3}"#).await;
         assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Malformed)), 1);
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
     });
 }
 
@@ -288,9 +292,9 @@
                 both.join(",")
             ))
             .await;
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
     });
 }
 
@@ -305,13 +309,13 @@
             "version=ab,stamp=1,detail=HIT",
             vec![7; 240_000],
         ));
-        let c = Client::connect(testbed.front).await;
+        let client = Client::connect(testbed.front).await;
         let malformed = || testbed.node.plan(|p, _| p.counters.get(Counter::Malformed));
         let mut id = 0;
         while malformed() == 0 {
             id += 1;
             assert!(id < 500, "the connection was never closed");
-            c.send(&request(id, "media", &[])).await;
+            client.send(&request(id, "media", &[])).await;
             wait_until("its answer", || {
                 testbed.node.plan(|p, _| p.open_requests()) == 0
                     && testbed.received_requests().len() == id as usize
@@ -335,10 +339,10 @@
 fn a_client_that_never_asks_is_closed(#[case] bytes: Vec<u8>) {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let (mut bad, from) = (Client::connect(testbed.front).await, now());
+        let (mut bad, started_at) = (Client::connect(testbed.front).await, now());
         bad.send(&bytes).await;
         assert_eq!(bad.answer().await, None);
-        assert!((1_000_000..3_000_000).contains(&(now() - from)));
+        assert!((1_000_000..3_000_000).contains(&(now() - started_at)));
         assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Overdue)), 1);
     });
 }
@@ -356,10 +360,10 @@
         }
         sleep_until(now() + 550_000).await;
         for id in 1..=20 {
-            let mut c = Client::connect(testbed.front).await;
-            c.send(&request(id, "media", &[])).await;
-            assert_eq!(c.answer().await.unwrap().1, None);
-            idle.push(c);
+            let mut client = Client::connect(testbed.front).await;
+            client.send(&request(id, "media", &[])).await;
+            assert_eq!(client.answer().await.unwrap().1, None);
+            idle.push(client);
         }
         let mut new = Client::connect(testbed.front).await;
         wait_until("the new connection", || testbed.node.client_count() == 26).await;
@@ -394,11 +398,11 @@
             slow.send(piece).await;
             sleep_until(now() + 320_000).await;
             for half in [false, true, true, false] {
-                let c = Client::connect(testbed.front).await;
+                let client = Client::connect(testbed.front).await;
                 if half {
-                    c.send(&frame[..20]).await;
+                    client.send(&frame[..20]).await;
                 }
-                crowd.push(c);
+                crowd.push(client);
             }
         }
         assert_eq!(slow.answer().await, Some((1, None, b"whole".to_vec())));
@@ -420,13 +424,13 @@
 fn repeated_unusable_requests_close_the_connection() {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let mut c = Client::connect(testbed.front).await;
+        let mut client = Client::connect(testbed.front).await;
         for id in 1..=8 {
-            c.send(&request(id, "nothing", &[])).await;
-            assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Error"));
+            client.send(&request(id, "nothing", &[])).await;
+            assert_eq!(client.answer().await.unwrap().1.as_deref(), Some("Error"));
         }
-        c.send(&request(9, "nothing", &[])).await;
-        assert_eq!(c.answer().await, None);
+        client.send(&request(9, "nothing", &[])).await;
+        assert_eq!(client.answer().await, None);
     });
 }
 
@@ -457,21 +461,21 @@
 fn surplus_answers() {
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
-        let mut c = Client::connect(testbed.front).await;
-        let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        let mut client = Client::connect(testbed.front).await;
+        let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         for id in 1..3 {
-            c.send(&request(id, "media", &[])).await;
+            client.send(&request(id, "media", &[])).await;
             wait_until("the attempt", || testbed.received_requests().len() == id as usize).await;
             for call in ["ffffffffffffffff", &format!("{id:016x}")] {
                 testbed.caches[0].reply(call, b"whole").await;
             }
-            assert_eq!(c.answer().await, Some((id, None, b"whole".to_vec())));
+            assert_eq!(client.answer().await, Some((id, None, b"whole".to_vec())));
         }
         wait_until("the answers with an unknown id", || count(Counter::LateEnds) == 2).await;
         assert_eq!(count(Counter::Opened), 1, "the connection is kept");
         testbed.caches[0].reply("0000000000000002", b"whole").await;
         wait_until("the second copy", || count(Counter::LateEnds) == 3).await;
-        c.send(&request(3, "media", &[])).await;
+        client.send(&request(3, "media", &[])).await;
         wait_until("the attempt", || testbed.received_requests().len() == 3).await;
         assert_eq!(count(Counter::Opened), 2, "a connection with an unrequested answer was used again");
     });
@@ -484,16 +488,16 @@
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         testbed.set_behavior(served_hit());
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
         testbed.caches[0].refuses_connections.set(true);
         sleep_until(now() + 50_000).await;
-        c.send(&(2..12).flat_map(|id| request(id, "media", &[])).collect::<Vec<u8>>()).await;
+        client.send(&(2..12).flat_map(|id| request(id, "media", &[])).collect::<Vec<u8>>()).await;
         for _ in 2..12 {
-            assert_eq!(c.answer().await.unwrap().1, None);
+            assert_eq!(client.answer().await.unwrap().1, None);
         }
-        let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         assert_eq!((count(Counter::EndOk), count(Counter::EndConnect), count(Counter::Opened)), (11, 0, 1));
     });
 }
@@ -504,11 +508,11 @@
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         testbed.set_behavior(CacheBehavior::Stall);
-        let (mut c, from) = (Client::connect(testbed.front).await, now());
-        c.send(&request(1, "media", &[("ttl", "6000")])).await;
-        assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
-        assert!(now() - from < 5_000_000);
-        let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
+        let (mut client, started_at) = (Client::connect(testbed.front).await, now());
+        client.send(&request(1, "media", &[("ttl", "6000")])).await;
+        assert_eq!(client.answer().await.unwrap().1.as_deref(), Some("Full"));
+        assert!(now() - started_at < 5_000_000);
+        let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
         assert_eq!(
             (testbed.received_requests().len(), count(Counter::Stalled), count(Counter::EndReset)),
             (1, 1, 1)
@@ -522,12 +526,12 @@
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         testbed.set_behavior(CacheBehavior::Stall);
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[("ttl", "500")])).await;
-        assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[("ttl", "500")])).await;
+        assert_eq!(client.answer().await.unwrap().1.as_deref(), Some("Full"));
         testbed.set_behavior(served_hit());
-        c.send(&request(2, "media", &[("ttl", "500")])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        client.send(&request(2, "media", &[("ttl", "500")])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
         assert_eq!(testbed.node.plan(|p, _| p.counters.get(Counter::Opened)), 2);
     });
 }
@@ -544,17 +548,17 @@
             let testbed =
                 if on { start_testbed_with_config(ex, 2, probed).await } else { start_testbed(ex, 2).await };
             testbed.set_behavior(served_hit());
-            let mut c = Client::connect(testbed.front).await;
+            let mut client = Client::connect(testbed.front).await;
             for id in 1..=200 {
-                c.send(&request(id, "media", &[])).await;
-                assert_eq!(c.answer().await, Some((id, None, b"whole".to_vec())));
+                client.send(&request(id, "media", &[])).await;
+                assert_eq!(client.answer().await, Some((id, None, b"whole".to_vec())));
             }
-            let count = |c| testbed.node.plan(|p, _| p.counters.get(c));
+            let count = |counter| testbed.node.plan(|p, _| p.counters.get(counter));
             let probes = || {
                 testbed
                     .caches
                     .iter()
-                    .flat_map(|c| c.commands.borrow().clone())
+                    .flat_map(|cache| cache.commands.borrow().clone())
                     .filter(|p| p[0] == "gauges")
                     .count()
             };
--- a/node/tests/standing.rs
+++ b/node/tests/standing.rs
@@ -86,11 +86,11 @@
         assert_eq!(requests.borrow().len(), 1, "a connection with comments was given up");
         wait_until("the drain", || testbed.node.last_event.get() == 1).await;
         assert!(now() < *silent_since.borrow() + 7 * SECOND, "reconnected too late: {:?}", requests.borrow());
-        assert!(requests.borrow().iter().all(|c| c.1 == 0) && requests.borrow().len() == 3);
-        let mut c = Client::connect(testbed.front).await;
+        assert!(requests.borrow().iter().all(|request| request.1 == 0) && requests.borrow().len() == 3);
+        let mut client = Client::connect(testbed.front).await;
         for id in 1..30 {
-            c.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
-            assert_eq!(c.answer().await.unwrap().1, None);
+            client.send(&request(id, "media", &[("row", &format!("{id:016x}"))])).await;
+            assert_eq!(client.answer().await.unwrap().1, None);
         }
         assert_eq!(
             (testbed.caches[0].commands.borrow().len(), testbed.caches[1].commands.borrow().len()),
@@ -145,9 +145,9 @@
             "version=4be0c1927d55a6f3,stamp=1,detail=HIT",
             vec![],
         ));
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[("etag", held_version)])).await;
-        assert_eq!(c.answer().await, Some((1, error_word.map(str::to_owned), vec![])));
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[("etag", held_version)])).await;
+        assert_eq!(client.answer().await, Some((1, error_word.map(str::to_owned), vec![])));
         let unchanged = testbed.node.plan(|p, _| p.counters.get(Counter::Unchanged));
         assert_eq!(
             (unchanged == 1, testbed.received_requests()[0][2].contains(&format!("holds={held_version}"))),
@@ -171,10 +171,10 @@
         let mut frame = vec![0x94, 0x00, 0x07];
         put_text(&mut frame, "alive");
         frame.extend([0x91, 0x80]);
-        let c = Client::connect(testbed.front).await;
-        c.send(&frame).await;
+        let client = Client::connect(testbed.front).await;
+        client.send(&frame).await;
         let mut answer = [0; 11];
-        (&c.stream).read_exact(&mut answer).await.unwrap();
+        (&client.stream).read_exact(&mut answer).await.unwrap();
         assert_eq!(answer, [0x94, 0x01, 0xce, 0, 0, 0, 7, 0xc0, 0x92, 0xc2 | u8::from(expected), 0x80]);
     });
 }
@@ -192,12 +192,12 @@
     run(|ex| async move {
         let testbed = start_testbed(ex, 1).await;
         testbed.set_behavior(served());
-        let mut c = Client::connect(testbed.front).await;
-        c.send(&request(1, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1, None);
+        let mut client = Client::connect(testbed.front).await;
+        client.send(&request(1, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1, None);
         testbed.node.stopping.set(Some(now() - after));
-        c.send(&request(2, "media", &[])).await;
-        assert_eq!(c.answer().await.unwrap().1.as_deref(), error_word);
+        client.send(&request(2, "media", &[])).await;
+        assert_eq!(client.answer().await.unwrap().1.as_deref(), error_word);
         assert_eq!(testbed.received_requests().len(), 1 + sent);
     });
 }
@@ -216,10 +216,10 @@
         };
         let testbed = start_testbed_with_config(ex, 1, deadlines).await;
         let ttl = (longest / 1000).to_string();
-        let (mut c, stopped_at) = (Client::connect(testbed.front).await, now() - 800_000);
+        let (mut client, stopped_at) = (Client::connect(testbed.front).await, now() - 800_000);
         testbed.node.stopping.set(Some(stopped_at));
-        c.send(&request(1, "media", &[("ttl", &ttl)])).await;
-        assert_eq!(c.answer().await.unwrap().1.as_deref(), Some("Full"));
+        client.send(&request(1, "media", &[("ttl", &ttl)])).await;
+        assert_eq!(client.answer().await.unwrap().1.as_deref(), Some("Full"));
         assert!(
             now() < stopped_at + longest.min(3 * SECOND) + 700_000,
             "{} us after the order",
@@ -239,14 +239,17 @@
     let deploy = include_str!("../../deploy/balancer.toml").parse::<toml::Table>().unwrap();
     assert_eq!(deploy["run"].as_str(), Some("exec target/release/threadward"));
     run(|ex| async move {
-        let c = start_cache(ex);
-        *c.behavior.borrow_mut() = served();
+        let cache = start_cache(ex);
+        *cache.behavior.borrow_mut() = served();
         let (_, _, at) = start_discovery(ex);
         let (listener, front) = listen();
         drop(listener);
         let path = std::env::temp_dir().join(format!("threadward-standing-{}.json", std::process::id()));
-        std::fs::write(&path, configuration(front, at, &[server_entry("s-0", c.addr, "std", "active", 0)]))
-            .unwrap();
+        std::fs::write(
+            &path,
+            configuration(front, at, &[server_entry("s-0", cache.addr, "std", "active", 0)]),
+        )
+        .unwrap();
         let mut child = Command::new(program).env("LB_CONFIG", &path).stderr(Stdio::null()).spawn().unwrap();
         while Async::<std::net::TcpStream>::connect(front).await.is_err() {
             sleep_until(now() + 5_000).await;
@@ -264,12 +267,12 @@
             assert_eq!(open.answer().await, Some((id, None, b"whole".to_vec())));
             sleep_until(now() + 20_000).await;
         }
-        *c.behavior.borrow_mut() = CacheBehavior::Silent;
+        *cache.behavior.borrow_mut() = CacheBehavior::Silent;
         open.send(&request(id + 1, "media", &[])).await;
-        wait_until("the last request", || c.commands.borrow().len() == id as usize + 1).await;
+        wait_until("the last request", || cache.commands.borrow().len() == id as usize + 1).await;
         sleep_until(stopped_at + 1_200_000).await;
-        let call = c.commands.borrow().last().unwrap()[1].clone();
-        c.reply(&call, b"last").await;
+        let call = cache.commands.borrow().last().unwrap()[1].clone();
+        cache.reply(&call, b"last").await;
         assert_eq!(open.answer().await, Some((id + 1, None, b"last".to_vec())));
         wait_until("the end", || child.try_wait().unwrap().is_some()).await;
         assert!(child.wait().unwrap().success());
