--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -128,7 +128,7 @@
             "proxies of `[budgets]` without regions and sites",
             fleet.proxies,
             MAX_PROXIES,
-            "`budgets/src/lib.rs` `MOST_PROXIES`",
+            "`budgets/src/lib.rs` `MAX_PROXIES`",
         ),
         counted("peers of `[gossip]`", fleet.proxies, MAX_PEERS, "`gossip/src/keys.rs` `MAX_PEERS`"),
         counted("zones of `[zones]`", fleet.zones, MAX_ZONES, "`zones/src/lib.rs` `MAX_ZONES`"),
@@ -178,7 +178,7 @@
             limit: format!("{} s between two failures of machines", number(between_failures)),
             ratio: Ratio::Times(round / between_failures),
             happens: "late: the next machine fails before all were probed once".into(),
-            from: "`gossip/src/settings.rs` `period`; `machines_per_day`".into(),
+            from: "`gossip/src/settings.rs` `probe_period`; `machines_per_day`".into(),
         },
         Breakage {
             what: format!("gossip: {} witnesses of one suspicion", number(witnesses as f64)),
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -332,12 +332,17 @@
         |name: &str| all.iter().find(|(own, _)| *own == name).and_then(|(_, input)| input.value).unwrap();
     // File, what stands before the number there, and the factor between that number and the input.
     for (name, file, before, factor) in [
-        ("bounds.servers", "node/src/bulletin.rs", "const SERVERS: usize = ", 1.0),
-        ("data_path.descriptors", "node/src/config.rs", "sockets: limit(\"sockets\", ", 1.0),
-        ("data_path.descriptors_program", "node/src/caches.rs", "const OTHERS: usize = ", 1.0),
-        ("data_path.connections_per_cache", "node/src/caches.rs", "const MOST: usize = ", 2.0),
-        ("data_path.object_memory_s", "src/rules.rs", "const MEMORY: f64 = ", 2e-6),
-        ("purges.memory_factor", "src/rules.rs", "const PURGE_MEMORY: f64 = ", 1.0),
+        ("bounds.servers", "node/src/bulletin.rs", "const MAX_SERVERS: usize = ", 1.0),
+        ("data_path.descriptors", "node/src/config.rs", "max_sockets: limit(\"sockets\", ", 1.0),
+        ("data_path.descriptors_program", "node/src/caches.rs", "const RESERVED_DESCRIPTORS: usize = ", 1.0),
+        (
+            "data_path.connections_per_cache",
+            "node/src/caches.rs",
+            "const TARGET_CONNECTIONS_PER_MEMBER: usize = ",
+            2.0,
+        ),
+        ("data_path.object_memory_s", "src/rules.rs", "const RATE_MEMORY_MICROS: f64 = ", 2e-6),
+        ("purges.memory_factor", "src/rules.rs", "const PURGE_MEMORY_MULTIPLE: f64 = ", 1.0),
     ] {
         let text = fs::read_to_string(root().join(file)).unwrap();
         let (_, rest) = text.split_once(before).unwrap_or_else(|| panic!("'{before}' in {file}"));
@@ -353,7 +358,7 @@
     }
     // One part in so many is set aside.
     let budgets = fs::read_to_string(root().join("budgets/src/lib.rs")).unwrap();
-    let aside = format!("const ASIDE: u32 = {};", 1.0 / value("bounds.floor_part"));
+    let aside = format!("const FLOOR_DIVISOR: u32 = {};", 1.0 / value("bounds.floor_part"));
     assert!(budgets.contains(&aside), "{aside}");
 }
 
