--- a/lab/src/bin/hollow-host.rs
+++ b/lab/src/bin/hollow-host.rs
@@ -3,7 +3,7 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use threadward_lab::scale::real::{host, run, Divider, HostCommand, RealRun};
+use threadward_lab::scale::real::{host, run, CoordinatorKind, HostCommand, RealRun};
 
 /// Sizes from here on have two hosts.
 const TWO_HOSTS: u16 = 1_000;
@@ -32,14 +32,16 @@
 
 fn measure(program: &OsString, seconds: &OsString, sizes: &[OsString]) -> Result<(), String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
-    for (size, divided_by) in sizes.iter().flat_map(|size| [(size, Divider::Hollow), (size, Divider::Real)]) {
+    for (size, coordinator) in
+        sizes.iter().flat_map(|size| [(size, CoordinatorKind::Hollow), (size, CoordinatorKind::Real)])
+    {
         let proxies = number(size)?;
         let settings = RealRun {
             program: PathBuf::from(program),
             host: HostCommand { program: own.clone(), arguments: vec!["host".into()] },
             hosts: if proxies < TWO_HOSTS { 1 } else { 2 },
             proxies,
-            divided_by,
+            coordinator,
             seconds: number(seconds)?,
         };
         let figures = run(&settings)?;
--- a/lab/src/bin/measure-scale.rs
+++ b/lab/src/bin/measure-scale.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use threadward_lab::scale::report::Report;
 use threadward_lab::scale::run::{run, Options, RealPrograms};
-use threadward_lab::scale::summary::{name, value_at};
+use threadward_lab::scale::summary::{series_label, value_at};
 use threadward_lab::scale::target::Target;
 
 #[global_allocator]
@@ -22,7 +22,7 @@
 
 /// The options, and the file to write.
 fn options() -> Result<(Options, Option<PathBuf>), String> {
-    let mut options = Options { seed: 1, memory: Some(allocated), ..Options::default() };
+    let mut options = Options { seed: 1, memory_probe: Some(allocated), ..Options::default() };
     options.commit = std::env::var("COMMIT").unwrap_or_default();
     options.real = real_programs();
     let (mut words, mut file) = (std::env::args().skip(1), None);
@@ -56,7 +56,7 @@
         let (value, extrapolated) = value_at(series, size);
         println!(
             "{}: {value:.6} at {size}{} ({:?}, residual {:.3}, {} sizes)",
-            name(series),
+            series_label(series),
             if extrapolated { ", extrapolated" } else { "" },
             series.fit.form,
             series.fit.residual,
--- a/lab/src/capacity/real.rs
+++ b/lab/src/capacity/real.rs
@@ -3,7 +3,7 @@
 use super::page::Section;
 use super::table::Table;
 use super::units::{core, number, or_missing};
-use crate::scale::real::{Divider, RealFigures};
+use crate::scale::real::{CoordinatorKind, RealFigures};
 
 const HEADING: [&str; 10] = [
     "proxies",
@@ -26,9 +26,9 @@
 }
 
 fn row(run: &RealFigures) -> [String; HEADING.len()] {
-    let divider = match run.divided_by {
-        Divider::Hollow => "hollow",
-        Divider::Real => "a real process, all that it takes beyond the others",
+    let divider = match run.coordinator {
+        CoordinatorKind::Hollow => "hollow",
+        CoordinatorKind::Real => "a real process, all that it takes beyond the others",
     };
     [
         number(run.size.into()),
--- a/lab/src/scale/real/mod.rs
+++ b/lab/src/scale/real/mod.rs
@@ -14,7 +14,7 @@
 mod virtual_time;
 
 pub use host::host;
-pub use plan::{Divider, FleetPlan, HostJob, HostReport};
+pub use plan::{CoordinatorKind, FleetPlan, HostJob, HostReport};
 pub use proxy::{Role, RoleReport, RoleTotals, Traffic};
 pub use run::{run, HostCommand, RealFigures, RealRun};
 pub use virtual_time::{play, Played};
--- a/lab/src/scale/real/plan.rs
+++ b/lab/src/scale/real/plan.rs
@@ -13,7 +13,7 @@
 /// Whose process divides the budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Divider {
+pub enum CoordinatorKind {
     /// The voters are hollow proxies.
     Hollow,
     /// The voters are real processes.
@@ -50,10 +50,10 @@
     }
 
     /// The voters: the real processes, or the hollow proxies that follow them.
-    pub fn voters(divider: Divider, real: u16) -> Vec<u16> {
+    pub fn voters(divider: CoordinatorKind, real: u16) -> Vec<u16> {
         match divider {
-            Divider::Real => (0..VOTERS).collect(),
-            Divider::Hollow => (real..real + VOTERS).collect(),
+            CoordinatorKind::Real => (0..VOTERS).collect(),
+            CoordinatorKind::Hollow => (real..real + VOTERS).collect(),
         }
     }
 }
--- a/lab/src/scale/real/run.rs
+++ b/lab/src/scale/real/run.rs
@@ -2,7 +2,7 @@
 use super::discovery::Discovery;
 use super::files;
 use super::host::MEASURING;
-use super::plan::{addresses, Divider, FleetPlan, HostJob, HostReport};
+use super::plan::{addresses, CoordinatorKind, FleetPlan, HostJob, HostReport};
 use super::process::{rates, ProcessRates, ProcessReading, RealProcess};
 use super::proxy::{Role, Traffic};
 use super::virtual_time::{play, Played};
@@ -54,7 +54,7 @@
     /// Proxies in the file: a few real processes, all others hollow.
     pub proxies: u16,
     /// Whose process divides.
-    pub divided_by: Divider,
+    pub coordinator: CoordinatorKind,
     /// Seconds that are measured.
     pub seconds: u64,
 }
@@ -71,7 +71,8 @@
     /// Host processes.
     pub hosts: u16,
     /// Whose process divided.
-    pub divided_by: Divider,
+    #[serde(rename = "divided_by")]
+    pub coordinator: CoordinatorKind,
     /// Seconds that were measured.
     pub seconds: f64,
     /// Bytes a second that an ordinary hollow proxy sent on sockets, the mean.
@@ -150,7 +151,7 @@
     FleetPlan {
         proxies: settings.proxies,
         real: REAL_PROCESSES,
-        voters: FleetPlan::voters(settings.divided_by, REAL_PROCESSES),
+        voters: FleetPlan::voters(settings.coordinator, REAL_PROCESSES),
         wholes: vec![files::WHOLE],
         lease: LEASE,
         key: [7; 32],
@@ -291,13 +292,13 @@
     let (process_bytes, process_core) = (beside(|rates| rates.bytes), beside(ProcessRates::core));
     let report = &measured.report;
     let hollow = &report.roles.grantor;
-    let (grantor_bytes, grantor_core, grantor_user_core) = match (settings.divided_by, &dividing[..]) {
+    let (grantor_bytes, grantor_core, grantor_user_core) = match (settings.coordinator, &dividing[..]) {
         _ if elections(measured) > 0 => return None,
-        (Divider::Hollow, []) if hollow.proxies == 1 => {
+        (CoordinatorKind::Hollow, []) if hollow.proxies == 1 => {
             let core = hollow.mean_nanoseconds(computing) / 1e9 / report.seconds;
             (hollow.mean(message_bytes) / report.seconds, core, core)
         }
-        (Divider::Real, [one]) => {
+        (CoordinatorKind::Real, [one]) => {
             (one.bytes, one.core() - process_core, one.user_core - beside(|rates| rates.user_core))
         }
         _ => return None,
@@ -312,9 +313,9 @@
 fn figures(settings: &RealRun, measured: &Measured, played: &Played) -> RealFigures {
     let (report, paced) = (&measured.report, &played.paced);
     let (seconds, played) = (settings.seconds as f64, &played.free);
-    let process_role = match settings.divided_by {
-        Divider::Hollow => Role::Ordinary,
-        Divider::Real => Role::Voter,
+    let process_role = match settings.coordinator {
+        CoordinatorKind::Hollow => Role::Ordinary,
+        CoordinatorKind::Real => Role::Voter,
     };
     let roles = roles(settings, measured);
     let real = |figure: fn(&Roles) -> f64| roles.as_ref().map(figure);
@@ -330,7 +331,7 @@
         real_processes: measured.processes.len() as u16,
         size: settings.proxies,
         hosts: settings.hosts,
-        divided_by: settings.divided_by,
+        coordinator: settings.coordinator,
         seconds: report.seconds,
         bytes_out_per_proxy_real: bytes_real,
         bytes_out_per_proxy_virtual: bytes_virtual,
@@ -392,11 +393,11 @@
         (figures.grantor_core_real?, figures.grantor_core_user?, figures.core_ratio_user?);
     let (paced, sockets) = (figures.grantor_core_paced, figures.grantor_core_sockets);
     let at_pace = format!("virtual time at the pace of real time takes {paced:.3}");
-    Some(match figures.divided_by {
-        Divider::Hollow => {
+    Some(match figures.coordinator {
+        CoordinatorKind::Hollow => {
             format!("{all:.3} of a core in the control code, {ratio:.2} times virtual time; {at_pace}")
         }
-        Divider::Real => format!(
+        CoordinatorKind::Real => format!(
             "of {all:.3} of a core {:.3} are in the system, where a host's calls for as many datagrams cost \
              {sockets:.3}; {user:.3} are in the program, {ratio:.2} times virtual time; {at_pace}",
             all - user
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -6,7 +6,7 @@
 use super::layout::Layout;
 use super::measure::{self, Findings, Measured, Setup};
 use super::meter::{MemoryProbe, Meter};
-use super::real::{self, Divider, HostCommand, RealFigures, RealRun};
+use super::real::{self, CoordinatorKind, HostCommand, RealFigures, RealRun};
 use super::report::{Design, Part, Quantity, Report, Role};
 use super::summary::{self, Summary};
 use super::target::Target;
@@ -22,7 +22,8 @@
 /// Sizes of a small run.
 const SMALL_SIZES: [usize; 2] = [30, 100];
 /// Sizes beside real processes, and whose process divides.
-const REAL_FLEETS: [(u16, Divider); 2] = [(300, Divider::Hollow), (1_000, Divider::Real)];
+const REAL_FLEETS: [(u16, CoordinatorKind); 2] =
+    [(300, CoordinatorKind::Hollow), (1_000, CoordinatorKind::Real)];
 /// Seconds that are measured beside real processes.
 const REAL_SECONDS: u64 = 60;
 /// Real sizes from here on have two host processes.
@@ -46,7 +47,7 @@
     /// The commit that is measured.
     pub commit: String,
     /// Tells allocated bytes.
-    pub memory: Option<MemoryProbe>,
+    pub memory_probe: Option<MemoryProbe>,
     /// The program whose real processes run beside hollow ones, and the host of those.
     pub real: Option<RealPrograms>,
 }
@@ -72,7 +73,7 @@
 /// Carries out a run.
 pub fn run(target: &Target, options: &Options) -> Report {
     let began = Instant::now();
-    let meter = Meter::new(options.memory);
+    let meter = Meter::new(options.memory_probe);
     let findings = Findings::default();
     let mut run = Run { target, options, meter, deadline: began + VIRTUAL_LIMIT, findings };
     run.star();
@@ -200,13 +201,13 @@
             return Vec::new();
         };
         let mut all = Vec::new();
-        for (proxies, divided_by) in REAL_FLEETS {
+        for (proxies, coordinator) in REAL_FLEETS {
             let settings = RealRun {
                 program: programs.program.clone(),
                 host: HostCommand { program: programs.host.clone(), arguments: vec!["host".into()] },
                 hosts: if proxies < TWO_HOSTS { 1 } else { 2 },
                 proxies,
-                divided_by,
+                coordinator,
                 seconds: REAL_SECONDS,
             };
             match real::run(&settings) {
--- a/lab/src/scale/summary.rs
+++ b/lab/src/scale/summary.rs
@@ -58,7 +58,7 @@
 }
 
 /// A curve's name in words.
-pub fn name(series: &Series) -> String {
+pub fn series_label(series: &Series) -> String {
     let word = |value: Result<Value, serde_json::Error>| {
         value.ok().and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
     };
@@ -90,7 +90,7 @@
         let present = |s: &&Series| !s.event.ends_with("_incremental_division");
         let ratio = |s: &Series| {
             let limit = self.limit(s.quantity)?;
-            Some((value_at(s, size).0 / limit, name(s)))
+            Some((value_at(s, size).0 / limit, series_label(s)))
         };
         let all = self.series.iter().filter(shared).filter(present).filter_map(ratio);
         all.max_by(|one, other| one.0.total_cmp(&other.0))
--- a/node/tests/real_scale.rs
+++ b/node/tests/real_scale.rs
@@ -3,7 +3,7 @@
 //! those of the laboratory, because only here the program is sure to have been built.
 use rstest::rstest;
 use std::path::PathBuf;
-use threadward_lab::scale::real::{host, run, Divider, HostCommand, RealRun};
+use threadward_lab::scale::real::{host, run, CoordinatorKind, HostCommand, RealRun};
 
 const PROXIES: u16 = 60;
 const SECONDS: u64 = 8;
@@ -22,16 +22,16 @@
 }
 
 #[rstest]
-#[case::a_hollow_proxy_divides(Divider::Hollow)]
-#[case::a_real_process_divides(Divider::Real)]
-fn processes_send_what_virtual_time_says(#[case] divided_by: Divider) {
+#[case::a_hollow_proxy_divides(CoordinatorKind::Hollow)]
+#[case::a_real_process_divides(CoordinatorKind::Real)]
+fn processes_send_what_virtual_time_says(#[case] coordinator: CoordinatorKind) {
     let arguments = ["hollow_host_process", "--exact", "--ignored", "--nocapture"].map(String::from).to_vec();
     let settings = RealRun {
         program: PathBuf::from(env!("CARGO_BIN_EXE_threadward")),
         host: HostCommand { program: std::env::current_exe().unwrap(), arguments },
         hosts: 1,
         proxies: PROXIES,
-        divided_by,
+        coordinator,
         seconds: SECONDS,
     };
     let figures = run(&settings).unwrap();
