--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -1,21 +1,21 @@
-//! What can go wrong while the page is made: one line that names the file.
+//! The error of making the page: one line that names the file.
 use std::fmt;
 use std::path::Path;
 
-/// A file that will not do, and why.
+/// A file that cannot be used, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// What is wrong with it, in one line.
+    /// What is wrong with the file, in one line.
     pub what: String,
 }
 
 impl CapacityError {
-    /// An error about a file; line breaks of what a library says become spaces.
+    /// Creates an error about a file. Line breaks in a library's message become spaces.
     pub fn new(file: &Path, what: impl fmt::Display) -> CapacityError {
-        let words = what.to_string();
-        let what = words.split_whitespace().collect::<Vec<_>>().join(" ");
+        let message = what.to_string();
+        let what = message.split_whitespace().collect::<Vec<_>>().join(" ");
         CapacityError { file: file.display().to_string(), what }
     }
 }
--- a/lab/src/capacity/measured.rs
+++ b/lab/src/capacity/measured.rs
@@ -5,7 +5,8 @@
 
 /// The event's name for a fleet to which nothing happens.
 pub const REST: &str = "rest";
-/// How far a curve of the report may lie from the one of its points, for figures that were rounded when written.
+/// How far a curve of the report may lie from the one of its points, for figures that were rounded when
+/// written.
 const ROUNDING: f64 = 0.01;
 
 /// One quantity at the target's size.
@@ -97,7 +98,8 @@
     }
 }
 
-/// Whether the curve is the one that [`Fit::best`] gives, but for rounding. Of a single point there is no curve to check.
+/// Whether the curve is the one that [`Fit::best`] gives, but for rounding. Of a single point there is no
+/// curve to check.
 fn is_curve_of_points(series: &Series) -> bool {
     let Some(best) = Fit::best(&series.points) else { return series.points.len() == 1 };
     let alike = |point: &Point| {
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,7 +1,9 @@
-//! Writes the tables of `docs/CAPACITY.md` from a measured report, a target and inputs, and checks that they agree.
+//! Writes the tables of `docs/CAPACITY.md` from a measured report, a target and inputs, and checks that they
+//! agree.
 //!
-//! Each module makes one kind of table: `run` what the page is made from, `roles` what each role needs, `data_path` the
-//! arithmetic of the data path, `breaks` what breaks first, `real` what real processes showed beside virtual time. `page` puts the texts between their markers.
+//! Each module makes one kind of table: `run` what the page is made from, `roles` what each role needs,
+//! `data_path` the arithmetic of the data path, `breaks` what breaks first, `real` what real processes showed
+//! beside virtual time. `page` puts the texts between their markers.
 mod breaks;
 mod data_path;
 mod error;
@@ -99,8 +101,8 @@
     }
 }
 
-/// All generated parts of the page, the text of the tables before the checksums of their sources, so that a check names
-/// the table that differs.
+/// All generated parts of the page, the text of the tables before the checksums of their sources, so that a
+/// check names the table that differs.
 fn sections(measured: &Measured, inputs: &Inputs, sources: Sources) -> Vec<Section> {
     vec![
         run::target(measured),
--- a/lab/src/capacity/roles.rs
+++ b/lab/src/capacity/roles.rs
@@ -175,8 +175,8 @@
     Needs::of(event, SLOPES.iter().filter_map(of).collect())
 }
 
-/// The needs in the event in which they come closest to their limits, or have most bytes where there is no limit.
-/// `None` where no event but rest was measured.
+/// The needs in the event in which they come closest to their limits, or have most bytes where there is no
+/// limit. `None` where no event but rest was measured.
 pub fn in_worst_event<'a>(measured: &Measured<'a>, place: Place) -> Option<Needs<'a>> {
     let readings: Vec<Reading> = measured.readings(place.0, place.1, place.2).collect();
     let events: BTreeSet<&str> = readings.iter().map(|reading| reading.series.event.as_str()).collect();
@@ -200,8 +200,8 @@
     Needs::of("each quantity at its worst", SLOPES.iter().filter_map(of).collect())
 }
 
-/// The parts of a role together, each quantity in its own worst event; `None` for a role with fewer than two parts
-/// measured.
+/// The parts of a role together, each quantity in its own worst event; `None` for a role with fewer than two
+/// parts measured.
 pub fn all_parts<'a>(measured: &Measured<'a>, design: Design, role: Role) -> Option<Needs<'a>> {
     let parts: Vec<Part> = [Part::Budgets, Part::Zones, Part::Discovery, Part::Gossip]
         .into_iter()
--- a/lab/src/capacity/table.rs
+++ b/lab/src/capacity/table.rs
@@ -1,6 +1,6 @@
-//! A table in Markdown.
+//! Formats tables in Markdown.
 
-/// A heading and rows of as many cells.
+/// A table with a heading and rows of as many cells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Table {
     heading: Vec<String>,
@@ -8,22 +8,22 @@
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates a table without rows.
     pub fn new(heading: &[&str]) -> Table {
         Table { heading: heading.iter().map(|cell| (*cell).to_owned()).collect(), rows: Vec::new() }
     }
 
-    /// Adds a row, cut or filled up to the heading's length.
+    /// Adds a row, truncated or padded to the heading's length. Escapes the characters that separate cells.
     pub fn row<Cell: Into<String>>(&mut self, cells: impl IntoIterator<Item = Cell>) {
         let mut row: Vec<String> = cells.into_iter().map(|cell| cell.into().replace('|', "\\|")).collect();
         row.resize(self.heading.len(), String::new());
         self.rows.push(row);
     }
 
-    /// The table's text, with a line break at its end.
+    /// Returns the table's text, which ends with a line break.
     pub fn text(&self) -> String {
-        let rule = vec!["---".to_owned(); self.heading.len()];
-        let lines = [&self.heading, &rule].into_iter().chain(&self.rows);
+        let separator = vec!["---".to_owned(); self.heading.len()];
+        let lines = [&self.heading, &separator].into_iter().chain(&self.rows);
         lines.map(|cells| format!("| {} |\n", cells.join(" | "))).collect()
     }
 }
--- a/lab/src/scale/builds.rs
+++ b/lab/src/scale/builds.rs
@@ -42,7 +42,7 @@
 /// Both budgets shared by all.
 fn shared_by_all(layout: &Layout) -> Vec<CheckedBudget> {
     let group_of = vec![0; layout.proxies];
-    wholes(layout).iter().map(|whole| CheckedBudget { whole: *whole, group_of: group_of.clone() }).collect()
+    wholes(layout).iter().map(|whole| CheckedBudget { total: *whole, group_of: group_of.clone() }).collect()
 }
 
 fn star_proxy(layout: &Layout, place: u16, now: Micros, entropy: [u8; 32]) -> StarProxy {
@@ -108,7 +108,8 @@
     ZonedProxy::new(place, star, zones, evidence, now)
 }
 
-/// As many zones as can be named today: locations, each tied to a hub, and hubs, which take each other's load.
+/// As many zones as can be named today: locations, each tied to a hub, and hubs, which take each other's
+/// load.
 fn zones(locations: u16) -> Vec<Zone> {
     let cold = 20_000 * MILLISECOND;
     let hubs = locations..MAX_ZONES as u16;
@@ -138,8 +139,8 @@
             let region_of = (0..layout.proxies).map(|place| layout.region(place) as u16).collect();
             let [fleet, _] = wholes(layout);
             vec![
-                CheckedBudget { whole: fleet, group_of: vec![0; layout.proxies] },
-                CheckedBudget { whole: region_whole(layout), group_of: region_of },
+                CheckedBudget { total: fleet, group_of: vec![0; layout.proxies] },
+                CheckedBudget { total: region_whole(layout), group_of: region_of },
             ]
         }),
         build: Box::new(|layout| {
--- a/lab/src/scale/cut.rs
+++ b/lab/src/scale/cut.rs
@@ -1,4 +1,4 @@
-//! A region that is cut off from all others for an hour: what it can use meanwhile.
+//! Measures how much of its budget share a region can use while it is cut off from all others for an hour.
 use super::builds::Recipe;
 use super::events::FleetEvent;
 use super::fleet::SECOND;
@@ -6,13 +6,14 @@
 use super::measure::{fleet, settle, Findings, Setup};
 use nickelgate::Micros;
 
-/// After this the leases from before the cut are over, and what is measured is what the region has by itself.
-const FIRST: Micros = 60 * SECOND;
+/// Time after the cut from which usage is measured. By then the leases from before the cut have expired, and
+/// the region has only what it can grant by itself.
+const MEASURE_AFTER: Micros = 60 * SECOND;
 
-/// The share of its wanted part of the first budget, an even one, that a cut region could use: the mean from a minute
-/// after the cut on. `None` where the real clock's limit came before half of the time was over, or the fleet is too
-/// small to have regions.
-pub fn used<C: Control>(
+/// Returns the fraction of its even share of the first budget that a region could use while cut off: the mean
+/// from a minute after the cut on. Returns `None` if the real-time limit was reached before half of the time
+/// had passed, or if the fleet is too small to have regions.
+pub fn usable_share<C: Control>(
     setup: &Setup,
     recipe: &Recipe<C>,
     seconds: u64,
@@ -24,24 +25,24 @@
     }
     let mut fleet = fleet(setup, recipe);
     let settled = settle(&mut fleet);
-    let region = event.struck(&fleet, &setup.layout, setup.target);
-    let wanted = fleet.even_part() * region.len() as f64;
+    let region = event.affected(&fleet, &setup.layout, setup.target);
+    let even_share = fleet.even_share() * region.len() as f64;
     fleet.cut(&region);
-    let from = fleet.now();
-    let (mut sum, mut looks) = (0.0, 0u32);
-    while settled && fleet.now() < from + seconds * SECOND && fleet.run(SECOND) {
-        if fleet.now() >= from + FIRST {
-            sum += fleet.sum(&region) as f64 / wanted;
-            looks += 1;
+    let cut_at = fleet.now();
+    let (mut sum, mut samples) = (0.0, 0u32);
+    while settled && fleet.now() < cut_at + seconds * SECOND && fleet.run(SECOND) {
+        if fleet.now() >= cut_at + MEASURE_AFTER {
+            sum += fleet.total_share(&region) as f64 / even_share;
+            samples += 1;
         }
     }
     findings.check(recipe.design, &fleet);
-    let lasted = (fleet.now() - from) / SECOND;
+    let lasted = (fleet.now() - cut_at) / SECOND;
     if lasted < seconds {
         let (design, size) = (recipe.design, setup.layout.proxies);
         findings
             .not_reached
             .push(format!("{design:?} of {size}: a region cut off for {lasted} s of {seconds}"));
     }
-    (looks > 0 && lasted * 2 >= seconds).then(|| sum / f64::from(looks))
+    (samples > 0 && lasted * 2 >= seconds).then(|| sum / f64::from(samples))
 }
--- a/lab/src/scale/discovery.rs
+++ b/lab/src/scale/discovery.rs
@@ -1,9 +1,9 @@
-//! The watch of discovery: the real planner with a whole list and purges at some rate, and a stand-in of the list
-//! service that tells every watch of each purge.
+//! The watch of discovery: the real planner with a whole list and purges at some rate, and a stand-in of the
+//! list service that tells every watch of each purge.
 //!
 //! An event is what `node/tests` write on the wire, without the lengths of HTTP's chunks. It is read as
-//! `node/src/bulletin.rs` and `node/src/config.rs` read it: the lines, the JSON, its fields. What the program does besides
-//! (the socket's task, the pool's table of addresses) is not in the figures.
+//! `node/src/bulletin.rs` and `node/src/config.rs` read it: the lines, the JSON, its fields. What the program
+//! does besides (the socket's task, the pool's table of addresses) is not in the figures.
 use super::meter::Meter;
 use super::stopwatch::thread_nanoseconds;
 use crate::net::NetworkConditions;
@@ -148,8 +148,8 @@
     Planner::new(settings, seed, limits, Box::new(NoCaches))
 }
 
-/// Processor time of the stand-in to tell one watch of one purge, in seconds: a write of the event to a TCP connection on
-/// the loopback interface, which carries the receiving side's work in the kernel too.
+/// Processor time of the stand-in to tell one watch of one purge, in seconds: a write of the event to a TCP
+/// connection on the loopback interface, which carries the receiving side's work in the kernel too.
 ///
 /// # Errors
 /// What the sockets did.
@@ -180,8 +180,9 @@
     Ok(nanoseconds / 1e9 / (DELIVERIES / DRAIN_EVERY * DRAIN_EVERY) as f64)
 }
 
-/// Seconds from each purge until a watch was told, for all purges of a minute and all watches, in rising order: one core
-/// tells the watches one after the other, purge after purge, and each telling takes a link's delay of 1 to 17 ms.
+/// Seconds from each purge until a watch was told, for all purges of a minute and all watches, in rising
+/// order: one core tells the watches one after the other, purge after purge, and each telling takes a link's
+/// delay of 1 to 17 ms.
 ///
 /// Every watch has a place in the order of the stand-in; so many of them are looked at.
 pub fn spread(seed: u64, watches: usize, purges_per_second: f64, seconds: u64, delivery: f64) -> Vec<f64> {
--- a/lab/src/scale/events.rs
+++ b/lab/src/scale/events.rs
@@ -1,5 +1,5 @@
-//! The events that a fleet of the target's size meets: restarts, losses, cuts and starts. Purges and changes of
-//! configuration do not touch budgets and zones; `discovery.rs` has them.
+//! The events that a fleet of the target's size meets: restarts, losses, cuts and starts. Purges and changes
+//! of configuration do not affect budgets and zones; purges are measured in `discovery.rs`.
 use super::fleet::{Fleet, MILLISECOND, SECOND};
 use super::hollow::Control;
 use super::layout::Layout;
@@ -10,26 +10,26 @@
 /// What happens to a fleet while it is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// Nothing.
+    /// Nothing happens.
     Rest,
-    /// Restarts at the target's pace.
+    /// Processes are restarted at the target's rate.
     Restarts,
-    /// Restarts at ten times the target's pace.
+    /// Processes are restarted at ten times the target's rate.
     RestartsTenfold,
-    /// One machine is lost: the one that divides for all.
+    /// The machine of the coordinator is lost.
     MachineLost,
-    /// The rack of the one that divides is lost: its site's proxies.
+    /// The coordinator's rack is lost: all proxies of its site.
     RackLost,
-    /// A zone is lost, the one that divides among it.
+    /// A zone is lost, with the coordinator in it.
     ZoneLost,
     /// A region is cut off from all others.
     RegionCut,
-    /// All start at once.
+    /// All processes start at once.
     StartAll,
 }
 
 impl FleetEvent {
-    /// All of them, in the order in which one fleet meets them; the last begins with a new fleet.
+    /// All events, in the order in which one fleet meets them. The last one begins with a new fleet.
     pub const ALL: [FleetEvent; 8] = [
         FleetEvent::Rest,
         FleetEvent::Restarts,
@@ -41,7 +41,7 @@
         FleetEvent::StartAll,
     ];
 
-    /// The name in the report.
+    /// Returns the event's name in the report.
     pub fn name(self) -> &'static str {
         match self {
             FleetEvent::Rest => "rest",
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Virtual time for which it is measured.
+    /// Returns the virtual time for which the event is measured.
     pub fn window(self) -> Micros {
         match self {
             FleetEvent::Rest | FleetEvent::Restarts | FleetEvent::RestartsTenfold => 10 * SECOND,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether a time is taken until it holds everywhere.
+    /// Returns whether the time until all proxies have their part again is measured.
     pub fn spreads(self) -> bool {
         matches!(
             self,
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Whether a fleet of this size can meet it: what is lost has to leave most of it.
+    /// Returns whether a fleet of this layout is large enough for the event: most of it has to remain.
     pub fn fits(self, layout: &Layout, target: &Target) -> bool {
         match self {
             FleetEvent::RackLost => layout.sites >= 4,
@@ -81,9 +81,9 @@
         }
     }
 
-    /// The proxies that are lost or cut off.
-    pub fn struck<C: Control>(self, fleet: &Fleet<C>, layout: &Layout, target: &Target) -> Vec<usize> {
-        let leader = fleet.place_of(Role::Leader).unwrap_or(0);
+    /// Returns the proxies that are lost or cut off.
+    pub fn affected<C: Control>(self, fleet: &Fleet<C>, layout: &Layout, target: &Target) -> Vec<usize> {
+        let leader = fleet.first_with_role(Role::Leader).unwrap_or(0);
         match self {
             FleetEvent::MachineLost => vec![leader],
             FleetEvent::RackLost => layout.of_site(layout.site(leader)),
@@ -92,7 +92,8 @@
                 let first = leader.min(layout.proxies - size);
                 (first..first + size).collect()
             }
-            // A region that the one that divides is not in: it loses the rest, the rest loses little.
+            // A region without the coordinator: the region loses its coordinator, the rest of the fleet loses
+            // little.
             FleetEvent::RegionCut => {
                 layout.of_region((layout.region(leader) + layout.regions / 2) % layout.regions)
             }
@@ -100,18 +101,19 @@
         }
     }
 
-    /// Lets it happen, and the fleet run through its window. False where the real clock's limit came first.
-    pub fn play<C: Control>(self, fleet: &mut Fleet<C>, struck: &[usize], target: &Target) -> bool {
+    /// Plays the event and runs the fleet through its window. Returns false if the real-time limit was
+    /// reached first.
+    pub fn play<C: Control>(self, fleet: &mut Fleet<C>, affected: &[usize], target: &Target) -> bool {
         match self {
             FleetEvent::Rest => fleet.run(self.window()),
-            FleetEvent::Restarts => restarts(fleet, target, 1.0, self.window()),
-            FleetEvent::RestartsTenfold => restarts(fleet, target, 10.0, self.window()),
+            FleetEvent::Restarts => restart_evenly(fleet, target, 1.0, self.window()),
+            FleetEvent::RestartsTenfold => restart_evenly(fleet, target, 10.0, self.window()),
             FleetEvent::MachineLost | FleetEvent::RackLost | FleetEvent::ZoneLost => {
-                struck.iter().for_each(|place| fleet.kill(*place));
+                affected.iter().for_each(|place| fleet.kill(*place));
                 fleet.run(self.window())
             }
             FleetEvent::RegionCut => {
-                fleet.cut(struck);
+                fleet.cut(affected);
                 fleet.run(self.window())
             }
             FleetEvent::StartAll => {
@@ -122,22 +124,22 @@
     }
 }
 
-/// Restarts at the target's daily pace, scaled to the fleet, or so many times that: evenly over the window, at least one.
-/// A process is away for 200 ms.
-fn restarts<C: Control>(fleet: &mut Fleet<C>, target: &Target, times: f64, window: Micros) -> bool {
+/// Restarts processes at `multiple` times the target's daily rate scaled to the fleet, evenly over the window
+/// and at least one. Each is down for 200 ms. Returns false if the real-time limit was reached first.
+fn restart_evenly<C: Control>(fleet: &mut Fleet<C>, target: &Target, multiple: f64, window: Micros) -> bool {
     let scaled = target.failures.restarts_per_day * fleet.size() as f64 / f64::from(target.fleet.proxies);
-    let many = (scaled * times * window as f64 / (86_400.0 * SECOND as f64)).ceil().max(1.0) as u64;
-    let away = 200 * MILLISECOND;
-    let pause = (window / many).saturating_sub(away);
-    for turn in 0..many {
-        // Another place each time, far from the one before, and not the one that divides.
-        let leader = fleet.place_of(Role::Leader).unwrap_or(0);
-        let place = (leader + 1 + turn as usize * 37) % fleet.size();
-        fleet.kill(place);
-        if !fleet.run(away) {
+    let restarts = (scaled * multiple * window as f64 / (86_400.0 * SECOND as f64)).ceil().max(1.0) as u64;
+    let downtime = 200 * MILLISECOND;
+    let pause = (window / restarts).saturating_sub(downtime);
+    for restart in 0..restarts {
+        // A different process each time, far from the one before, and not the coordinator.
+        let leader = fleet.first_with_role(Role::Leader).unwrap_or(0);
+        let index = (leader + 1 + restart as usize * 37) % fleet.size();
+        fleet.kill(index);
+        if !fleet.run(downtime) {
             return false;
         }
-        fleet.start(place);
+        fleet.start(index);
         if !fleet.run(pause) {
             return false;
         }
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// A proxy of the star that leaves and takes back zones with the others, by the budgets' election. All see the same
-/// zones fail.
+/// A proxy of the star that leaves and takes back zones with the others, by the budgets' election. All see
+/// the same zones fail.
 pub struct ZonedProxy {
     star: StarProxy,
     place: u16,
--- a/lab/src/scale/measure.rs
+++ b/lab/src/scale/measure.rs
@@ -1,4 +1,4 @@
-//! Takes a fleet of one size through events and notes what each role did meanwhile.
+//! Plays events on a fleet of one size and records what each role did meanwhile.
 use super::builds::Recipe;
 use super::events::FleetEvent;
 use super::fleet::{Fleet, Snapshot, SECOND};
@@ -10,93 +10,95 @@
 use nickelgate::Micros;
 use std::time::Instant;
 
-/// A fleet has settled once no more than one proxy in so many lacks its part: the network loses messages at all times.
-const LACKING: usize = 50;
-/// It goes on for so long then, so that what was put off is over.
-const SETTLES: Micros = 4 * SECOND;
-/// A fleet that has not settled by then does not.
-const PATIENCE: Micros = 90 * SECOND;
-/// A change that does not hold everywhere so long after its event's window does not.
-const SPREADS_WITHIN: Micros = 30 * SECOND;
+/// A fleet counts as settled once at most one proxy in this many is short of its part. Some always are,
+/// because the network always loses messages.
+const PROXIES_PER_SHORT_ONE: usize = 50;
+/// Time that a settled fleet runs on before it is measured, so that deferred work is done.
+const SETTLE_EXTRA: Micros = 4 * SECOND;
+/// Virtual time after which a fleet that has not settled is given up.
+const SETTLE_TIMEOUT: Micros = 90 * SECOND;
+/// Time after an event's window within which its change has to be in force at all proxies.
+const SPREAD_TIMEOUT: Micros = 30 * SECOND;
 
-/// Roles of proxies.
+/// The roles that proxies have, in the order of the report.
 const ROLES: [Role; 5] = [Role::Proxy, Role::Voter, Role::SiteLeader, Role::RegionLeader, Role::Leader];
 
 /// One measured value.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// The layout.
+    /// The layout of the control plane.
     pub design: Design,
     /// The part of the program.
     pub part: Part,
-    /// Whose figure it is.
+    /// The role that the figure belongs to.
     pub role: Role,
     /// The event's name.
     pub event: &'static str,
     /// What was measured.
     pub quantity: Quantity,
-    /// What it grows with.
+    /// The variable that it grows with.
     pub against: Variable,
-    /// How much of that there was.
+    /// The value of that variable.
     pub at: f64,
-    /// The value.
+    /// The measured value, in the unit of the quantity.
     pub value: f64,
 }
 
-/// What a fleet of one size showed.
+/// The results of a fleet of one size.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
-    /// All values.
+    /// All measured values.
     pub measured: Vec<Measured>,
-    /// What was not reached, a sentence each.
+    /// What was not measured and why, a sentence each.
     pub not_reached: Vec<String>,
-    /// Units by which a sum exceeded the whole.
+    /// Largest number of units by which a sum of shares exceeded its total.
     pub overshoot: u64,
-    /// Rules that did not hold, a sentence each.
-    pub broken: Vec<String>,
+    /// Rules that were broken, a sentence each.
+    pub broken_rules: Vec<String>,
 }
 
-/// What a run is made with.
+/// The settings of a run with one fleet.
 #[derive(Clone)]
 pub struct Setup<'a> {
     /// The target's figures.
     pub target: &'a Target,
-    /// The fleet's size and places.
+    /// The fleet's size and layout.
     pub layout: Layout,
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Measures calls.
+    /// Measures processor time and memory of calls.
     pub meter: Meter,
-    /// The real clock's limit.
+    /// The end of the real time that the run may take.
     pub deadline: Instant,
 }
 
 impl Findings {
-    /// Adds those of another fleet.
+    /// Adds the results of another fleet.
     pub fn add(&mut self, other: Findings) {
         self.measured.extend(other.measured);
         self.not_reached.extend(other.not_reached);
         self.overshoot = self.overshoot.max(other.overshoot);
-        self.broken.extend(other.broken);
+        self.broken_rules.extend(other.broken_rules);
     }
 
-    /// Takes over what a fleet's checks found.
+    /// Adds what a fleet's own checks found.
     pub fn check<C: Control>(&mut self, design: Design, fleet: &Fleet<C>) {
         self.overshoot = self.overshoot.max(fleet.overshoot);
-        if fleet.two_leaders > 0 {
-            let (size, times) = (fleet.size(), fleet.two_leaders);
-            self.broken.push(format!("{design:?} of {size}: more than one divided at {times} checks"));
+        if fleet.checks_with_two_leaders > 0 {
+            let (size, times) = (fleet.size(), fleet.checks_with_two_leaders);
+            self.broken_rules.push(format!("{design:?} of {size}: more than one divided at {times} checks"));
         }
     }
 }
 
-/// A new fleet, none of whose processes is started.
+/// Creates a fleet of which no process is started.
 pub fn fleet<C: Control>(setup: &Setup, recipe: &Recipe<C>) -> Fleet<C> {
     let (budgets, build) = ((recipe.budgets)(&setup.layout), (recipe.build)(&setup.layout));
     Fleet::new(setup.seed, setup.layout.proxies as u16, budgets, build, setup.meter, setup.deadline)
 }
 
-/// A fleet whose processes started within a second, settled. False where the real clock's limit came first.
+/// Starts all processes within a second and runs the fleet until it has settled. Returns false if it did not
+/// settle in time or the real-time limit was reached.
 pub fn settle<C: Control>(fleet: &mut Fleet<C>) -> bool {
     fleet.time_roles();
     let pause = SECOND / fleet.size() as Micros;
@@ -104,29 +106,30 @@
         fleet.start(place);
         fleet.run(pause);
     }
-    settled(fleet)
+    run_until_settled(fleet)
 }
 
-/// Runs until nearly all have their part, and a little longer; false where that did not come, or the real clock's limit
-/// did.
-fn settled<C: Control>(fleet: &mut Fleet<C>) -> bool {
-    let until = fleet.now() + PATIENCE;
-    while fleet.short() * LACKING > fleet.living() {
+/// Runs until nearly all proxies have their part, and a little longer. Returns false if that did not happen
+/// in time or the real-time limit was reached.
+fn run_until_settled<C: Control>(fleet: &mut Fleet<C>) -> bool {
+    let until = fleet.now() + SETTLE_TIMEOUT;
+    while fleet.count_short() * PROXIES_PER_SHORT_ONE > fleet.running() {
         if fleet.now() >= until || !fleet.run(SECOND) {
             return false;
         }
     }
-    fleet.run(SETTLES)
+    fleet.run(SETTLE_EXTRA)
 }
 
-/// Measures a fleet through these events, one after the other; what was lost starts anew between them.
+/// Measures a fleet through these events, one after the other. What an event killed or cut off is restored
+/// before the next one.
 pub fn measure<C: Control>(setup: &Setup, recipe: &Recipe<C>, events: &[FleetEvent]) -> Findings {
     let mut findings = Findings::default();
     let size = setup.layout.proxies;
     let mut fleet = fleet(setup, recipe);
-    let began = Instant::now();
+    let started_at = Instant::now();
     if !settle(&mut fleet) {
-        let seconds = began.elapsed().as_secs_f64();
+        let seconds = started_at.elapsed().as_secs_f64();
         findings.not_reached.push(format!("{:?} of {size} did not settle in {seconds:.1} s", recipe.design));
         findings.check(recipe.design, &fleet);
         return findings;
@@ -136,13 +139,13 @@
             findings.check(recipe.design, &fleet);
             fleet = self::fleet(setup, recipe);
         }
-        if !one_event(setup, recipe.design, &mut fleet, *event, &mut findings) {
+        if !measure_event(setup, recipe.design, &mut fleet, *event, &mut findings) {
             findings.not_reached.push(format!(
                 "{:?} of {size}, from {} on: {:.1} s of virtual time took {:.1} s",
                 recipe.design,
                 event.name(),
                 fleet.now() as f64 / SECOND as f64 - 1.0,
-                began.elapsed().as_secs_f64()
+                started_at.elapsed().as_secs_f64()
             ));
             break;
         }
@@ -151,8 +154,8 @@
     findings
 }
 
-/// Plays one event and takes its figures; false where time ran out.
-fn one_event<C: Control>(
+/// Plays one event, records its figures and restores the fleet. Returns false if time ran out.
+fn measure_event<C: Control>(
     setup: &Setup,
     design: Design,
     fleet: &mut Fleet<C>,
@@ -160,19 +163,19 @@
     findings: &mut Findings,
 ) -> bool {
     let size = setup.layout.proxies;
-    let struck = event.struck(fleet, &setup.layout, setup.target);
+    let affected = event.affected(fleet, &setup.layout, setup.target);
     let before = fleet.snapshot();
     if event.spreads() {
-        fleet.watch();
+        fleet.begin_watch();
     }
-    if !event.play(fleet, &struck, setup.target) {
+    if !event.play(fleet, &affected, setup.target) {
         return false;
     }
-    note(setup, design, fleet, &before, event.name(), findings);
+    record(setup, design, fleet, &before, event.name(), findings);
     if event.spreads() {
-        let until = fleet.now() + SPREADS_WITHIN;
-        while !fleet.all_have_theirs() && fleet.now() < until && fleet.run(SECOND) {}
-        let spans = fleet.watched();
+        let until = fleet.now() + SPREAD_TIMEOUT;
+        while !fleet.all_recovered() && fleet.now() < until && fleet.run(SECOND) {}
+        let spans = fleet.end_watch();
         for (quantity, span) in [
             (Quantity::EverywhereP99, percentile_99(&spans)),
             (Quantity::EverywhereLast, spans.last().copied().unwrap_or(0.0)),
@@ -190,11 +193,11 @@
             }
         }
     }
-    recover(fleet, event, &struck)
+    recover(fleet, event, &affected)
 }
 
-/// Notes what each role did since then.
-pub fn note<C: Control>(
+/// Records what each role did since a snapshot.
+pub fn record<C: Control>(
     setup: &Setup,
     design: Design,
     fleet: &Fleet<C>,
@@ -203,7 +206,7 @@
     findings: &mut Findings,
 ) {
     let (at, against) = (setup.layout.proxies as f64, Variable::Proxies);
-    let span = fleet.now() - before.at();
+    let span = fleet.now() - before.taken_at();
     for (index, part) in C::PARTS.iter().copied().enumerate() {
         let readings = fleet.readings(before, index);
         for role in ROLES {
@@ -215,17 +218,18 @@
     }
 }
 
-/// The value that 99 in 100 do not exceed, of values in rising order.
+/// Returns the 99th percentile of values in rising order, or 0 if there are none.
 pub fn percentile_99(sorted: &[f64]) -> f64 {
     sorted.get((sorted.len() * 99).div_ceil(100).saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
-/// What was lost starts anew, what was cut off is joined, and the fleet settles.
-fn recover<C: Control>(fleet: &mut Fleet<C>, event: FleetEvent, struck: &[usize]) -> bool {
+/// Restarts what was killed, rejoins what was cut off, and runs until the fleet has settled. Returns false if
+/// it did not settle in time.
+fn recover<C: Control>(fleet: &mut Fleet<C>, event: FleetEvent, affected: &[usize]) -> bool {
     match event {
         FleetEvent::Rest | FleetEvent::StartAll => return true,
         FleetEvent::RegionCut => fleet.heal(),
-        _ => struck.iter().for_each(|place| fleet.start(*place)),
+        _ => affected.iter().for_each(|place| fleet.start(*place)),
     }
-    settled(fleet)
+    run_until_settled(fleet)
 }
--- a/lab/src/scale/meter.rs
+++ b/lab/src/scale/meter.rs
@@ -86,8 +86,8 @@
     pub timed: bool,
 }
 
-/// The figures of a role: the largest of all its processes, except that the processor time of ordinary proxies is the
-/// mean of those that were timed, as a single one's few calls are too short to measure.
+/// The figures of a role: the largest of all its processes, except that the processor time of ordinary
+/// proxies is the mean of those that were timed, as a single one's few calls are too short to measure.
 pub fn figures(role: Role, readings: &[Reading], span: Micros, memory: bool) -> Vec<(Quantity, f64)> {
     let seconds = span as f64 / 1e6;
     let own: Vec<&Reading> = readings.iter().filter(|r| r.role == role).collect();
--- a/lab/src/scale/real/files.rs
+++ b/lab/src/scale/real/files.rs
@@ -1,4 +1,5 @@
-//! The files that the processes of a run read: the operators' file and the configuration of the program, the job of a host.
+//! The files that the processes of a run read: the operators' file and the configuration of the program, the
+//! job of a host.
 use super::plan::{FleetPlan, HostJob};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -35,7 +36,8 @@
     write(folder.join("operators.toml"), &text)
 }
 
-/// The configuration of the real process of a place: one that may probe caches, as only such a one wants a share.
+/// The configuration of the real process of a place: one that may probe caches, as only such a one wants a
+/// share.
 pub fn configuration(
     folder: &Path,
     place: u16,
--- a/lab/src/scale/real/host.rs
+++ b/lab/src/scale/real/host.rs
@@ -1,4 +1,5 @@
-//! A host process: many hollow proxies in real time, each on a socket and an address of its own. It ends by itself.
+//! A host process: many hollow proxies in real time, each on a socket and an address of its own. It ends by
+//! itself.
 use super::plan::{HostJob, HostReport};
 use super::proxy::{HollowProxy, RoleReport, Traffic};
 use super::virtual_time::{start_of, SECOND};
@@ -31,8 +32,8 @@
 /// Longer than any message of the budgets with its code.
 const BUFFER: usize = 256;
 
-/// Runs the host of a job; the last argument names its file. It says when it begins to measure, and ends with one line of
-/// JSON, a [`HostReport`].
+/// Runs the host of a job; the last argument names its file. It says when it begins to measure, and ends with
+/// one line of JSON, a [`HostReport`].
 ///
 /// # Errors
 /// One line that says why it cannot run.
--- a/lab/src/scale/real/proxy.rs
+++ b/lab/src/scale/real/proxy.rs
@@ -1,5 +1,5 @@
-//! One hollow proxy of the star, and the count of what it does. Hosts and virtual time run the same code: it opens, takes,
-//! answers and seals datagrams as the program does.
+//! One hollow proxy of the star, and the count of what it does. Hosts and virtual time run the same code: it
+//! opens, takes, answers and seals datagrams as the program does.
 use super::plan::FleetPlan;
 use crate::scale::stopwatch::{timed, Stopwatch};
 use nickelgate::Micros;
--- a/lab/src/scale/real/run.rs
+++ b/lab/src/scale/real/run.rs
@@ -1,4 +1,5 @@
-//! One run: it starts the processes, measures them side by side, ends them, and plays the same fleet in virtual time.
+//! One run: it starts the processes, measures them side by side, ends them, and plays the same fleet in
+//! virtual time.
 use super::discovery::Discovery;
 use super::files;
 use super::host::MEASURING;
@@ -59,9 +60,9 @@
     pub seconds: u64,
 }
 
-/// What one run measured. Bytes a second are of datagrams with their authentication codes, but those of the grantor and
-/// of real processes are without: the program counts them so. Where the one that divides changed meanwhile, no figure of
-/// a role that depends on it is given.
+/// What one run measured. Bytes a second are of datagrams with their authentication codes, but those of the
+/// grantor and of real processes are without: the program counts them so. Where the one that divides changed
+/// meanwhile, no figure of a role that depends on it is given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RealFigures {
     /// Real processes.
@@ -93,21 +94,23 @@
     pub grantor_bytes_out_virtual: f64,
     /// The first over the second.
     pub grantor_bytes_ratio: Option<f64>,
-    /// Processor time of the one that divided, as a share of a core. A hollow one: the control code and authentication
-    /// codes. A real process: all that it took more than the other real ones.
+    /// Processor time of the one that divided, as a share of a core. A hollow one: the control code and
+    /// authentication codes. A real process: all that it took more than the other real ones.
     pub grantor_core_real: Option<f64>,
     /// The control code and authentication codes in virtual time.
     pub grantor_core_virtual: f64,
     /// The first over the second.
     pub core_ratio: Option<f64>,
-    /// As `grantor_core_virtual`, at the pace of real time: what the same code takes when the processor is idle and its
-    /// caches are cold between messages.
+    /// As `grantor_core_virtual`, at the pace of real time: what the same code takes when the processor is
+    /// idle and its caches are cold between messages.
     pub grantor_core_paced: f64,
-    /// Of `grantor_core_real` of a real process, the part in the program, not in the system for it. Of a hollow one all.
+    /// Of `grantor_core_real` of a real process, the part in the program, not in the system for it. Of a
+    /// hollow one all.
     pub grantor_core_user: Option<f64>,
     /// The same over `grantor_core_virtual`.
     pub core_ratio_user: Option<f64>,
-    /// Processor time of the system calls for the grantor's datagrams, as the hosts' cost a datagram makes it.
+    /// Processor time of the system calls for the grantor's datagrams, as the hosts' cost a datagram makes
+    /// it.
     pub grantor_core_sockets: f64,
     /// Datagrams a second to the grantor, in virtual time.
     pub grantor_messages_in_virtual: f64,
@@ -117,7 +120,8 @@
     pub latest_ms: f64,
     /// Times that a proxy began to divide while it was measured.
     pub elections: u64,
-    /// Datagrams lost while it was measured: the system did not take them, or a receive buffer had no room for them.
+    /// Datagrams lost while it was measured: the system did not take them, or a receive buffer had no room
+    /// for them.
     pub lost: u64,
     /// Datagrams that a receive buffer had no room for before that, while all started.
     pub lost_at_start: u64,
--- a/lab/src/scale/real/virtual_time.rs
+++ b/lab/src/scale/real/virtual_time.rs
@@ -42,11 +42,13 @@
 pub struct Played {
     /// As fast as it went.
     pub free: RoleReport,
-    /// After that, each event no earlier than real time has it: the processor is idle between events, as on sockets.
+    /// After that, each event no earlier than real time has it: the processor is idle between events, as on
+    /// sockets.
     pub paced: RoleReport,
 }
 
-/// Plays a fleet for so many seconds, after as many in which it settled, and a few more at the pace of real time.
+/// Plays a fleet for so many seconds, after as many in which it settled, and a few more at the pace of real
+/// time.
 ///
 /// # Errors
 /// One line that says what is wrong with the fleet's settings.
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -1,5 +1,5 @@
-//! A whole run: fleets of rising size in both layouts, zones, the watch of discovery, a region cut off for an hour, and
-//! real processes beside it. It ends by itself at its time limit and says what it did not reach.
+//! A whole run: fleets of rising size in both layouts, zones, the watch of discovery, a region cut off for an
+//! hour, and real processes beside it. It ends by itself at its time limit and says what it did not reach.
 use super::builds::{self, Recipe, FAILING};
 use super::events::FleetEvent;
 use super::hollow::{Control, ZonedProxy};
@@ -134,8 +134,8 @@
         findings
     }
 
-    /// The star of today: its leader's processor time is that of the plain division; beside it, at rest, what it is with
-    /// the present ledger.
+    /// The star of today: its leader's processor time is that of the plain division; beside it, at rest, what
+    /// it is with the present ledger.
     fn star(&mut self) {
         for size in self.star_sizes() {
             let mut findings = self.fleet(&builds::star(), size);
@@ -187,7 +187,7 @@
         let (began, mut findings) = (Instant::now(), Findings::default());
         let size = self.target.fleet.proxies as usize / CUT_PART;
         let setup = self.setup(size, FLEET_LIMIT);
-        let used = cut::used(&setup, recipe, self.target.failures.cut_s as u64, &mut findings);
+        let used = cut::usable_share(&setup, recipe, self.target.failures.cut_s as u64, &mut findings);
         println!("{:?} of {size}, a region cut off: {:.1} s", recipe.design, began.elapsed().as_secs_f64());
         self.findings.add(findings);
         used
@@ -222,9 +222,9 @@
     }
 }
 
-/// Puts the cost of the plain division, which the program had before, in place of the present one's in the processor time
-/// of the one that divides: the star of today. What was measured at rest with the present one stays, as an event of its
-/// own.
+/// Puts the cost of the plain division, which the program had before, in place of the present one's in the
+/// processor time of the one that divides: the star of today. What was measured at rest with the present one
+/// stays, as an event of its own.
 fn add_plain_division(findings: &mut Findings, size: usize) {
     let cost = question_nanoseconds(size as u16, PLAIN_QUESTIONS);
     let Some(plain) = cost.plain else {
@@ -266,7 +266,7 @@
             findings.not_reached.push(format!("zones in a star of {size}, {event}: out of time"));
             break;
         }
-        measure::note(setup, recipe.design, &fleet, &before, event, &mut findings);
+        measure::record(setup, recipe.design, &fleet, &before, event, &mut findings);
     }
     findings.measured.retain(|m| m.part == Part::Zones);
     findings.check(Design::Star, &fleet);
--- a/lab/src/scale/summary.rs
+++ b/lab/src/scale/summary.rs
@@ -29,7 +29,8 @@
     pub cut_hour_used_before: Option<f64>,
 }
 
-/// Curves through the measured values, each by what it grows with. Values of one size only make none; that is noted.
+/// Curves through the measured values, each by what it grows with. Values of one size only make none; that is
+/// noted.
 pub fn series(findings: &mut Findings) -> Vec<Series> {
     let mut groups = BTreeMap::new();
     for m in &findings.measured {
@@ -141,7 +142,7 @@
             ("worst_ratio_before", before.as_ref().map(|(ratio, _)| *ratio)),
             ("worst_ratio_after", after.as_ref().map(|(ratio, _)| *ratio)),
             ("overshoot", Some(self.findings.overshoot as f64)),
-            ("rules_broken", Some(self.findings.broken.len() as f64)),
+            ("rules_broken", Some(self.findings.broken_rules.len() as f64)),
             ("cut_hour_used", self.cut_hour_used),
             ("cut_hour_used_before", self.cut_hour_used_before),
             ("purge_everywhere_s_p99", self.discovery.purge_everywhere),
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -215,7 +215,8 @@
 fn figures_of_the_invented_report_are_as_reckoned_by_hand() {
     let copy = Copy::invented();
     let roles = copy.section("roles-star");
-    // 300 bytes a proxy and second: 2.04 MB of 16,384 bytes; 1e-6 cores a proxy squared: 46.24 of 0.043 cores.
+    // 300 bytes a proxy and second: 2.04 MB of 16,384 bytes; 1e-6 cores a proxy squared: 46.24 of 0.043
+    // cores.
     let leader = row(&roles, "| leader of the fleet | budgets | rest |");
     assert!(leader.contains("| 6,800 proxies × 40 B |"), "{leader}");
     assert!(leader.contains("2.04 MB"), "{leader}");
--- a/lab/tests/fit.rs
+++ b/lab/tests/fit.rs
@@ -1,9 +1,10 @@
-//! Fits of measured points: each form is found again, noise does not make a curve more complicated, order is nothing.
+//! Fits of measured points: each form is recognized from its own points, noise does not lead to a more
+//! complicated form, and the order of the points does not matter.
 use proptest::prelude::*;
-use threadward_lab::scale::fit::{Fit, Form, FITTING_RESIDUAL};
+use threadward_lab::scale::fit::{Fit, Form, MAX_FITTING_RESIDUAL};
 use threadward_lab::scale::report::Point;
 
-/// The sizes of a scale run, and two smaller ones, so that n log n and a line are told apart.
+/// The sizes of a scale run and two smaller ones, without which n log n could not be told from a line.
 const SIZES: [f64; 7] = [4.0, 23.0, 100.0, 300.0, 1000.0, 3000.0, 6800.0];
 
 fn curve(form: Form, base: f64, slope: f64) -> Fit {
@@ -23,9 +24,9 @@
 }
 
 proptest! {
-    /// Without a base, each form is the simplest that fits its own points.
+    /// Without a constant term, the form that made the points is the simplest that fits them.
     #[test]
-    fn each_form_is_found_again(form in any_form(), scale in 1e-9..1e9f64) {
+    fn each_form_is_recognized_from_its_points(form in any_form(), scale in 1e-9..1e9f64) {
         let (base, slope) = if form == Form::Constant { (scale, 0.0) } else { (0.0, scale) };
         let found = Fit::best(&points(&curve(form, base, slope), &SIZES)).unwrap();
         prop_assert_eq!(found.form, form);
@@ -35,9 +36,9 @@
         }
     }
 
-    /// With a base, fitted with its own form, base and slope come back.
+    /// Points of a form with a constant term, fitted with the same form, give back base and slope.
     #[test]
-    fn base_and_slope_come_back(form in any_form(), base in 1e-3..1e3f64, slope in 1e-3..1e3f64) {
+    fn base_and_slope_are_recovered(form in any_form(), base in 1e-3..1e3f64, slope in 1e-3..1e3f64) {
         let slope = if form == Form::Constant { 0.0 } else { slope };
         let true_curve = curve(form, base, slope);
         let found = Fit::of(form, &points(&true_curve, &SIZES)).unwrap();
@@ -47,7 +48,7 @@
         prop_assert!(near(found.base, base) || (found.base - base).abs() < 1e-6 * true_curve.at(SIZES[0]));
     }
 
-    /// Noise of 3% keeps the form or a simpler one, within the bound.
+    /// Noise of 3% leads to the same form or a simpler one, within the largest fitting residual.
     #[test]
     fn noise_keeps_the_form_or_a_simpler_one(
         form in any_form(),
@@ -61,13 +62,13 @@
         noisy.iter_mut().zip(&noise).for_each(|(point, noise)| point.value *= 1.0 + noise);
         let found = Fit::best(&noisy).unwrap();
         prop_assert!(found.form <= form, "{:?} of {:?}", found, form);
-        prop_assert!(found.residual <= FITTING_RESIDUAL);
+        prop_assert!(found.residual <= MAX_FITTING_RESIDUAL);
         for point in &noisy {
             prop_assert!((found.at(point.at) - point.value).abs() <= (found.residual + 1e-9) * point.value);
         }
     }
 
-    /// The order of the points changes no bit.
+    /// The order of the points does not change a bit of the fit.
     #[test]
     fn order_does_not_matter(
         measured in prop::collection::vec((0.0..1e4f64, -1e6..1e6f64), 2..12),
@@ -79,15 +80,15 @@
         prop_assert_eq!(Fit::best(&shuffled), Fit::best(&points));
     }
 
-    /// The chosen one is the simplest within the bound, else the closest.
+    /// The chosen form is the simplest within the largest fitting residual, or else the closest.
     #[test]
-    fn the_choice_is_as_stated(measured in prop::collection::vec((1.0..1e4f64, 0.0..1e6f64), 2..12)) {
+    fn the_simplest_fitting_form_is_chosen_or_else_the_closest(measured in prop::collection::vec((1.0..1e4f64, 0.0..1e6f64), 2..12)) {
         let points: Vec<Point> = measured.iter().map(|(at, value)| Point { at: *at, value: *value }).collect();
         let found = Fit::best(&points).unwrap();
         let others: Vec<Fit> = Form::ALL.iter().filter_map(|form| Fit::of(*form, &points)).collect();
-        if found.residual <= FITTING_RESIDUAL {
+        if found.residual <= MAX_FITTING_RESIDUAL {
             let simpler = others.iter().filter(|other| other.form < found.form);
-            prop_assert!(simpler.map(|other| other.residual).all(|residual| residual > FITTING_RESIDUAL));
+            prop_assert!(simpler.map(|other| other.residual).all(|residual| residual > MAX_FITTING_RESIDUAL));
         } else {
             prop_assert!(others.iter().all(|other| other.residual >= found.residual));
         }
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn too_little_or_what_is_no_number_is_no_fit() {
+fn too_few_or_non_finite_points_give_no_fit() {
     let point = |at, value| Point { at, value };
     assert_eq!(Fit::best(&[]), None);
     assert_eq!(Fit::best(&[point(1.0, 2.0)]), None);
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn zeros_are_values_too() {
+fn values_of_zero_are_fitted() {
     let zeros: Vec<Point> = SIZES.iter().map(|size| Point { at: *size, value: 0.0 }).collect();
     assert_eq!(Fit::best(&zeros), Some(curve(Form::Constant, 0.0, 0.0)));
     let mut line = points(&curve(Form::Linear, 0.0, 2.0), &SIZES);
@@ -124,7 +125,7 @@
 
 #[test]
 fn a_small_size_counts_as_much_as_a_large_one() {
-    // Two values 4% apart at the largest size move the curve at the smallest by under 2%.
+    // Two values that differ by 4% at the largest size move the curve at the smallest size by less than 2%.
     let measured = [(10.0, 10.0), (100.0, 100.0), (10_000.0, 10_000.0), (10_000.0, 10_400.0)];
     let points: Vec<Point> = measured.iter().map(|(at, value)| Point { at: *at, value: *value }).collect();
     let fit = Fit::best(&points).unwrap();
--- a/lab/tests/plain_bytes.rs
+++ b/lab/tests/plain_bytes.rs
@@ -1,5 +1,6 @@
-//! A fleet whose file names no regions sends what it sent before the division became incremental and the control tree came:
-//! the same bytes, from and to the same proxies, in the same order. The checksums were recorded with the earlier program.
+//! A fleet whose file names no regions sends what it sent before the division became incremental and the
+//! control tree came: the same bytes, from and to the same proxies, in the same order. The checksums were
+//! recorded with the earlier program.
 use std::cell::Cell;
 use std::rc::Rc;
 use threadward_budgets::Settings;
@@ -14,8 +15,9 @@
 const RECORDED: [(u64, u16, u64); 3] =
     [(1, 12, 0x2779_4762_6d44_caf4), (2, 60, 0xeba5_5066_27c4_af4a), (3, 300, 0x486b_2da3_acaa_e2c5)];
 
-/// All want everything; then one is killed and starts again, one leaves, and the one that divides is killed. Nobody is
-/// stopped: the simulation wakes a stopped process by other ticks than it did when this was recorded.
+/// All want everything; then one is killed and starts again, one leaves, and the one that divides is killed.
+/// Nobody is stopped: the simulation wakes a stopped process by other ticks than it did when this was
+/// recorded.
 fn checksum(seed: u64, proxies: u16) -> u64 {
     let settings =
         Settings { index: 0, proxies, voters: vec![0, 1, 2, 3, 4], totals: vec![3000, 1], lease: LEASE };
