--- a/lab/src/scale/builds.rs
+++ b/lab/src/scale/builds.rs
@@ -1,4 +1,4 @@
-//! How the processes of each layout are made: the star of today, with and without zones, and the tree.
+//! Creates the processes of each layout: the present star, with and without zones, and the tree.
 use super::fleet::{Build, CheckedBudget, MILLISECOND};
 use super::hollow::{Evidence, StarProxy, TreeProxy, ZonedProxy};
 use super::layout::Layout;
@@ -11,75 +11,79 @@
 use threadward_control::{ControlTree, Location, Scope, SharedBudget, Topology};
 use threadward_zones::{Kind, Zone, Zones, MAX_ZONES};
 
-/// Lease time, as the operators' page has it.
+/// Lease time, as in the operators' documentation.
 pub const LEASE: Micros = 1_200 * MILLISECOND;
 /// Units of the first budget for each proxy.
-const UNITS: u32 = 10;
+const FIRST_UNITS_PER_PROXY: u32 = 10;
 /// Units of the second budget for each proxy.
-const FEW_UNITS: u32 = 3;
-/// Zones that are central caches.
-const HUBS: u16 = 10;
+const SECOND_UNITS_PER_PROXY: u32 = 3;
+/// Number of zones of parent caches.
+const PARENT_ZONES: u16 = 10;
 
-/// The budgets of a fleet, whose sums are checked.
+/// Returns the budgets of a fleet, whose sums of shares are checked.
 pub type BudgetsOf = Box<dyn Fn(&Layout) -> Vec<CheckedBudget>>;
-/// What makes the processes of a fleet.
+/// Returns the function that creates the processes of a fleet.
 pub type BuildOf<C> = Box<dyn Fn(&Layout) -> Build<C>>;
 
-/// How a fleet of one layout is made.
+/// How a fleet of one layout is created.
 pub struct Recipe<C> {
     /// The layout.
     pub design: Design,
-    /// The budgets, whose sums are checked.
+    /// Returns the budgets, whose sums of shares are checked.
     pub budgets: BudgetsOf,
-    /// Makes processes; each wants all of every budget.
+    /// Creates processes, each of which asks for the total of every budget.
     pub build: BuildOf<C>,
 }
 
-fn wholes(layout: &Layout) -> [u32; 2] {
-    [layout.proxies as u32 * UNITS, layout.proxies as u32 * FEW_UNITS]
+/// Returns the totals of both budgets, in units.
+fn budget_totals(layout: &Layout) -> [u32; 2] {
+    [layout.proxies as u32 * FIRST_UNITS_PER_PROXY, layout.proxies as u32 * SECOND_UNITS_PER_PROXY]
 }
 
-/// Both budgets shared by all.
+/// Returns both budgets, each shared by all proxies.
 fn shared_by_all(layout: &Layout) -> Vec<CheckedBudget> {
     let group_of = vec![0; layout.proxies];
-    wholes(layout).iter().map(|whole| CheckedBudget { total: *whole, group_of: group_of.clone() }).collect()
+    budget_totals(layout)
+        .iter()
+        .map(|total| CheckedBudget { total: *total, group_of: group_of.clone() })
+        .collect()
 }
 
-fn star_proxy(layout: &Layout, place: u16, now: Micros, entropy: [u8; 32]) -> StarProxy {
+fn star_proxy(layout: &Layout, index: u16, now: Micros, entropy: [u8; 32]) -> StarProxy {
     let voters = layout.voters();
     let settings = threadward_budgets::Settings {
-        index: place,
+        index,
         proxies: layout.proxies as u16,
         voters: voters.clone(),
-        totals: wholes(layout).to_vec(),
+        totals: budget_totals(layout).to_vec(),
         lease: LEASE,
     };
     let mut budgets = Budgets::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"));
-    wholes(layout).iter().enumerate().for_each(|(budget, units)| budgets.set_demand(budget, *units));
-    StarProxy::new(budgets, voters.contains(&place))
+    budget_totals(layout).iter().enumerate().for_each(|(budget, units)| budgets.set_demand(budget, *units));
+    StarProxy::new(budgets, voters.contains(&index))
 }
 
-/// The star of today: one process divides for all.
+/// Returns the recipe of the present star: one process divides the budgets for all.
 pub fn star() -> Recipe<StarProxy> {
     Recipe {
         design: Design::Star,
         budgets: Box::new(shared_by_all),
         build: Box::new(|layout| {
             let layout = *layout;
-            Box::new(move |place, now, entropy| star_proxy(&layout, place, now, entropy))
+            Box::new(move |index, now, entropy| star_proxy(&layout, index, now, entropy))
         }),
     }
 }
 
-/// The star with zones; `failing` is the zone that fails at the time.
+/// Returns the recipe of the star with zones. `failing` holds the zone that fails at the moment, if any.
 pub fn zoned_star(failing: Rc<Cell<Option<u16>>>) -> Recipe<ZonedProxy> {
     Recipe {
         design: Design::Star,
         budgets: Box::new(shared_by_all),
         build: Box::new(move |layout| {
             let (layout, failing) = (*layout, Rc::clone(&failing));
-            Box::new(move |place, now, entropy| {
-                zoned_proxy(&layout, Rc::clone(&failing), place, now, entropy)
+            Box::new(move |index, now, entropy| {
+                zoned_proxy(&layout, Rc::clone(&failing), index, now, entropy)
             })
         }),
     }
@@ -88,73 +92,75 @@
 fn zoned_proxy(
     layout: &Layout,
     failing: Rc<Cell<Option<u16>>>,
-    place: u16,
+    index: u16,
     now: Micros,
     entropy: [u8; 32],
 ) -> ZonedProxy {
-    let star = star_proxy(layout, place, now, entropy);
-    let locations = MAX_ZONES as u16 - HUBS;
-    let stands = (usize::from(place) * usize::from(locations) / layout.proxies) as u16;
+    let star = star_proxy(layout, index, now, entropy);
+    let locations = MAX_ZONES as u16 - PARENT_ZONES;
+    let own_zone = (usize::from(index) * usize::from(locations) / layout.proxies) as u16;
     let settings = threadward_zones::Settings {
         me: star.author(),
         proxies: layout.proxies as u16,
         voters: layout.voters(),
-        own_zone: stands,
+        own_zone,
         lease: LEASE,
         zones: zones(locations),
     };
     let zones = Zones::new(now, settings).unwrap_or_else(|error| panic!("{error}"));
-    let evidence = Evidence { stands, hubs: locations, zones: MAX_ZONES as u16, failing };
-    ZonedProxy::new(place, star, zones, evidence, now)
+    let evidence = Evidence { own_zone, first_parent: locations, zones: MAX_ZONES as u16, failing };
+    ZonedProxy::new(index, star, zones, evidence, now)
 }
 
-/// As many zones as can be named today: locations, each tied to a hub, and hubs, which take each other's
-/// load.
+/// Returns as many zones as settings may name: locations, which fall back to the parents, and parents, which
+/// fall back to each other.
 fn zones(locations: u16) -> Vec<Zone> {
-    let cold = 20_000 * MILLISECOND;
-    let hubs = locations..MAX_ZONES as u16;
+    let warm_up = 20_000 * MILLISECOND;
+    let parents = locations..MAX_ZONES as u16;
     let location = |zone| Zone {
         kind: Kind::Location,
-        region: zone % HUBS,
-        warm_up: cold,
-        fallbacks: hubs.clone().collect(),
+        region: zone % PARENT_ZONES,
+        warm_up,
+        fallbacks: parents.clone().collect(),
     };
-    let hub = |zone| Zone {
+    let parent = |zone| Zone {
         kind: Kind::Parent,
         region: zone - locations,
-        warm_up: cold,
-        fallbacks: hubs.clone().filter(|other| *other != zone).collect(),
+        warm_up,
+        fallbacks: parents.clone().filter(|other| *other != zone).collect(),
     };
-    (0..locations).map(location).chain(hubs.clone().map(hub)).collect()
+    (0..locations).map(location).chain(parents.clone().map(parent)).collect()
 }
 
-/// The zone that fails in an outage.
-pub const FAILING: u16 = MAX_ZONES as u16 - HUBS;
+/// The zone that fails in an outage: the first parent zone.
+pub const FAILING_ZONE: u16 = MAX_ZONES as u16 - PARENT_ZONES;
 
-/// The tree: the first budget is shared by all, the second by each region for itself.
+/// Returns the recipe of the tree: all proxies share the first budget, and each region has a second budget of
+/// its own.
 pub fn tree() -> Recipe<TreeProxy> {
     Recipe {
         design: Design::Tree,
         budgets: Box::new(|layout| {
-            let region_of = (0..layout.proxies).map(|place| layout.region(place) as u16).collect();
-            let [fleet, _] = wholes(layout);
+            let region_of = (0..layout.proxies).map(|index| layout.region(index) as u16).collect();
+            let [fleet, _] = budget_totals(layout);
             vec![
                 CheckedBudget { total: fleet, group_of: vec![0; layout.proxies] },
-                CheckedBudget { total: region_whole(layout), group_of: region_of },
+                CheckedBudget { total: region_total(layout), group_of: region_of },
             ]
         }),
         build: Box::new(|layout| {
             let (layout, topology) = (*layout, Arc::new(topology(layout)));
-            Box::new(move |place, now, entropy| tree_proxy(&layout, &topology, place, now, entropy))
+            Box::new(move |index, now, entropy| tree_proxy(&layout, &topology, index, now, entropy))
         }),
     }
 }
 
-/// The whole of the second budget for each region of the mean size.
-fn region_whole(layout: &Layout) -> u32 {
-    (wholes(layout)[1] / layout.regions as u32).max(1)
+/// Returns the total of the second budget of a region of mean size, in units.
+fn region_total(layout: &Layout) -> u32 {
+    (budget_totals(layout)[1] / layout.regions as u32).max(1)
 }
 
+/// Returns the regions and sites of all proxies.
 fn topology(layout: &Layout) -> Topology {
     let names: Vec<(String, String)> = (0..layout.proxies)
         .map(|p| (format!("r{}", layout.region(p)), format!("s{}", layout.site(p))))
@@ -166,17 +172,17 @@
 fn tree_proxy(
     layout: &Layout,
     topology: &Arc<Topology>,
-    place: u16,
+    index: u16,
     now: Micros,
     entropy: [u8; 32],
 ) -> TreeProxy {
-    let [fleet, _] = wholes(layout);
+    let [fleet, _] = budget_totals(layout);
     let budgets = vec![
         SharedBudget { total_units: fleet, scope: Scope::Fleet },
-        SharedBudget { total_units: region_whole(layout), scope: Scope::Region },
+        SharedBudget { total_units: region_total(layout), scope: Scope::Region },
     ];
     let settings = threadward_control::Settings {
-        proxy_index: place,
+        proxy_index: index,
         topology: Arc::clone(topology),
         budgets: budgets.clone(),
         lease: LEASE,
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -4,7 +4,7 @@
 //!
 //! The sums of all shares are compared with the totals every 100 ms of virtual time and not after each event:
 //! the cost of checking after each event would grow with the fleet and distort what is measured.
-use super::hollow::{Control, Out};
+use super::hollow::{Control, Outbox};
 use super::meter::{Count, Meter, Reading};
 use super::report::Role;
 use crate::event_queue::EventQueue;
@@ -241,9 +241,9 @@
 
     /// Calls a part of a process, counts what the call did, arms the ticks of all parts and sends the
     /// messages.
-    fn call(&mut self, place: usize, part: usize, f: impl FnOnce(&mut C, Micros, &mut Out)) {
+    fn call(&mut self, place: usize, part: usize, f: impl FnOnce(&mut C, Micros, &mut Outbox)) {
         let (clock, now, meter) = (self.clock(place), self.queue.now, self.meter);
-        let mut out = Out::new();
+        let mut out = Outbox::new();
         let node = &mut self.nodes[place];
         let Some(instance) = &mut node.instance else { return };
         let count = &mut node.counts[part];
@@ -340,8 +340,8 @@
         }
     }
 
-    /// Compares the sums of all shares with the totals, counts the coordinators, and updates the shortages of a
-    /// watch.
+    /// Compares the sums of all shares with the totals, counts the coordinators, and updates the shortages of
+    /// a watch.
     fn check(&mut self) {
         let interval = if self.watched_since.is_some() { WATCH_CHECK_INTERVAL } else { CHECK_INTERVAL };
         self.next_check = self.queue.now + interval;
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow proxy: the control code with synthetic demand and evidence, and no data path.
+//! Hollow proxies: the control code with synthetic demand and synthetic observations, without a data path.
 use super::report::{Part, Role};
 use nickelgate::Micros;
 use std::cell::Cell;
@@ -7,38 +7,38 @@
 use threadward_control::{ControlTree, Level};
 use threadward_zones::{wire, Author, ElectionView, ZoneObservation, ZoneUse, Zones};
 
-/// How often a proxy looks at what its traffic showed.
-const LOOK: Micros = 100_000;
+/// Interval at which a proxy observes its zones.
+const OBSERVE_INTERVAL: Micros = 100_000;
 
-/// Messages to send: to which place, and the bytes.
-pub type Out = Vec<(u16, Vec<u8>)>;
+/// Messages to send: the recipient's index and the bytes.
+pub type Outbox = Vec<(u16, Vec<u8>)>;
 
-/// The control code of one process, in one or two parts that share the process's socket.
+/// The control code of one process. It has one or two parts, which share the process's socket.
 pub trait Control {
-    /// Its parts, which are measured apart.
+    /// The parts, which are measured separately.
     const PARTS: &'static [Part];
 
-    /// Carries out what is due in a part.
-    fn tick(&mut self, part: usize, now: Micros, out: &mut Out);
-    /// When a part has something to do next.
+    /// Does what is due in a part.
+    fn tick(&mut self, part: usize, now: Micros, outbox: &mut Outbox);
+    /// Returns when a part next has something to do.
     fn next_due(&self, part: usize) -> Micros;
-    /// Which part a message belongs to.
+    /// Returns the index of the part that a message belongs to.
     fn part_of(bytes: &[u8]) -> usize;
-    /// Takes a message.
-    fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], out: &mut Out);
-    /// What it may use of a budget now, in units.
+    /// Handles a received message.
+    fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], outbox: &mut Outbox);
+    /// Returns the units of a budget that the process may use now.
     fn share(&mut self, now: Micros, budget: usize) -> u32;
-    /// What it does for others now.
+    /// Returns the present role of the process.
     fn role(&self, now: Micros) -> Role;
 }
 
-/// A proxy of the tree: leaders of sites, regions and the fleet.
+/// A proxy of the tree, in which sites, regions and the fleet have leaders.
 pub struct TreeProxy {
     tree: ControlTree,
 }
 
 impl TreeProxy {
-    /// It wants what it was told to want before.
+    /// Creates a proxy with the demand that is set already.
     pub fn new(tree: ControlTree) -> TreeProxy {
         TreeProxy { tree }
     }
@@ -47,8 +47,8 @@
 impl Control for TreeProxy {
     const PARTS: &'static [Part] = &[Part::Budgets];
 
-    fn tick(&mut self, _: usize, now: Micros, out: &mut Out) {
-        self.tree.tick(now, out);
+    fn tick(&mut self, _: usize, now: Micros, outbox: &mut Outbox) {
+        self.tree.tick(now, outbox);
     }
     fn next_due(&self, _: usize) -> Micros {
         self.tree.next_due()
@@ -56,8 +56,8 @@
     fn part_of(_: &[u8]) -> usize {
         0
     }
-    fn receive(&mut self, _: usize, now: Micros, _: u16, bytes: &[u8], out: &mut Out) {
-        self.tree.receive(now, bytes, out);
+    fn receive(&mut self, _: usize, now: Micros, _: u16, bytes: &[u8], outbox: &mut Outbox) {
+        self.tree.receive(now, bytes, outbox);
     }
     fn share(&mut self, now: Micros, budget: usize) -> u32 {
         self.tree.share(now, budget)
@@ -76,61 +76,54 @@
     }
 }
 
-/// A proxy of the star that leaves and takes back zones with the others, by the budgets' election. All see
-/// the same zones fail.
+/// A proxy of the star that leaves and takes back zones together with the others. The coordinator of the
+/// budgets decides on zones, and all proxies see the same zones fail.
 pub struct ZonedProxy {
     star: StarProxy,
-    place: u16,
+    index: u16,
     zones: Zones,
     evidence: Evidence,
-    next_look: Micros,
+    next_observation: Micros,
 }
 
-/// What a hollow proxy's attempts show.
+/// The synthetic observations of a hollow proxy's attempts.
 #[derive(Clone, Debug)]
 pub struct Evidence {
-    /// The zone in which it stands.
-    pub stands: u16,
-    /// The zones that all use: from here to the last.
-    pub hubs: u16,
-    /// Zones in all.
+    /// The zone of the proxy.
+    pub own_zone: u16,
+    /// The first parent zone. All proxies use the zones from this one to the last.
+    pub first_parent: u16,
+    /// Number of zones.
     pub zones: u16,
-    /// The zone at which every attempt fails, the same for all; it comes and goes.
+    /// The zone at which every attempt fails at the moment, if any; shared by all proxies.
     pub failing: Rc<Cell<Option<u16>>>,
 }
 
 impl Evidence {
-    fn seen(&self, zones: &Zones) -> Vec<ZoneObservation> {
-        let used = std::iter::once(self.stands).chain(self.hubs..self.zones);
-        let seen = |zone| {
-            let tried = if zones.usage(zone) == ZoneUse::Unused { 0 } else { 40 };
+    /// Returns the observations of all zones that the proxy uses.
+    fn observations(&self, zones: &Zones) -> Vec<ZoneObservation> {
+        let used = std::iter::once(self.own_zone).chain(self.first_parent..self.zones);
+        let observe = |zone| {
+            let attempts = if zones.usage(zone) == ZoneUse::Unused { 0 } else { 40 };
             let failing = self.failing.get() == Some(zone);
-            let (failed, bad) = if failing { (tried, 20) } else { (0, 0) };
-            ZoneObservation {
-                zone,
-                attempts: tried,
-                failed,
-                members: 20,
-                bad_members: bad,
-                load: tried,
-                mean_use: 60,
-            }
+            let (failed, bad_members) = if failing { (attempts, 20) } else { (0, 0) };
+            ZoneObservation { zone, attempts, failed, members: 20, bad_members, load: attempts, mean_use: 60 }
         };
-        used.map(seen).collect()
+        used.map(observe).collect()
     }
 }
 
 impl ZonedProxy {
-    /// It looks at its evidence every 100 ms, as `node/src/zones.rs` does.
-    pub fn new(place: u16, star: StarProxy, zones: Zones, evidence: Evidence, now: Micros) -> ZonedProxy {
-        ZonedProxy { star, place, zones, evidence, next_look: now }
+    /// Creates a proxy that observes its zones every 100 ms, as `node/src/zones.rs` does.
+    pub fn new(index: u16, star: StarProxy, zones: Zones, evidence: Evidence, now: Micros) -> ZonedProxy {
+        ZonedProxy { star, index, zones, evidence, next_observation: now }
     }
 
-    /// What the budgets' election says.
-    fn seat(&self, now: Micros) -> ElectionView {
+    /// Returns the state of the budgets' election, which the zones use as well.
+    fn election(&self, now: Micros) -> ElectionView {
         let budgets = &self.star.budgets;
         let decides = budgets.is_coordinator(now);
-        let decider = if decides { self.place } else { budgets.coordinator() };
+        let decider = if decides { self.index } else { budgets.coordinator() };
         ElectionView { is_decider: decides, promised_to: budgets.promised_to(now), decider }
     }
 }
@@ -138,33 +131,33 @@
 impl Control for ZonedProxy {
     const PARTS: &'static [Part] = &[Part::Budgets, Part::Zones];
 
-    fn tick(&mut self, part: usize, now: Micros, out: &mut Out) {
+    fn tick(&mut self, part: usize, now: Micros, outbox: &mut Outbox) {
         if part == 0 {
-            return self.star.tick(part, now, out);
+            return self.star.tick(part, now, outbox);
         }
-        if now >= self.next_look {
-            self.next_look = now + LOOK;
-            let seen = self.evidence.seen(&self.zones);
-            self.zones.observe(now, seen);
+        if now >= self.next_observation {
+            self.next_observation = now + OBSERVE_INTERVAL;
+            let observations = self.evidence.observations(&self.zones);
+            self.zones.observe(now, observations);
         }
-        let seat = self.seat(now);
-        self.zones.tick(now, seat, out);
+        let election = self.election(now);
+        self.zones.tick(now, election, outbox);
     }
     fn next_due(&self, part: usize) -> Micros {
         match part {
             0 => self.star.next_due(part),
-            _ => self.zones.next_due().min(self.next_look),
+            _ => self.zones.next_due().min(self.next_observation),
         }
     }
     fn part_of(bytes: &[u8]) -> usize {
         usize::from(wire::is_zones_message(bytes))
     }
-    fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], out: &mut Out) {
+    fn receive(&mut self, part: usize, now: Micros, from: u16, bytes: &[u8], outbox: &mut Outbox) {
         if part == 0 {
-            return self.star.receive(part, now, from, bytes, out);
+            return self.star.receive(part, now, from, bytes, outbox);
         }
-        let seat = self.seat(now);
-        self.zones.receive(now, from, bytes, seat, out);
+        let election = self.election(now);
+        self.zones.receive(now, from, bytes, election, outbox);
     }
     fn share(&mut self, now: Micros, budget: usize) -> u32 {
         self.star.share(now, budget)
@@ -174,19 +167,19 @@
     }
 }
 
-/// A proxy of the star: one of the voters divides for all.
+/// A proxy of the star, in which one of the voters divides the budgets for all.
 pub struct StarProxy {
     budgets: Budgets,
-    votes: bool,
+    is_voter: bool,
 }
 
 impl StarProxy {
-    /// It wants what it was told to want before.
-    pub fn new(budgets: Budgets, votes: bool) -> StarProxy {
-        StarProxy { budgets, votes }
+    /// Creates a proxy with the demand that is set already.
+    pub fn new(budgets: Budgets, is_voter: bool) -> StarProxy {
+        StarProxy { budgets, is_voter }
     }
 
-    /// Its place and life, by which the election knows it.
+    /// Returns the index and incarnation that identify the process in the election.
     pub fn author(&self) -> Author {
         self.budgets.identity()
     }
@@ -195,8 +188,8 @@
 impl Control for StarProxy {
     const PARTS: &'static [Part] = &[Part::Budgets];
 
-    fn tick(&mut self, _: usize, now: Micros, out: &mut Out) {
-        self.budgets.tick(now, out);
+    fn tick(&mut self, _: usize, now: Micros, outbox: &mut Outbox) {
+        self.budgets.tick(now, outbox);
     }
     fn next_due(&self, _: usize) -> Micros {
         self.budgets.next_due()
@@ -204,14 +197,14 @@
     fn part_of(_: &[u8]) -> usize {
         0
     }
-    fn receive(&mut self, _: usize, now: Micros, _: u16, bytes: &[u8], out: &mut Out) {
-        self.budgets.receive(now, bytes, out);
+    fn receive(&mut self, _: usize, now: Micros, _: u16, bytes: &[u8], outbox: &mut Outbox) {
+        self.budgets.receive(now, bytes, outbox);
     }
     fn share(&mut self, now: Micros, budget: usize) -> u32 {
         self.budgets.share(now, budget)
     }
     fn role(&self, now: Micros) -> Role {
-        match (self.budgets.is_coordinator(now), self.votes) {
+        match (self.budgets.is_coordinator(now), self.is_voter) {
             (true, _) => Role::Leader,
             (_, true) => Role::Voter,
             _ => Role::Proxy,
