--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! Measures how control traffic, processor time and memory grow with the fleet: hollow proxies, which run the
-//! control code without a data path, in virtual time, and beside real processes on loopback sockets.
+//! Measures how control traffic, processor time and memory grow with the fleet. Hollow proxies, which run the
+//! control code without a data path, are measured in virtual time and beside real processes on loopback
+//! sockets.
 pub mod builds;
 pub mod cut;
 pub mod discovery;
--- a/lab/src/scale/real/discovery.rs
+++ b/lab/src/scale/real/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of discovery: it answers every watch and tells it nothing but that it is still there.
+//! A stand-in of discovery that answers every watch and sends it heartbeats only.
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,66 +6,70 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often a new watch is looked for.
+/// Interval at which new connections are accepted.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How often every watch hears that it is alive.
+/// Interval of the heartbeats on every watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a watch's request may take.
+/// Timeout of reading and writing on a watch.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// More watches than that are not taken.
+/// Maximum number of open watches; further connections are closed.
 const MAX_WATCHES: usize = 64;
-/// Bytes of a watch's request at most.
-const MAX_REQUEST: usize = 4_096;
+/// Maximum size of a watch's request.
+const MAX_REQUEST_BYTES: usize = 4_096;
 
-/// The stand-in; it ends when this is dropped.
+/// The running stand-in, which stops when this is dropped.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Discovery {
+    /// Starts the stand-in in a thread of its own.
+    ///
     /// # Errors
-    /// Where the address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub fn start(address: SocketAddr) -> Result<Discovery, String> {
         let listening = TcpListener::bind(address)
             .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
             .map_err(|error| format!("discovery stand-in: {address}: {error}"))?;
-        let ends = Arc::new(AtomicBool::new(false));
-        let ended = ends.clone();
-        let thread = Some(std::thread::spawn(move || serve(&listening, &ended)));
-        Ok(Discovery { address, ends, thread })
+        let stop = Arc::new(AtomicBool::new(false));
+        let stop_requested = stop.clone();
+        let thread = Some(std::thread::spawn(move || serve(&listening, &stop_requested)));
+        Ok(Discovery { address, stop, thread })
     }
 }
 
 impl Drop for Discovery {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.join().ok();
         }
     }
 }
 
-fn serve(listener: &TcpListener, ended: &AtomicBool) {
+/// Accepts watches and sends heartbeats until a stop is requested.
+fn serve(listener: &TcpListener, stop_requested: &AtomicBool) {
     let mut watches: Vec<TcpStream> = Vec::new();
-    let mut next = Instant::now();
-    while !ended.load(Ordering::Relaxed) {
+    let mut next_heartbeat = Instant::now();
+    while !stop_requested.load(Ordering::Relaxed) {
         if let Ok((stream, _)) = listener.accept() {
             if watches.len() < MAX_WATCHES {
                 watches.extend(answer(stream));
             }
         }
-        if Instant::now() >= next {
-            next = Instant::now() + HEARTBEAT_INTERVAL;
+        if Instant::now() >= next_heartbeat {
+            next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
             watches.retain_mut(|watch| watch.write_all(b":\n\n").is_ok());
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Reads a request to its end, and begins the stream of events.
+/// Reads a request to its end and begins the stream of events. Returns `None` if the request is too long or
+/// the connection fails.
 fn answer(mut stream: TcpStream) -> Option<TcpStream> {
     stream.set_nonblocking(false).ok()?;
     stream.set_read_timeout(Some(REQUEST_TIMEOUT)).ok()?;
@@ -74,7 +78,7 @@
     while !request.ends_with(b"\r\n\r\n") {
         let length = stream.read(&mut chunk).ok().filter(|length| *length > 0)?;
         request.extend_from_slice(&chunk[..length]);
-        if request.len() > MAX_REQUEST {
+        if request.len() > MAX_REQUEST_BYTES {
             return None;
         }
     }
--- a/lab/src/scale/real/files.rs
+++ b/lab/src/scale/real/files.rs
@@ -1,5 +1,5 @@
-//! The files that the processes of a run read: the operators' file and the configuration of the program, the
-//! job of a host.
+//! Writes the files that the processes of a run read: the program's operators' file and configuration, and
+//! the host's job.
 use super::plan::{FleetPlan, HostJob};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -7,40 +7,45 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Probes of one cache a second, of all together.
-const PROBES_PER_CACHE: u32 = 5;
-/// Units of the budget in a probe a second, as the program counts them.
+/// Probes of one cache a second, by all proxies together.
+const PROBES_PER_CACHE_S: u32 = 5;
+/// Budget units of one probe a second, as the program counts them.
 const UNITS_PER_PROBE: u32 = 1_000;
 
-/// The whole of the one budget that the operators' file names, in units.
-pub const WHOLE: u32 = PROBES_PER_CACHE * UNITS_PER_PROBE;
+/// Total of the one budget that the operators' file names, in units.
+pub const TOTAL_UNITS: u32 = PROBES_PER_CACHE_S * UNITS_PER_PROBE;
 
+/// Writes a file and returns its path.
 fn write(path: PathBuf, text: &str) -> Result<PathBuf, String> {
     std::fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
     Ok(path)
 }
 
-/// The operators' file, which names every proxy of the fleet; its key stands beside it.
-pub fn operators(folder: &Path, fleet: &FleetPlan, addresses: &[SocketAddr]) -> Result<PathBuf, String> {
+/// Writes the operators' file, which names every proxy of the fleet, and the key beside it.
+pub fn write_operators(
+    folder: &Path,
+    fleet: &FleetPlan,
+    addresses: &[SocketAddr],
+) -> Result<PathBuf, String> {
     write(folder.join("key"), &URL_SAFE_NO_PAD.encode(fleet.key))?;
     let lease = fleet.lease / 1_000;
     let mut text = format!(
-        "[budgets]\nsecret_file = \"key\"\nlease_ms = {lease}\nprobes_per_cache_s = {PROBES_PER_CACHE}\n"
+        "[budgets]\nsecret_file = \"key\"\nlease_ms = {lease}\nprobes_per_cache_s = {PROBES_PER_CACHE_S}\n"
     );
-    for (place, address) in addresses.iter().enumerate() {
-        let votes = fleet.voters.iter().any(|voter| usize::from(*voter) == place);
+    for (index, address) in addresses.iter().enumerate() {
+        let is_voter = fleet.voters.iter().any(|voter| usize::from(*voter) == index);
         let proxy =
-            format!("[[budgets.proxy]]\nname = \"n{place}\"\naddress = \"{address}\"\nvoter = {votes}\n");
+            format!("[[budgets.proxy]]\nname = \"n{index}\"\naddress = \"{address}\"\nvoter = {is_voter}\n");
         write!(text, "\n{proxy}").map_err(|error| error.to_string())?;
     }
     write(folder.join("operators.toml"), &text)
 }
 
-/// The configuration of the real process of a place: one that may probe caches, as only such a one wants a
-/// share.
-pub fn configuration(
+/// Writes the configuration of the real process with this index. It allows probes, because only a proxy that
+/// may probe caches asks for a share.
+pub fn write_configuration(
     folder: &Path,
-    place: u16,
+    index: u16,
     front: SocketAddr,
     discovery: SocketAddr,
     cache: SocketAddr,
@@ -54,7 +59,7 @@
     let servers = [server("s-0", "east", "std", cache), server("origin", "hub", "origin", cache)];
     let list = serde_json::json!({ "no": 0, "roster": { "version": 1, "full": true, "servers": servers } });
     let json = serde_json::json!({
-        "name": format!("n{place}"),
+        "name": format!("n{index}"),
         "listen": front,
         "seed": "8c1f30d27a5be964",
         "limits": { "memory_mb": 192, "sockets": 1024 },
@@ -62,9 +67,10 @@
         "known": { "no": 0, "items": [list] },
         "settings": settings(),
     });
-    write(folder.join(format!("{place}.json")), &json.to_string())
+    write(folder.join(format!("{index}.json")), &json.to_string())
 }
 
+/// Returns the `settings` of the configuration.
 fn settings() -> serde_json::Value {
     serde_json::json!({
         "classes": [{
@@ -91,8 +97,8 @@
     })
 }
 
-/// The job of a host.
-pub fn job(folder: &Path, job: &HostJob) -> Result<PathBuf, String> {
+/// Writes the job of a host.
+pub fn write_job(folder: &Path, job: &HostJob) -> Result<PathBuf, String> {
     let text = serde_json::to_string(job).map_err(|error| error.to_string())?;
     write(folder.join(format!("host-{}.json", job.first)), &text)
 }
--- a/lab/src/scale/real/mod.rs
+++ b/lab/src/scale/real/mod.rs
@@ -1,9 +1,10 @@
-//! Real processes of the program beside hosts of many hollow proxies on loopback sockets, compared with the
-//! same fleet in virtual time: it shows whether the figures of virtual time are right.
+//! Runs real processes of the program beside host processes of many hollow proxies on loopback sockets, and
+//! compares them with the same fleet in virtual time. This shows whether the figures of virtual time are
+//! right.
 //!
-//! A fleet has a few real processes in its first places. All others are hollow proxies: the control code
-//! alone, each with a socket and an address of its own, many to a host process. [`run`] starts them, measures
-//! for a while, ends them, and plays the same fleet in virtual time.
+//! The proxies with the lowest indexes are a few real processes. All others are hollow proxies, which run the
+//! control code alone; each has its own socket and address, and a host process contains many of them. [`run`]
+//! starts the processes, measures them, ends them, and simulates the same fleet in virtual time.
 mod discovery;
 mod files;
 mod host;
--- a/lab/src/scale/real/plan.rs
+++ b/lab/src/scale/real/plan.rs
@@ -1,16 +1,17 @@
-//! The fleet of one run: its settings, its addresses, and what a host process is told and reports.
+//! The fleet of one run: its settings, its addresses, and the job and report of a host process.
 use super::proxy::RoleReport;
 use nickelgate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 use threadward_budgets::Settings;
 
-/// Addresses of a host part of 127.0.0.0/8: the last byte goes from 1 to this.
+/// Number of addresses for each value of the third byte of an address in 127.0.0.0/8: the last byte goes from
+/// 1 to this.
 const ADDRESSES_PER_NET: u16 = 250;
-/// Voters of a fleet.
+/// Number of voters of a fleet.
 const VOTERS: u16 = 3;
 
-/// Whose process divides the budgets.
+/// The kind of process that becomes coordinator of the budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CoordinatorKind {
@@ -20,16 +21,16 @@
     Real,
 }
 
-/// What all proxies of a fleet agree on.
+/// The settings that all proxies of a fleet share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetPlan {
-    /// Proxies in the file.
+    /// Number of proxies in the operators' file.
     pub proxies: u16,
-    /// The first places belong to real processes.
+    /// Number of real processes, which have the lowest indexes.
     pub real: u16,
-    /// Places of the voters.
+    /// Indexes of the voters.
     pub voters: Vec<u16>,
-    /// The whole of each budget, in units.
+    /// The total of each budget, in units.
     pub wholes: Vec<u32>,
     /// Lease time, in microseconds.
     pub lease: Micros,
@@ -38,10 +39,10 @@
 }
 
 impl FleetPlan {
-    /// The settings of one place.
-    pub fn settings(&self, place: u16) -> Settings {
+    /// Returns the budget settings of one proxy.
+    pub fn settings(&self, index: u16) -> Settings {
         Settings {
-            index: place,
+            index,
             proxies: self.proxies,
             voters: self.voters.clone(),
             totals: self.wholes.clone(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The voters: the real processes, or the hollow proxies that follow them.
+    /// Returns the indexes of the voters: the real processes, or the hollow proxies that follow them.
     pub fn voters(divider: CoordinatorKind, real: u16) -> Vec<u16> {
         match divider {
             CoordinatorKind::Real => (0..VOTERS).collect(),
@@ -58,45 +59,45 @@
     }
 }
 
-/// An address for each place, of one port: 127.`net`.1.1 and on.
+/// Returns an address for each proxy, with one port: 127.`net`.1.1 and following.
 pub fn addresses(net: u8, port: u16, proxies: u16) -> Vec<SocketAddr> {
-    let address = |place: u16| {
-        let [third, last] = [place / ADDRESSES_PER_NET, place % ADDRESSES_PER_NET].map(|byte| byte as u8 + 1);
+    let address = |index: u16| {
+        let [third, last] = [index / ADDRESSES_PER_NET, index % ADDRESSES_PER_NET].map(|byte| byte as u8 + 1);
         SocketAddr::from((Ipv4Addr::new(127, net, third, last), port))
     };
     (0..proxies).map(address).collect()
 }
 
-/// What a host process is told, in a file.
+/// The job of a host process, which it reads from a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostJob {
     /// The fleet.
     pub fleet: FleetPlan,
-    /// The address of each place.
+    /// The address of each proxy.
     pub addresses: Vec<SocketAddr>,
-    /// The host's places: from the first to before the end.
+    /// Index of the host's first proxy.
     pub first: u16,
-    /// The place after its last.
+    /// Index after the host's last proxy.
     pub end: u16,
-    /// Seconds until it begins to measure.
+    /// Seconds before the measurement begins.
     pub settle_seconds: u64,
-    /// Seconds that it measures.
+    /// Duration of the measurement, in seconds.
     pub seconds: u64,
-    /// For the proxies' random numbers; has to differ with every run.
+    /// Seed of the proxies' random numbers, which has to differ between runs.
     pub seed: u64,
 }
 
-/// What a host process measured.
+/// The report of a host process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostReport {
-    /// Seconds that it measured.
+    /// Duration of the measurement, in seconds.
     pub seconds: f64,
-    /// What its proxies did, by role.
+    /// The traffic and processor time of its proxies, by role.
     pub roles: RoleReport,
-    /// How late the latest due call was, in microseconds: how far the host fell behind its own schedule.
+    /// Largest delay of a due call, in microseconds: how far the host fell behind its own schedule.
     pub latest: Micros,
-    /// Datagrams that the system did not take.
+    /// Number of datagrams that the system refused to send.
     pub unsent: u64,
-    /// Times that one of its proxies began to divide while it measured.
+    /// How often one of its proxies became coordinator during the measurement.
     pub elections: u64,
 }
--- a/lab/src/scale/real/run.rs
+++ b/lab/src/scale/real/run.rs
@@ -156,7 +156,7 @@
         proxies: settings.proxies,
         real: REAL_PROCESSES,
         voters: FleetPlan::voters(settings.coordinator, REAL_PROCESSES),
-        wholes: vec![files::WHOLE],
+        wholes: vec![files::TOTAL_UNITS],
         lease: LEASE,
         key: [7; 32],
     }
@@ -171,10 +171,11 @@
     let port = free[0].port();
     let addresses = addresses(own_net(), port, fleet.proxies);
     let discovery = Discovery::start(free[1])?;
-    let operators = files::operators(folder.path(), fleet, &addresses)?;
+    let operators = files::write_operators(folder.path(), fleet, &addresses)?;
     let mut real = Vec::new();
     for (place, front) in (0..fleet.real).zip(&free[3..]) {
-        let configuration = files::configuration(folder.path(), place, *front, discovery.address, free[2])?;
+        let configuration =
+            files::write_configuration(folder.path(), place, *front, discovery.address, free[2])?;
         real.push(RealProcess::start(&program, &operators, &configuration)?);
     }
     let hosts = start_hosts(settings, fleet, &addresses, &folder)?;
@@ -224,7 +225,7 @@
             seconds: settings.seconds,
             seed,
         };
-        let path = files::job(folder.path(), &job)?;
+        let path = files::write_job(folder.path(), &job)?;
         let command = &settings.host;
         let start = command
             .arguments
@@ -291,7 +292,7 @@
 /// Nothing where it changed, or where nobody or more than one divided at the end.
 fn roles(settings: &RealRun, measured: &Measured) -> Option<Roles> {
     let (dividing, others): (Vec<&ProcessRates>, Vec<&ProcessRates>) =
-        measured.processes.iter().partition(|rates| rates.divides);
+        measured.processes.iter().partition(|rates| rates.is_coordinator);
     let beside = |figure: fn(&ProcessRates) -> f64| mean(others.iter().map(|rates| figure(rates)));
     let (process_bytes, process_core) = (beside(|rates| rates.bytes), beside(ProcessRates::core));
     let report = &measured.report;
@@ -316,7 +317,7 @@
 
 fn figures(settings: &RealRun, measured: &Measured, played: &Played) -> RealFigures {
     let (report, paced) = (&measured.report, &played.paced);
-    let (seconds, played) = (settings.seconds as f64, &played.free);
+    let (seconds, played) = (settings.seconds as f64, &played.unpaced);
     let process_role = match settings.coordinator {
         CoordinatorKind::Hollow => Role::Ordinary,
         CoordinatorKind::Real => Role::Voter,
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,15 +1,15 @@
-//! The report of a scale run, as `docs/capacity.json` keeps it.
+//! The report of a scale run, in the format of `docs/capacity.json`.
 use super::fit::Fit;
 use super::real::RealFigures;
 use serde::{Deserialize, Serialize};
 
-/// How the control plane is laid out.
+/// The layout of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Design {
-    /// One process divides and decides for all.
+    /// One coordinator divides and decides for all proxies.
     Star,
-    /// Sites, regions and the fleet.
+    /// Sites, regions and the fleet each have a leader.
     Tree,
 }
 
@@ -17,21 +17,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Part {
-    /// Shared budgets.
+    /// Budgets shared by all proxies.
     Budgets,
-    /// Zones left and taken back together.
+    /// Zones, which all proxies leave and take back together.
     Zones,
-    /// The watch of discovery: lists and purges.
+    /// The watch of discovery, which brings lists and purges.
     Discovery,
     /// Gossip between proxies.
     Gossip,
 }
 
-/// Whose figures these are.
+/// The role that a figure belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// A proxy that neither votes nor leads: the largest figure of all such proxies.
+    /// A proxy that neither votes nor leads. The figure is the largest of all such proxies.
     Proxy,
     /// A voter that does not lead.
     Voter,
@@ -39,7 +39,7 @@
     SiteLeader,
     /// The leader of a region in a tree.
     RegionLeader,
-    /// The one that divides and decides at the root.
+    /// The leader of the whole fleet, which divides and decides at the root.
     Leader,
     /// The stand-in of the list service.
     ListService,
@@ -47,17 +47,18 @@
     CacheServer,
 }
 
-/// What was measured, with its unit.
+/// A measured quantity, with its unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// Messages a second received.
+    /// Messages received a second.
     MessagesIn,
-    /// Messages a second sent.
+    /// Messages sent a second.
     MessagesOut,
-    /// Bytes a second received, each datagram with its code and without headers of IP and UDP.
+    /// Bytes received a second. Datagrams count with their authentication code and without IP and UDP
+    /// headers.
     BytesIn,
-    /// Bytes a second sent.
+    /// Bytes sent a second, counted in the same way.
     BytesOut,
     /// Processor time of the control code, as a share of one core.
     CoreShare,
@@ -65,21 +66,21 @@
     MemoryBytes,
     /// Open file descriptors for control.
     Descriptors,
-    /// Seconds until a change holds at 99 in 100 proxies.
+    /// Seconds until a change is in force at 99 in 100 proxies.
     EverywhereP99,
-    /// Seconds until a change holds at the last proxy.
+    /// Seconds until a change is in force at the last proxy.
     EverywhereLast,
 }
 
-/// What a quantity is fitted against.
+/// The variable that a quantity is fitted against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Variable {
-    /// Proxies in the fleet.
+    /// Number of proxies in the fleet.
     Proxies,
-    /// Cache servers listed.
+    /// Number of cache servers in the member list.
     Caches,
-    /// Regions.
+    /// Number of regions.
     Regions,
     /// Purges a second.
     PurgesPerSecond,
@@ -92,7 +93,7 @@
 /// One measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size, in units of the variable.
+    /// The value of the variable.
     pub at: f64,
     /// The measured value, in the unit of the quantity.
     pub value: f64,
@@ -101,36 +102,37 @@
 /// Measurements of one quantity at several sizes, and the curve through them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// The layout that was measured.
+    /// The measured layout.
     pub design: Design,
     /// The part of the program.
     pub part: Part,
-    /// Whose figure it is.
+    /// The role that the figures belong to.
     pub role: Role,
-    /// The event during which it was measured, `rest` for none; the names are those of `events.rs`.
+    /// The name of the event during which it was measured, `rest` for none. Most names are those of
+    /// `events.rs`.
     pub event: String,
-    /// What was measured.
+    /// The measured quantity.
     pub quantity: Quantity,
-    /// What it is fitted against.
+    /// The variable that it is fitted against.
     pub against: Variable,
-    /// The measurements, by rising size.
+    /// The measurements, in rising order of the variable.
     pub points: Vec<Point>,
-    /// The curve.
+    /// The curve through the measurements.
     pub fit: Fit,
 }
 
-/// A whole run.
+/// The results of a whole run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The commit that was measured.
     pub commit: String,
-    /// Seconds that the run took.
+    /// The duration of the run, in seconds.
     pub seconds: f64,
-    /// What it did not reach, a sentence each.
+    /// What was not measured and why, a sentence each.
     pub not_reached: Vec<String>,
-    /// The figures of the run's last line; null for one that was not reached.
+    /// The figures that the run prints in its last line; null for one that was not measured.
     pub figures: serde_json::Map<String, serde_json::Value>,
-    /// Runs with real processes, each beside the same fleet in virtual time.
+    /// Runs with real processes, each compared with the same fleet in virtual time.
     #[serde(default)]
     pub real: Vec<RealFigures>,
     /// All measurements.
--- a/lab/src/scale/summary.rs
+++ b/lab/src/scale/summary.rs
@@ -1,4 +1,4 @@
-//! Makes curves and the figures of the last line from what a run measured.
+//! Computes the curves and the summary figures of a run from what it measured.
 use super::fit::Fit;
 use super::measure::Findings;
 use super::real::RealFigures;
@@ -8,29 +8,29 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// Digits after the point of a figure.
-const DIGITS: f64 = 1e6;
+/// Factor that rounds a figure to six digits after the decimal point.
+const ROUNDING_FACTOR: f64 = 1e6;
 
-/// What a run showed.
+/// The results of a run.
 pub struct Summary<'a> {
     /// The target's figures.
     pub target: &'a Target,
     /// All curves.
     pub series: Vec<Series>,
-    /// What was found.
+    /// The measured values and the results of the checks.
     pub findings: Findings,
-    /// The watch of discovery.
+    /// The figures of the watch of discovery.
     pub discovery: Discovery,
-    /// The runs beside real processes.
+    /// The runs with real processes.
     pub real: Vec<RealFigures>,
-    /// What a cut region could use with the tree.
+    /// Fraction of its budget share that a cut-off region could use with the tree.
     pub cut_hour_used: Option<f64>,
-    /// And with the star.
+    /// The same fraction with the star.
     pub cut_hour_used_before: Option<f64>,
 }
 
-/// Curves through the measured values, each by what it grows with. Values of one size only make none; that is
-/// noted.
+/// Fits a curve to the measured values of each quantity. Values of a single size give no curve; how many
+/// quantities that concerns is added to `not_reached`.
 pub fn series(findings: &mut Findings) -> Vec<Series> {
     let mut groups = BTreeMap::new();
     for m in &findings.measured {
@@ -52,13 +52,13 @@
     all
 }
 
-/// A value at a size: as measured, else by the curve. The second: whether it is extrapolated.
+/// Returns the value at a size, as measured or else by the curve, and whether it comes from the curve.
 pub fn value_at(series: &Series, size: f64) -> (f64, bool) {
     let measured = series.points.iter().find(|point| point.at == size);
     measured.map_or_else(|| (series.fit.at(size), true), |point| (point.value, false))
 }
 
-/// A curve's name in words.
+/// Returns a curve's name in words: layout, part, role, quantity and event.
 pub fn series_label(series: &Series) -> String {
     let word = |value: Result<Value, serde_json::Error>| {
         value.ok().and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
@@ -74,6 +74,7 @@
 }
 
 impl Summary<'_> {
+    /// Returns the target's limit of a quantity, if it names one.
     fn limit(&self, quantity: Quantity) -> Option<f64> {
         let control = &self.target.control;
         match quantity {
@@ -84,7 +85,8 @@
         }
     }
 
-    /// The largest ratio of need to limit at the target, with its name, among the shared control of a layout.
+    /// Returns the largest ratio of need to limit at the target's size among budgets and zones of a layout,
+    /// with the curve's name.
     fn worst(&self, design: Design) -> Option<(f64, String)> {
         let size = f64::from(self.target.fleet.proxies);
         let shared = |s: &&Series| s.design == design && matches!(s.part, Part::Budgets | Part::Zones);
@@ -97,48 +99,52 @@
         all.max_by(|one, other| one.0.total_cmp(&other.0))
     }
 
-    /// The largest value of the tree at the target, of any role in any event.
-    fn most(&self, quantities: &[Quantity]) -> Option<f64> {
+    /// Returns the largest value of these quantities in the tree at the target's size, of any role in any
+    /// event.
+    fn largest_in_tree(&self, quantities: &[Quantity]) -> Option<f64> {
         let size = f64::from(self.target.fleet.proxies);
         let tree = |s: &&Series| s.design == Design::Tree && quantities.contains(&s.quantity);
         self.series.iter().filter(tree).map(|s| value_at(s, size).0).max_by(f64::total_cmp)
     }
 
-    /// The largest fleet of the tree that was measured at rest.
-    fn hollow_most(&self) -> Option<f64> {
+    /// Returns the size of the largest fleet of the tree that was measured at rest.
+    fn largest_hollow_fleet(&self) -> Option<f64> {
         let rest = |s: &&Series| s.design == Design::Tree && s.role == Role::Proxy && s.event == "rest";
         let points = self.series.iter().filter(rest).flat_map(|s| &s.points);
         points.map(|point| point.at).max_by(f64::total_cmp)
     }
 
-    /// Of real over virtual bytes the ratio that is furthest from 1, of any role and size.
+    /// Returns the ratio of real to virtual bytes that is furthest from 1, of any role and size.
     fn real_over_virtual(&self) -> Option<f64> {
         let ratios = |r: &RealFigures| [Some(r.bytes_ratio), r.process_bytes_ratio, r.grantor_bytes_ratio];
-        let off = |ratio: &f64| (ratio - 1.0).abs();
+        let deviation = |ratio: &f64| (ratio - 1.0).abs();
         let all = self.real.iter().flat_map(ratios).flatten().filter(|ratio| ratio.is_finite());
-        all.max_by(|one, other| off(one).total_cmp(&off(other)))
+        all.max_by(|one, other| deviation(one).total_cmp(&deviation(other)))
     }
 
-    /// The figures of the last line; null for what was not reached.
+    /// Returns the figures of the last line, null for what was not measured.
     pub fn figures(&self) -> Map<String, Value> {
         let watch = &self.discovery.watch;
-        let with = |need: Option<f64>, watch: f64| need.map(|need| need + watch);
+        let plus = |need: Option<f64>, watch: f64| need.map(|need| need + watch);
         let before = self.worst(Design::Star);
         let after = self.worst(Design::Tree);
         let residual = self.series.iter().map(|s| s.fit.residual).max_by(f64::total_cmp);
         let real_processes = self.real.iter().map(|r| f64::from(r.real_processes)).min_by(f64::total_cmp);
-        let memory = self.most(&[Quantity::MemoryBytes]);
+        let memory = self.largest_in_tree(&[Quantity::MemoryBytes]);
         let numbers = [
-            ("hollow_most", self.hollow_most()),
+            ("hollow_most", self.largest_hollow_fleet()),
             ("real_processes", real_processes),
             ("real_over_virtual_bytes", self.real_over_virtual()),
             ("fit_residual_most", residual),
-            ("memory_gb_most", memory_most()),
-            ("proxy_bytes_s", with(self.most(&[Quantity::BytesIn, Quantity::BytesOut]), watch.bytes_in)),
-            ("proxy_core", with(self.most(&[Quantity::CoreShare]), watch.core)),
-            ("proxy_mb", with(memory, watch.memory).map(|bytes| bytes / 1e6)),
-            // The leaders of a tree are proxies themselves: none of the machines set aside is used.
-            ("control_machines", self.hollow_most().map(|_| 0.0)),
+            ("memory_gb_most", peak_memory_gb()),
+            (
+                "proxy_bytes_s",
+                plus(self.largest_in_tree(&[Quantity::BytesIn, Quantity::BytesOut]), watch.bytes_in),
+            ),
+            ("proxy_core", plus(self.largest_in_tree(&[Quantity::CoreShare]), watch.core)),
+            ("proxy_mb", plus(memory, watch.memory).map(|bytes| bytes / 1e6)),
+            // The leaders of a tree are proxies, so none of the machines set aside for control is used.
+            ("control_machines", self.largest_hollow_fleet().map(|_| 0.0)),
             ("worst_ratio_before", before.as_ref().map(|(ratio, _)| *ratio)),
             ("worst_ratio_after", after.as_ref().map(|(ratio, _)| *ratio)),
             ("overshoot", Some(self.findings.overshoot as f64)),
@@ -148,7 +154,7 @@
             ("purge_everywhere_s_p99", self.discovery.purge_everywhere),
             ("config_everywhere_s_p99", None),
         ];
-        let number = |value: f64| Value::from((value * DIGITS).round() / DIGITS);
+        let number = |value: f64| Value::from((value * ROUNDING_FACTOR).round() / ROUNDING_FACTOR);
         let mut figures: Map<String, Value> = numbers
             .into_iter()
             .map(|(name, value)| {
@@ -160,8 +166,8 @@
     }
 }
 
-/// The most memory that this process had resident so far, in 10^9 bytes.
-fn memory_most() -> Option<f64> {
+/// Returns the peak resident memory of this process, in 10^9 bytes.
+fn peak_memory_gb() -> Option<f64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     let kilobytes: f64 = line.trim().strip_suffix("kB")?.trim().parse().ok()?;
--- a/lab/src/scale/target.rs
+++ b/lab/src/scale/target.rs
@@ -1,41 +1,41 @@
-//! The size that the fleet is designed for, read from `deploy/target.toml`.
+//! The size that the fleet is designed for, as read from `deploy/target.toml`.
 use serde::Deserialize;
 
-/// A target size; every field stands in the file.
+/// A target size. The file has to contain every field.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Machines and places.
+    /// The sizes of the fleet.
     pub fleet: Fleet,
-    /// The data path at the peak.
+    /// The load of the data path at the peak.
     pub load: Load,
     /// Purges.
     pub purges: Purges,
     /// Changes of configuration.
     pub changes: Changes,
-    /// What control may cost.
+    /// The limits of control.
     pub control: Control,
-    /// What fails.
+    /// The failures to be expected.
     pub failures: Failures,
 }
 
-/// Machines and places.
+/// The sizes of the fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Steering proxies.
+    /// Number of steering proxies.
     pub proxies: u32,
-    /// Sites, at which the proxies stand.
+    /// Number of sites that house the proxies.
     pub sites: u32,
-    /// Cache servers.
+    /// Number of cache servers.
     pub caches: u32,
-    /// Regions, of whole sites.
+    /// Number of regions, which consist of whole sites.
     pub regions: u32,
-    /// Zones, of whole regions' machines.
+    /// Number of zones, into which the machines of whole regions are divided.
     pub zones: u32,
 }
 
-/// The data path at the peak.
+/// The load of the data path at the peak.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -43,7 +43,7 @@
     pub requests_per_s: f64,
     /// Bits a second of the whole fleet.
     pub bits_per_s: f64,
-    /// Objects that may be asked for.
+    /// Number of objects that may be requested.
     pub objects: f64,
 }
 
@@ -53,7 +53,7 @@
 pub struct Purges {
     /// Purges a second.
     pub per_s: f64,
-    /// Seconds within which each holds everywhere.
+    /// Seconds within which each is in force everywhere.
     pub everywhere_s: f64,
 }
 
@@ -63,27 +63,27 @@
 pub struct Changes {
     /// Changes a day.
     pub per_day: f64,
-    /// Seconds within which each holds everywhere.
+    /// Seconds within which each is in force everywhere.
     pub everywhere_s: f64,
-    /// A burst, as a multiple of the mean rate.
+    /// The rate of a burst, as a multiple of the mean rate.
     pub burst: f64,
 }
 
-/// What control may cost a proxy, and the machines set aside for control.
+/// The limits of what control may use at a proxy, and the machines set aside for control.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Share of a core.
+    /// Processor time, as a share of a core.
     pub core: f64,
-    /// Megabytes (10^6 bytes) of memory.
+    /// Memory, in megabytes (10^6 bytes).
     pub megabytes: f64,
-    /// Bytes a second, in and out each.
+    /// Bytes a second, in each direction.
     pub bytes_per_s: f64,
     /// Machines set aside for control.
     pub machines: u32,
 }
 
-/// What fails.
+/// The failures to be expected.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failures {
@@ -95,23 +95,23 @@
     pub rack: u32,
     /// Proxies in one zone.
     pub zone: u32,
-    /// Seconds for which regions lose each other.
+    /// Seconds for which regions are cut off from each other.
     pub cut_s: f64,
 }
 
 impl Target {
-    /// Reads a target file's text.
+    /// Parses the text of a target file.
     ///
     /// # Errors
-    /// One line that says what is wrong with it.
+    /// Returns one line that says what is wrong with the text.
     pub fn read(text: &str) -> Result<Target, String> {
         toml::from_str(text).map_err(|error| error.to_string().trim_end().replace('\n', " "))
     }
 
-    /// Whether a fleet of this size can be reckoned with: every figure is finite and over zero.
+    /// Checks that every figure is finite and above zero.
     ///
     /// # Errors
-    /// The first field that is not, in one line.
+    /// Returns one line that names the first field that is not.
     pub fn check(&self) -> Result<(), String> {
         let (fleet, load, failures) = (&self.fleet, &self.load, &self.failures);
         let fields = [
