--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -1,27 +1,30 @@
-//! The generated parts of the page, each between its markers. The prose around them is not touched.
+//! Replaces and compares the generated parts of the page, each between its markers. The text around them is
+//! not changed.
 
 /// A generated part of the page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// Its name in the markers.
+    /// The section's name in the markers.
     pub name: &'static str,
-    /// Its text, with a line break at its end.
+    /// The section's text, which ends with a line break.
     pub text: String,
 }
 
+/// Returns the marker before a section.
 fn begin(name: &str) -> String {
     format!("<!-- begin generated: {name} -->\n")
 }
 
+/// Returns the marker after a section.
 fn end(name: &str) -> String {
     format!("<!-- end generated: {name} -->")
 }
 
-/// Where the text of a section stands in the page, without its markers.
+/// Returns the range of a section's text in the page, without its markers.
 ///
 /// # Errors
-/// A marker that is missing, doubled or in the wrong order.
-fn place(page: &str, name: &str) -> Result<std::ops::Range<usize>, String> {
+/// Returns an error if a marker is missing, doubled or in the wrong order.
+fn section_range(page: &str, name: &str) -> Result<std::ops::Range<usize>, String> {
     let (begin, end) = (begin(name), end(name));
     for marker in [begin.trim_end(), end.as_str()] {
         let found = page.matches(marker).count();
@@ -37,8 +40,8 @@
     }
 }
 
-/// Refuses markers that belong to no section, so that no generated text stays behind unseen.
-fn known(page: &str, sections: &[Section]) -> Result<(), String> {
+/// Refuses markers that belong to no section, so that no outdated generated text remains unnoticed.
+fn check_markers(page: &str, sections: &[Section]) -> Result<(), String> {
     let names = page.split("<!-- begin generated: ").skip(1).filter_map(|rest| rest.split(" -->").next());
     for name in names {
         if !sections.iter().any(|section| section.name == name) {
@@ -48,28 +51,28 @@
     Ok(())
 }
 
-/// The page with the text of all sections in place.
+/// Returns the page with the text of all sections replaced.
 ///
 /// # Errors
-/// A marker that is missing, doubled, unknown or in the wrong order.
+/// Returns an error if a marker is missing, doubled, unknown or in the wrong order.
 pub fn with_sections(page: &str, sections: &[Section]) -> Result<String, String> {
-    known(page, sections)?;
+    check_markers(page, sections)?;
     let mut page = page.to_owned();
     for section in sections {
-        let range = place(&page, section.name)?;
+        let range = section_range(&page, section.name)?;
         page.replace_range(range, &section.text);
     }
     Ok(page)
 }
 
-/// The name of the first section whose text in the page is another one; `None` where all agree.
+/// Returns the name of the first section whose text in the page differs, or `None` if all agree.
 ///
 /// # Errors
-/// As [`with_sections`].
+/// Returns the same errors as [`with_sections`].
 pub fn first_difference(page: &str, sections: &[Section]) -> Result<Option<&'static str>, String> {
-    known(page, sections)?;
+    check_markers(page, sections)?;
     for section in sections {
-        if page[place(page, section.name)?] != section.text {
+        if page[section_range(page, section.name)?] != section.text {
             return Ok(Some(section.name));
         }
     }
--- a/lab/src/scale/real/host.rs
+++ b/lab/src/scale/real/host.rs
@@ -1,5 +1,5 @@
-//! A host process: many hollow proxies in real time, each on a socket and an address of its own. It ends by
-//! itself.
+//! A host process, which runs many hollow proxies in real time, each on its own socket and address. It ends
+//! by itself when its job is done.
 use super::plan::{HostJob, HostReport};
 use super::proxy::{HollowProxy, RoleReport, Traffic};
 use super::virtual_time::{start_of, SECOND};
@@ -17,48 +17,48 @@
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, UdpSocket};
 
-/// The line that says that the measurement begins.
+/// The line that a host prints when the measurement begins.
 pub const MEASURING: &str = "measuring";
-/// It goes on for so long after its report, so that others can end their measurement beside it.
+/// Time that a host runs on after its report, so that other processes can end their measurement beside it.
 const LINGER: Micros = 2 * SECOND;
-/// Seconds that a job may take.
-const MAX_SECONDS: u64 = 600;
-/// Datagrams taken from one socket before the others have their turn.
-const BATCH: usize = 32;
-/// Sockets that one look at the system names at most.
-const READY: usize = 256;
-/// The longest wait for a datagram.
+/// Maximum duration of a job, in seconds.
+const MAX_JOB_SECONDS: u64 = 600;
+/// Maximum number of datagrams read from one socket before the others are served.
+const MAX_BATCH: usize = 32;
+/// Maximum number of ready sockets that one call of epoll returns.
+const MAX_READY_SOCKETS: usize = 256;
+/// Maximum time of one wait for datagrams.
 const MAX_WAIT: Micros = 20_000;
-/// Longer than any message of the budgets with its code.
-const BUFFER: usize = 256;
+/// Size of the receive buffer: longer than any message of the budgets with its authentication code.
+const BUFFER_BYTES: usize = 256;
 
-/// Runs the host of a job; the last argument names its file. It says when it begins to measure, and ends with
-/// one line of JSON, a [`HostReport`].
+/// Runs a host; the last argument names the file of its job. Prints [`MEASURING`] when the measurement begins
+/// and a [`HostReport`] as one line of JSON when it ends.
 ///
 /// # Errors
-/// One line that says why it cannot run.
+/// Returns one line that says why the host cannot run.
 pub fn host(arguments: impl IntoIterator<Item = OsString>) -> Result<(), String> {
     let path = arguments.into_iter().last().ok_or("the host's job is missing")?;
     let text = std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
     let job: HostJob = serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))?;
-    if job.settle_seconds + job.seconds > MAX_SECONDS {
-        return Err(format!("a host runs for {MAX_SECONDS} s at most"));
+    if job.settle_seconds + job.seconds > MAX_JOB_SECONDS {
+        return Err(format!("a host runs for {MAX_JOB_SECONDS} s at most"));
     }
-    enough_descriptors(usize::from(job.end - job.first))?;
+    check_descriptors(usize::from(job.end - job.first))?;
     let mut host = Host::new(&job)?;
     host.run(job.settle_seconds * SECOND);
-    host.begin();
-    say(MEASURING)?;
+    host.begin_measurement();
+    print_line(MEASURING)?;
     let from = uptime();
     host.run(job.seconds * SECOND);
     let report = host.report((uptime() - from) as f64 / SECOND as f64);
-    say(&serde_json::to_string(&report).map_err(|error| error.to_string())?)?;
+    print_line(&serde_json::to_string(&report).map_err(|error| error.to_string())?)?;
     host.run(LINGER);
     Ok(())
 }
 
-/// A host takes half of the descriptors that it may have at most.
-fn enough_descriptors(sockets: usize) -> Result<(), String> {
+/// Refuses to take more than half of the descriptors that the process may open.
+fn check_descriptors(sockets: usize) -> Result<(), String> {
     let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     if sockets as u64 > limit / 2 {
         return Err(format!(
@@ -68,13 +68,13 @@
     Ok(())
 }
 
-/// On a line of its own, whatever stands before it.
-fn say(line: &str) -> Result<(), String> {
+/// Prints a line, which begins on a line of its own even if output without a line break came before.
+fn print_line(line: &str) -> Result<(), String> {
     let mut output = std::io::stdout().lock();
     writeln!(output, "\n{line}").and_then(|()| output.flush()).map_err(|error| error.to_string())
 }
 
-/// Microseconds since this machine started, as in the program.
+/// Returns the microseconds since this machine started, as the program counts them.
 fn uptime() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as Micros * SECOND + time.tv_nsec as Micros / 1_000
@@ -84,10 +84,11 @@
     epoll: OwnedFd,
     sockets: Vec<UdpSocket>,
     proxies: Vec<HollowProxy>,
-    /// The address of each place of the fleet.
+    /// The address of each proxy of the fleet.
     addresses: Vec<SocketAddr>,
     timers: BinaryHeap<Reverse<(Micros, usize)>>,
     armed: Vec<Micros>,
+    /// Largest delay of a due call.
     latest: Micros,
     unsent: u64,
     elections_before: u64,
@@ -124,10 +125,10 @@
         Ok(host)
     }
 
-    /// Goes on for so long.
+    /// Runs all proxies for `span`.
     fn run(&mut self, span: Micros) {
         let until = uptime() + span;
-        let mut ready = Vec::with_capacity(READY);
+        let mut ready = Vec::with_capacity(MAX_READY_SOCKETS);
         while uptime() < until {
             self.tick();
             self.wait(until, &mut ready);
@@ -137,25 +138,25 @@
         }
     }
 
-    /// Waits until a datagram is there or something is due.
+    /// Waits until a datagram arrives or a call is due.
     fn wait(&self, until: Micros, ready: &mut Vec<epoll::Event>) {
         let due = self.timers.peek().map_or(until, |Reverse((due, _))| (*due).min(until));
-        // Whole milliseconds, as the program waits: older systems know no others.
+        // Whole milliseconds, as in the program: older systems support no finer timeout.
         let milliseconds = due.saturating_sub(uptime()).min(MAX_WAIT).div_ceil(1_000);
         let timeout = Timespec { tv_sec: 0, tv_nsec: milliseconds as i64 * 1_000_000 };
         ready.clear();
-        // One that was interrupted finds nothing, and looks again.
+        // An interrupted wait returns nothing, and the caller waits again.
         epoll::wait(&self.epoll, rustix::buffer::spare_capacity(ready), Some(&timeout)).ok();
     }
 
-    /// Carries out what is due.
+    /// Makes all calls that are due.
     fn tick(&mut self) {
         let now = uptime();
         while let Some(Reverse((due, index))) =
             self.timers.peek().copied().filter(|Reverse((due, _))| *due <= now)
         {
             self.timers.pop();
-            // One that was brought forward meanwhile is passed over.
+            // A call that was brought forward is ignored at its old time.
             if self.armed[index] != due {
                 continue;
             }
@@ -167,10 +168,10 @@
         }
     }
 
-    /// Takes what one socket has, a batch at most.
+    /// Handles the datagrams of one socket, at most a batch.
     fn receive(&mut self, index: usize) {
-        let mut buffer = [0; BUFFER];
-        for _ in 0..BATCH {
+        let mut buffer = [0; BUFFER_BYTES];
+        for _ in 0..MAX_BATCH {
             let (socket, proxy) = (&self.sockets[index], &mut self.proxies[index]);
             let mut spent = 0.0;
             let received = timed(proxy.stopwatch, &mut spent, || socket.recv(&mut buffer));
@@ -200,8 +201,8 @@
         self.proxies.iter().map(HollowProxy::elections).sum()
     }
 
-    /// Forgets what was measured until now.
-    fn begin(&mut self) {
+    /// Resets all figures at the begin of the measurement.
+    fn begin_measurement(&mut self) {
         self.proxies.iter_mut().for_each(|proxy| proxy.traffic = Traffic::default());
         (self.latest, self.unsent, self.elections_before) = (0, 0, self.elections());
     }
@@ -215,6 +216,7 @@
     }
 }
 
+/// Binds the socket of a proxy.
 fn bind(address: Option<&SocketAddr>) -> Result<UdpSocket, String> {
     let address = address.ok_or("a place without an address")?;
     let bound = UdpSocket::bind(address).and_then(|socket| socket.set_nonblocking(true).map(|()| socket));
--- a/lab/src/scale/real/proxy.rs
+++ b/lab/src/scale/real/proxy.rs
@@ -1,5 +1,5 @@
-//! One hollow proxy of the star, and the count of what it does. Hosts and virtual time run the same code: it
-//! opens, takes, answers and seals datagrams as the program does.
+//! A hollow proxy of the star with counts of its traffic. Hosts and virtual time run the same code: it opens,
+//! handles, answers and seals datagrams as the program does.
 use super::plan::FleetPlan;
 use crate::scale::stopwatch::{timed, Stopwatch};
 use nickelgate::Micros;
@@ -7,36 +7,36 @@
 use threadward_budgets::seal::{open, seal};
 use threadward_budgets::{Budgets, Outbox};
 
-/// Ordinary proxies of one host whose calls are timed, about.
-const TIMED: u16 = 32;
+/// Number of ordinary proxies of a fleet whose calls are timed, approximately.
+const TIMED_PROXIES: u16 = 32;
 
-/// What a proxy does for others.
+/// The role of a proxy in the budgets' election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It asks for its share.
+    /// It only requests its share.
     Ordinary,
-    /// It votes as well.
+    /// It is_voter as well, and is not the coordinator.
     Voter,
-    /// It divides the budgets.
+    /// It is the coordinator, which divides the budgets.
     Grantor,
 }
 
-/// What was sent and received, and the processor time of it.
+/// The datagrams sent and received, and the processor time spent on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Datagrams received.
     pub messages_in: u64,
     /// Datagrams sent.
     pub messages_out: u64,
-    /// Their bytes, authentication codes included.
+    /// Bytes received, authentication codes included.
     pub bytes_in: u64,
-    /// Their bytes, authentication codes included.
+    /// Bytes sent, authentication codes included.
     pub bytes_out: u64,
     /// Processor time in the control code, in nanoseconds.
     pub control_nanoseconds: f64,
-    /// Processor time for authentication codes.
+    /// Processor time for authentication codes, in nanoseconds.
     pub code_nanoseconds: f64,
-    /// Processor time in system calls that send and receive.
+    /// Processor time in system calls that send and receive, in nanoseconds.
     pub socket_nanoseconds: f64,
 }
 
@@ -51,22 +51,22 @@
         self.socket_nanoseconds += other.socket_nanoseconds;
     }
 
-    /// Messages both ways.
+    /// Returns the number of datagrams in both directions.
     pub fn messages(&self) -> u64 {
         self.messages_in + self.messages_out
     }
 }
 
-/// What all proxies of a role did.
+/// The totals of all proxies of a role.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct RoleTotals {
-    /// How many they are.
+    /// Number of proxies of the role.
     pub proxies: u32,
-    /// Messages and bytes of all.
+    /// Messages and bytes of all these proxies.
     pub all: Traffic,
-    /// How many were timed.
+    /// Number of proxies that were timed.
     pub timed_proxies: u32,
-    /// Messages, bytes and processor time of those.
+    /// Messages, bytes and processor time of the timed proxies.
     pub timed: Traffic,
 }
 
@@ -78,12 +78,12 @@
         self.timed.add(&other.timed);
     }
 
-    /// The mean of one proxy of what was counted of all; 0 without one.
+    /// Returns the mean of a figure over all proxies of the role, or 0 without any.
     pub fn mean(&self, figure: impl Fn(&Traffic) -> u64) -> f64 {
         figure(&self.all) as f64 / f64::from(self.proxies.max(1))
     }
 
-    /// The mean processor time of one proxy; 0 without one that was timed.
+    /// Returns the mean processor time over the timed proxies, or 0 without any.
     pub fn mean_nanoseconds(&self, figure: impl Fn(&Traffic) -> f64) -> f64 {
         figure(&self.timed) / f64::from(self.timed_proxies.max(1))
     }
@@ -92,16 +92,16 @@
 /// The totals of each role.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct RoleReport {
-    /// Those that only ask.
+    /// Proxies that only request their share.
     pub ordinary: RoleTotals,
-    /// Those that vote and do not divide.
+    /// Voters that are not the coordinator.
     pub voter: RoleTotals,
-    /// The one that divides.
+    /// The coordinator.
     pub grantor: RoleTotals,
 }
 
 impl RoleReport {
-    /// Takes in what one proxy did.
+    /// Adds the traffic of one proxy to the totals of its role.
     pub fn count(&mut self, proxy: &HollowProxy, now: Micros) {
         let totals = self.of_mut(proxy.role(now));
         totals.proxies += 1;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes in the report of another host.
+    /// Adds the report of another host.
     pub fn merge(&mut self, other: &RoleReport) {
         self.ordinary.add(&other.ordinary);
         self.voter.add(&other.voter);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The totals of a role.
+    /// Returns the totals of a role.
     pub fn of(&self, role: Role) -> &RoleTotals {
         match role {
             Role::Ordinary => &self.ordinary,
@@ -137,77 +137,81 @@
     }
 }
 
-/// A proxy without a data path that wants all of every budget.
+/// A proxy without a data path that asks for the total of every budget.
 pub struct HollowProxy {
     budgets: Budgets,
-    place: u16,
-    votes: bool,
+    index: u16,
+    is_voter: bool,
     key: [u8; 32],
-    /// Set where its calls are timed: at voters and at some of the ordinary ones.
+    /// Set if its calls are timed, as those of voters and of some ordinary proxies are.
     pub stopwatch: Option<Stopwatch>,
-    /// What it did since this was last cleared.
+    /// The traffic since this was last reset.
     pub traffic: Traffic,
 }
 
 impl HollowProxy {
+    /// Creates a proxy that starts at `start`.
+    ///
     /// # Errors
-    /// One line that says what is wrong with the fleet's settings.
+    /// Returns one line that says what is wrong with the fleet's settings.
     pub fn new(
         fleet: &FleetPlan,
-        place: u16,
+        index: u16,
         start: Micros,
         entropy: [u8; 32],
         stopwatch: Stopwatch,
     ) -> Result<HollowProxy, String> {
-        let mut budgets = Budgets::new(start, fleet.settings(place), entropy)?;
+        let mut budgets = Budgets::new(start, fleet.settings(index), entropy)?;
         fleet.wholes.iter().enumerate().for_each(|(budget, whole)| budgets.set_demand(budget, *whole));
-        let votes = fleet.voters.contains(&place);
-        let sampled = place.is_multiple_of((fleet.proxies / TIMED).max(1));
+        let is_voter = fleet.voters.contains(&index);
+        let sampled = index.is_multiple_of((fleet.proxies / TIMED_PROXIES).max(1));
         Ok(HollowProxy {
             budgets,
-            place,
-            votes,
+            index,
+            is_voter,
             key: fleet.key,
-            stopwatch: (votes || sampled).then_some(stopwatch),
+            stopwatch: (is_voter || sampled).then_some(stopwatch),
             traffic: Traffic::default(),
         })
     }
 
-    /// What it does for others now.
+    /// Returns the present role of the proxy.
     pub fn role(&self, now: Micros) -> Role {
-        match (self.budgets.is_coordinator(now), self.votes) {
+        match (self.budgets.is_coordinator(now), self.is_voter) {
             (true, _) => Role::Grantor,
             (false, true) => Role::Voter,
             (false, false) => Role::Ordinary,
         }
     }
 
-    /// When it has something to do next.
+    /// Returns when the proxy next has something to do.
     pub fn next_due(&self) -> Micros {
         self.budgets.next_due()
     }
 
-    /// Times that it began to divide.
+    /// Returns how often the proxy became coordinator.
     pub fn elections(&self) -> u64 {
         self.budgets.counters.times_elected
     }
 
-    /// Carries out what is due: the datagrams to send, sealed.
+    /// Does what is due and returns the sealed datagrams to send.
     pub fn tick(&mut self, now: Micros) -> Outbox {
         self.call(|budgets, out| budgets.tick(now, out))
     }
 
-    /// Takes a datagram: those to send, sealed. One whose code is not right is passed over.
+    /// Handles a received datagram and returns the sealed datagrams to send. A datagram with a wrong
+    /// authentication code is ignored.
     pub fn receive(&mut self, now: Micros, datagram: &[u8]) -> Outbox {
         self.traffic.messages_in += 1;
         self.traffic.bytes_in += datagram.len() as u64;
-        let (key, place) = (self.key, self.place);
+        let (key, index) = (self.key, self.index);
         let opened =
-            timed(self.stopwatch, &mut self.traffic.code_nanoseconds, || open(&key, place, datagram));
+            timed(self.stopwatch, &mut self.traffic.code_nanoseconds, || open(&key, index, datagram));
         let Some(message) = opened else { return Outbox::new() };
         self.call(|budgets, out| budgets.receive(now, message, out))
     }
 
+    /// Runs a step of the budgets and seals the messages that it sends.
     fn call(&mut self, step: impl FnOnce(&mut Budgets, &mut Outbox)) -> Outbox {
         let mut out = Outbox::new();
         let budgets = &mut self.budgets;
