--- a/lab/src/bin/measure-budgets.rs
+++ b/lab/src/bin/measure-budgets.rs
@@ -55,20 +55,20 @@
     let mut queue: EventQueue<(usize, usize)> = EventQueue::new(S);
     let mut heard = vec![vec![0; N]; N];
     let (mut at_start, mut in_cut) = (0.0f64, 0.0f64);
-    (0..N).for_each(|i| queue.put(S + i as u64 * S / N as u64, (i, i)));
+    (0..N).for_each(|i| queue.schedule(S + i as u64 * S / N as u64, (i, i)));
     while let Some((from, to)) = queue.pop(20 * S) {
         let now = queue.now;
         heard[to][from] = now;
         if from == to {
             // Its own word: to all, and again.
-            queue.put(now + 300 * MS, (from, from));
+            queue.schedule(now + 300 * MS, (from, from));
             for k in (0..N).filter(|k| *k != from) {
-                net.carry(now, from, k, 16).into_iter().for_each(|at| queue.put(at, (from, k)));
+                net.transmit(now, from, k, 16).into_iter().for_each(|at| queue.schedule(at, (from, k)));
             }
         }
         if now > 10 * S && in_cut == 0.0 {
             let (one, other): (Vec<usize>, Vec<usize>) = (0..N).partition(|i| i % 2 == 0);
-            net.part(&one, &other);
+            net.cut_groups(&one, &other);
         }
         let fresh = |h: &&u64| **h > 0 && now < **h + 2 * S;
         let parts = heard.iter().map(|h| h.iter().filter(fresh).count()).filter(|n| *n > 0);
@@ -83,7 +83,7 @@
     let calm = NetworkConditions::default();
     let mut over = 0u32;
     let mut see = |w: &BudgetSimulation| {
-        over = over.max(w.most[0].saturating_sub(WHOLE)).max(w.most[1].saturating_sub(1))
+        over = over.max(w.max_sums[0].saturating_sub(WHOLE)).max(w.max_sums[1].saturating_sub(1))
     };
 
     // 300, all wanting everything.
@@ -97,7 +97,7 @@
     (200..230).for_each(|i| w.start(i));
     let join_s = until(&mut w, |w| (200..230).all(|i| w.share(i, 0) >= 8));
     // The grantor dies.
-    let grantor = w.grantors().first().copied().unwrap_or(0);
+    let grantor = w.coordinators().first().copied().unwrap_or(0);
     w.kill(grantor);
     let from = w.now();
     let mut least = 1.0f64;
@@ -115,7 +115,7 @@
 
     // Half of the demand: the plain part over all in the file leaves the rest unused.
     let mut w = settled(2, calm);
-    (0..usize::from(FLEET)).filter(|i| i % 3 > 0).for_each(|i| w.want(i, 0, 0));
+    (0..usize::from(FLEET)).filter(|i| i % 3 > 0).for_each(|i| w.set_proxy_demand(i, 0, 0));
     w.run(5 * S);
     let third_wants = used(&mut w);
     see(&w);
@@ -123,9 +123,9 @@
     // A cut through the middle, healed; a bad network; 40 of 300 paused for two leases.
     let mut w = settled(3, calm);
     let (one, other): (Vec<usize>, Vec<usize>) = (0..usize::from(FLEET)).partition(|i| i % 2 == 0);
-    w.net.part(&one, &other);
+    w.net.cut_groups(&one, &other);
     let in_cut = used(&mut w);
-    w.net.heal();
+    w.net.restore_links();
     w.run(5 * S);
     see(&w);
     let mut w = settled(
--- a/lab/src/bin/measure-gossip.rs
+++ b/lab/src/bin/measure-gossip.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Instant;
 use threadward_gossip::{keys, wire, Gossip, Output, Settings};
-use threadward_lab::fleet::{cache, hub, Fleet, Record, Scenario, Talk, Trouble, S};
+use threadward_lab::fleet::{cache, parent, Disruption, Fleet, GossipMode, Record, Scenario, S};
 use threadward_lab::gossip_simulation::{self, GossipSimulation};
 use threadward_lab::net::NetworkConditions;
 
@@ -13,17 +13,17 @@
 const SEEDS: std::ops::Range<u64> = 1..13;
 const HANG_AT: u64 = 10;
 
-fn scenario(seed: u64, talk: Talk, hangs: bool) -> Scenario {
-    let sc = Scenario::new(seed, talk).with(cache(6), Trouble::Drain, 18 * S, 40 * S);
+fn scenario(seed: u64, talk: GossipMode, hangs: bool) -> Scenario {
+    let sc = Scenario::new(seed, talk).with(cache(6), Disruption::Drain, 18 * S, 40 * S);
     let (from, to) = (HANG_AT * S, 20 * S);
     let sc = if hangs {
-        sc.with(hub(1), Trouble::Hang, from, to)
+        sc.with(parent(1), Disruption::Hang, from, to)
     } else {
-        sc.with(cache(1), Trouble::FailFast, from, to)
+        sc.with(cache(1), Disruption::FailFast, from, to)
     };
     Scenario {
-        troubles: {
-            let mut t = sc.troubles.clone();
+        disruptions: {
+            let mut t = sc.disruptions.clone();
             t.reverse();
             t
         },
@@ -32,7 +32,7 @@
 }
 
 /// All seeds, each in a thread of its own: hung hub first, then the failing box.
-fn play(talk: Talk) -> Vec<(Record, Record)> {
+fn play(talk: GossipMode) -> Vec<(Record, Record)> {
     let one = |seed| thread::spawn(move || [true, false].map(|h| Fleet::new(scenario(seed, talk, h)).run()));
     let all: Vec<_> = SEEDS.map(one).collect();
     all.into_iter()
@@ -49,7 +49,7 @@
 }
 
 fn worth(of: &[(Record, Record)]) -> f64 {
-    mean(of.iter().flat_map(|(a, b)| [a.worth, b.worth]))
+    mean(of.iter().flat_map(|(a, b)| [a.served_value_share, b.served_value_share]))
 }
 
 /// Bytes a second and instance, with one hub that all see hang for 10 s of 40, once nearly all have found each other;
@@ -57,7 +57,7 @@
 fn growth(n: usize) -> (f64, f64) {
     let mut g = GossipSimulation::new(n, 3, 77, NetworkConditions::default());
     let mut joined = 0.0;
-    while g.live().iter().any(|l| l * 20 < n * 19) && joined < 150.0 {
+    while g.live_counts().iter().any(|l| l * 20 < n * 19) && joined < 150.0 {
         g.run(S);
         joined += 1.0;
     }
@@ -65,7 +65,7 @@
     let before = g.net.bytes;
     for second in 0..40 {
         for i in 0..n {
-            g.shows(i, gossip_simulation::hub(1), (15..25).contains(&second));
+            g.set_member_failing(i, gossip_simulation::parent(1), (15..25).contains(&second));
         }
         g.run(S);
     }
@@ -133,11 +133,14 @@
     let share = flood();
     let (small, _) = growth(4);
     let big = thread::spawn(|| growth(256));
-    let [silent, honest, all, one] = [Talk::Silent, Talk::Honest, Talk::LiarAll, Talk::LiarOne].map(play);
+    let [silent, honest, all, one] =
+        [GossipMode::Silent, GossipMode::Honest, GossipMode::LiarAll, GossipMode::LiarOne].map(play);
     let (large, joined) = big.join().unwrap_or((f64::INFINITY, 0.0));
     let runs = [&silent, &honest, &all, &one];
-    let avoid = |of: &[(Record, Record)]| mean(of.iter().map(|(a, _)| a.all_skip(10 * S) as f64 / 1e3));
-    let avoid_box = |of: &[(Record, Record)]| mean(of.iter().map(|(_, b)| b.all_skip(10 * S) as f64 / 1e3));
+    let avoid =
+        |of: &[(Record, Record)]| mean(of.iter().map(|(a, _)| a.time_until_all_skip(10 * S) as f64 / 1e3));
+    let avoid_box =
+        |of: &[(Record, Record)]| mean(of.iter().map(|(_, b)| b.time_until_all_skip(10 * S) as f64 / 1e3));
     let each =
         |of: &[(Record, Record)]| of.iter().flat_map(|(a, b)| [a.clone(), b.clone()]).collect::<Vec<_>>();
     for (name, of) in ["silent", "honest", "liar of all hubs", "liar of one"].iter().zip(runs) {
@@ -148,8 +151,8 @@
             worth(of),
             avoid(of),
             avoid_box(of),
-            all.iter().map(|r| r.helped).sum::<u32>(),
-            all.iter().map(|r| r.helped_healthy).sum::<u32>(),
+            all.iter().map(|r| r.suspicion_skips_of_failing).sum::<u32>(),
+            all.iter().map(|r| r.suspicion_skips_of_healthy).sum::<u32>(),
             bytes as f64 / n.max(1) as f64,
         );
     }
@@ -161,11 +164,12 @@
     println!(
         "bytes a second and instance: {small:.0} at 4, {large:.0} at 256 (all joined after {joined:.0} s)"
     );
-    let broken: Vec<String> = runs.iter().flat_map(|of| each(of)).flat_map(|r| r.broken).collect();
+    let broken: Vec<String> = runs.iter().flat_map(|of| each(of)).flat_map(|r| r.rule_violations).collect();
     for b in broken.iter().take(10) {
         println!("broken: {b}");
     }
-    let lies = [&all, &one].into_iter().flat_map(|of| each(of)).map(|r| r.helped_healthy).sum::<u32>();
+    let lies =
+        [&all, &one].into_iter().flat_map(|of| each(of)).map(|r| r.suspicion_skips_of_healthy).sum::<u32>();
     let round = |x: f64, to: f64| (x * to).round() / to;
     let json = serde_json::json!({
         "bytes_per_request": round([&honest, &all, &one].map(|of| bytes(of)).into_iter().fold(0.0, f64::max), 100.0),
--- a/lab/src/bin/measure-zones.rs
+++ b/lab/src/bin/measure-zones.rs
@@ -4,49 +4,54 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use threadward_lab::net::NetworkConditions;
-use threadward_lab::regions::{Day, Harm, Record, Regions, S, T0};
+use threadward_lab::regions::{Day, FailureMode, Record, Regions, S, T0};
 
 fn days() -> Vec<Day> {
     let day = |name, seed, hubs: u16| {
         let locations = 12 - hubs;
         Day { locations, members: ((2000 - 40 * hubs) / locations, 40), ..Day::new(name, seed, hubs) }
     };
-    let hub = |d: Day, harm| {
-        let z = d.hub(0);
-        d.with(z, harm, 6 * S, 16 * S)
+    let hub = |d: Day, failure_mode| {
+        let z = d.parent(0);
+        d.with(z, failure_mode, 6 * S, 16 * S)
     };
     let mut twice = day("hub killed, falls again at step two", 7, 3);
-    twice.span = 62 * S;
+    twice.duration = 62 * S;
     let lossy = NetworkConditions { loss: 0.2, ..NetworkConditions::default() };
     let both = day("two hubs killed, the decider lost", 13, 4);
-    let (a, b) = (both.hub(0), both.hub(2));
+    let (a, b) = (both.parent(0), both.parent(2));
     let quiet = day("one proxy cut, a liar, one bad cache", 10, 2);
     vec![
-        hub(day("hub killed", 1, 3), Harm::Kill),
-        day("location killed", 2, 2).with(4, Harm::Kill, 6 * S, 16 * S),
-        hub(day("hub fails fast", 3, 2), Harm::FailFast),
+        hub(day("hub killed", 1, 3), FailureMode::Kill),
+        day("location killed", 2, 2).with(4, FailureMode::Kill, 6 * S, 16 * S),
+        hub(day("hub fails fast", 3, 2), FailureMode::FailFast),
         Day { direct: false, ..day("location fails fast, none takes", 4, 2) }.with(
             2,
-            Harm::FailFast,
+            FailureMode::FailFast,
             6 * S,
             16 * S,
         ),
-        hub(day("hub slow", 5, 3), Harm::Slow),
-        hub(day("hub cut from half", 6, 2), Harm::CutHalf),
-        hub(twice, Harm::KillTwice),
-        day("location drips", 8, 2).with(5, Harm::Drip, 6 * S, 22 * S),
-        hub(Day { conditions: lossy, ..day("hub and messages lose a fifth", 9, 2) }, Harm::Lossy),
+        hub(day("hub slow", 5, 3), FailureMode::Slow),
+        hub(day("hub cut from half", 6, 2), FailureMode::CutHalf),
+        hub(twice, FailureMode::KillTwice),
+        day("location drips", 8, 2).with(5, FailureMode::Drip, 6 * S, 22 * S),
+        hub(Day { conditions: lossy, ..day("hub and messages lose a fifth", 9, 2) }, FailureMode::Lossy),
         Day { cut: Some((17, T0 + 6 * S, T0 + 16 * S)), liar: Some(23), ..quiet }.with(
             3,
-            Harm::OneBad,
+            FailureMode::OneBad,
             6 * S,
             20 * S,
         ),
-        hub(Day { spare: (3.0, 1.4), ..day("hub killed, little room", 11, 2) }, Harm::Kill),
-        Day { direct: false, ..day("location killed, none takes", 12, 2) }.with(6, Harm::Kill, 6 * S, 16 * S),
-        Day { decider_lost: Some(T0 + 6 * S), ..both }.with(a, Harm::Kill, 6 * S, 16 * S).with(
+        hub(Day { capacity_factors: (3.0, 1.4), ..day("hub killed, little room", 11, 2) }, FailureMode::Kill),
+        Day { direct: false, ..day("location killed, none takes", 12, 2) }.with(
+            6,
+            FailureMode::Kill,
+            6 * S,
+            16 * S,
+        ),
+        Day { decider_lost: Some(T0 + 6 * S), ..both }.with(a, FailureMode::Kill, 6 * S, 16 * S).with(
             b,
-            Harm::Kill,
+            FailureMode::Kill,
             6 * S,
             16 * S,
         ),
@@ -85,20 +90,21 @@
         println!(
             "{:38} worth in its hours {:.3} against {:.3}, all day {:.3} against {:.3}; refused {} against {}, failed {} against {}; {:.2} attempts against {:.2}; {:.0} bytes",
             f.name,
-            f.earned_hit / f.asked_hit.max(1e-9), a.earned_hit / a.asked_hit.max(1e-9),
-            f.earned / f.asked, a.earned / a.asked,
+            f.affected_value_served / f.affected_value_requested.max(1e-9), a.affected_value_served / a.affected_value_requested.max(1e-9),
+            f.value_served / f.value_requested, a.value_served / a.value_requested,
             f.refused, a.refused, f.failed, a.failed,
-            f.attempts as f64 / f.requests as f64, a.attempts as f64 / a.requests as f64, f.bytes,
+            f.attempts as f64 / f.requests as f64, a.attempts as f64 / a.requests as f64, f.bytes_per_proxy_s,
         );
         println!(
             "    spread {:?} decide {:?} moves {:?} false {} returns {:.2?}",
-            f.spread, f.decide, f.moves, f.false_leaves, f.returns
+            f.leave_spreads, f.decision_delays, f.leaves_per_outage, f.false_leaves, f.return_ratios
         );
         if only.is_some() {
             f.log.iter().for_each(|l| println!("    {l}"));
         }
         for r in [f, a] {
-            let all = [("rule", &r.broken), ("cold", &r.overspent), ("guard", &r.guard)];
+            let all =
+                [("rule", &r.rule_violations), ("cold", &r.cold_overloads), ("guard", &r.guard_violations)];
             for (what, of) in all.iter().filter(|(_, of)| !of.is_empty()) {
                 println!("    {what} broken {} times: {:?}", of.len(), &of[..of.len().min(3)]);
             }
@@ -108,23 +114,23 @@
     let ratios: Vec<f64> = fleet
         .iter()
         .zip(&alone)
-        .filter(|(f, _)| f.asked_hit > 0.0)
-        .map(|(f, a)| f.earned_hit / a.earned_hit)
+        .filter(|(f, _)| f.affected_value_requested > 0.0)
+        .map(|(f, a)| f.affected_value_served / a.affected_value_served)
         .collect();
     let worth = ratios.iter().sum::<f64>() / ratios.len().max(1) as f64;
-    let spread = p99(fleet.iter().flat_map(|r| r.spread.iter().map(|s| *s as f64 / 1e3)).collect());
-    let slow = |h: &Harm| *h == Harm::Slow;
+    let spread = p99(fleet.iter().flat_map(|r| r.leave_spreads.iter().map(|s| *s as f64 / 1e3)).collect());
+    let slow = |h: &FailureMode| *h == FailureMode::Slow;
     let decide = |which: bool| {
-        let of = fleet.iter().flat_map(|r| &r.decide).filter(|(h, _)| slow(h) == which);
+        let of = fleet.iter().flat_map(|r| &r.decision_delays).filter(|(h, _)| slow(h) == which);
         p99(of.map(|(_, t)| *t as f64 / 1e6).collect())
     };
-    let moves = fleet.iter().flat_map(|r| &r.moves).max().copied().unwrap_or(0);
+    let moves = fleet.iter().flat_map(|r| &r.leaves_per_outage).max().copied().unwrap_or(0);
     let false_leaves: u32 = fleet.iter().map(|r| r.false_leaves).sum();
-    let returns = fleet.iter().flat_map(|r| &r.returns).fold(0.0f64, |a, b| a.max(*b));
-    let cold: usize = fleet.iter().map(|r| r.overspent.len()).sum();
-    let guard: usize = fleet.iter().map(|r| r.guard.len()).sum();
-    let broken: usize = fleet.iter().map(|r| r.broken.len()).sum();
-    let bytes = fleet.iter().fold(0.0f64, |a, r| a.max(r.bytes));
+    let returns = fleet.iter().flat_map(|r| &r.return_ratios).fold(0.0f64, |a, b| a.max(*b));
+    let cold: usize = fleet.iter().map(|r| r.cold_overloads.len()).sum();
+    let guard: usize = fleet.iter().map(|r| r.guard_violations.len()).sum();
+    let broken: usize = fleet.iter().map(|r| r.rule_violations.len()).sum();
+    let bytes = fleet.iter().fold(0.0f64, |a, r| a.max(r.bytes_per_proxy_s));
     let figures = serde_json::json!({
         "leave_spread_ms_p99": spread.round(),
         "decide_s_p99": (decide(false) * 100.0).round() / 100.0,
--- a/lab/src/budget_simulation.rs
+++ b/lab/src/budget_simulation.rs
@@ -52,13 +52,13 @@
     rng: ChaCha8Rng,
     wants: Vec<u32>,
     /// The most that all together could use of each budget at any moment so far.
-    pub most: Vec<u32>,
+    pub max_sums: Vec<u32>,
     /// Proxies whose sums are taken apart from the others'.
     groups: Vec<Vec<usize>>,
     /// Changes a message before it is sent: a process that lies.
     tamper: Option<Tamper>,
     /// Of each group, the most that its proxies together could use of each budget so far.
-    pub most_in_group: Vec<Vec<u32>>,
+    pub max_group_sums: Vec<Vec<u32>>,
 }
 
 impl BudgetSimulation<Budgets> {
@@ -100,7 +100,7 @@
             places.iter().map(|place| usize::from(*place)).collect()
         };
         simulation.groups = (0..topology.regions() as u16).map(region).collect();
-        simulation.most_in_group = vec![vec![0; simulation.most.len()]; simulation.groups.len()];
+        simulation.max_group_sums = vec![vec![0; simulation.max_sums.len()]; simulation.groups.len()];
         simulation
     }
 
@@ -135,7 +135,7 @@
         let proxies = (0..proxies).map(proxy).collect();
         let most = vec![0; wholes.len()];
         let net = Net::new(seed, weather);
-        let (groups, most_in_group) = (Vec::new(), Vec::new());
+        let (groups, max_group_sums) = (Vec::new(), Vec::new());
         let agenda = EventQueue::new(S);
         BudgetSimulation {
             net,
@@ -144,10 +144,10 @@
             agenda,
             rng,
             wants: wholes,
-            most,
+            max_sums: most,
             groups,
             tamper: None,
-            most_in_group,
+            max_group_sums,
         }
     }
 
@@ -181,13 +181,13 @@
     }
 
     /// The process leaves, and lives on for what it has still to answer.
-    pub fn retire(&mut self, i: usize) {
+    pub fn announce_leave(&mut self, i: usize) {
         self.call(i, |b, _, out| b.leave(out));
     }
 
     /// The process ends by will.
     pub fn leave(&mut self, i: usize) {
-        self.retire(i);
+        self.announce_leave(i);
         self.kill(i);
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// What one proxy wants of a budget from here on.
-    pub fn want(&mut self, i: usize, budget: usize, units: u32) {
+    pub fn set_proxy_demand(&mut self, i: usize, budget: usize, units: u32) {
         if let Some(b) = &mut self.proxies[i].instance {
             b.set_demand(budget, units);
         }
@@ -215,7 +215,7 @@
     }
 
     /// The place that divides the budgets now.
-    pub fn grantors(&self) -> Vec<usize> {
+    pub fn coordinators(&self) -> Vec<usize> {
         let grants =
             |i: &usize| self.proxies[*i].instance.as_ref().is_some_and(|b| b.leads_fleet(self.clock(*i)));
         (0..self.proxies.len()).filter(grants).collect()
@@ -235,8 +235,8 @@
         let due = b.next_due();
         for (to, mut bytes) in out {
             self.tamper.iter_mut().for_each(|change| change(i, to, &mut bytes));
-            for at in self.net.carry(self.agenda.now, i, usize::from(to), bytes.len()) {
-                self.agenda.put(at, Event::Datagram(usize::from(to), bytes.clone()));
+            for at in self.net.transmit(self.agenda.now, i, usize::from(to), bytes.len()) {
+                self.agenda.schedule(at, Event::Datagram(usize::from(to), bytes.clone()));
             }
         }
         let p = &mut self.proxies[i];
@@ -248,7 +248,7 @@
         if at < p.armed || p.armed <= self.agenda.now {
             p.armed = at.max(self.agenda.now + 1);
             let (at, start) = (p.armed, p.start);
-            self.agenda.put(at, Event::Tick(i, start, at));
+            self.agenda.schedule(at, Event::Tick(i, start, at));
         }
     }
 
@@ -261,7 +261,7 @@
             };
             if self.proxies[i].paused > self.agenda.now {
                 let at = self.proxies[i].paused;
-                self.agenda.put(at, event);
+                self.agenda.schedule(at, event);
                 continue;
             }
             match event {
@@ -279,7 +279,7 @@
     }
 
     /// What the proxies of a group together may use of a budget now.
-    pub fn sum_in_group(&mut self, group: usize, budget: usize) -> u32 {
+    pub fn group_share(&mut self, group: usize, budget: usize) -> u32 {
         let places = std::mem::take(&mut self.groups[group]);
         let sum = places.iter().map(|i| self.share(*i, budget)).sum();
         self.groups[group] = places;
@@ -287,11 +287,11 @@
     }
 
     fn look(&mut self) {
-        for budget in 0..self.most.len() {
-            self.most[budget] = self.most[budget].max(self.sum(budget));
+        for budget in 0..self.max_sums.len() {
+            self.max_sums[budget] = self.max_sums[budget].max(self.sum(budget));
             for group in 0..self.groups.len() {
-                let sum = self.sum_in_group(group, budget);
-                let most = &mut self.most_in_group[group][budget];
+                let sum = self.group_share(group, budget);
+                let most = &mut self.max_group_sums[group][budget];
                 *most = sum.max(*most);
             }
         }
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -11,7 +11,7 @@
 
 /// What goes wrong with a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Harm {
+pub enum FailureMode {
     /// All of it is silent, and starts anew at the end: cold.
     Kill,
     /// As before, and once more for ten seconds when its return has come to the second step.
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     pub zone: u16,
-    pub harm: Harm,
+    pub failure_mode: FailureMode,
     pub from: Micros,
     pub to: Micros,
 }
@@ -46,15 +46,15 @@
     pub zones: bool,
     pub proxies: usize,
     pub locations: u16,
-    pub hubs: u16,
+    pub parents: u16,
     /// Caches of each location, and of each hub.
     pub members: (u16, u16),
     /// Requests a second at each proxy.
-    pub rate: f64,
-    pub span: Micros,
+    pub requests_per_s: f64,
+    pub duration: Micros,
     pub direct: bool,
     /// What a location's caches, and a hub's, can do over what they are asked for in calm times.
-    pub spare: (f64, f64),
+    pub capacity_factors: (f64, f64),
     pub outages: Vec<Outage>,
     pub conditions: NetworkConditions,
     /// Proxies that reach nothing and nobody for a while; one that accuses the first hub all the time.
@@ -72,12 +72,12 @@
             zones: true,
             proxies: 300,
             locations: 10,
-            hubs,
+            parents: hubs,
             members: ((2000 - 40 * hubs) / 10, 40),
-            rate: 4.0,
-            span: 46 * S,
+            requests_per_s: 4.0,
+            duration: 46 * S,
             direct: true,
-            spare: (3.0, 3.0),
+            capacity_factors: (3.0, 3.0),
             outages: Vec::new(),
             conditions: NetworkConditions::default(),
             cut: None,
@@ -86,22 +86,22 @@
         }
     }
     /// The zone's number of a hub.
-    pub fn hub(&self, n: u16) -> u16 {
+    pub fn parent(&self, n: u16) -> u16 {
         self.locations + n
     }
-    pub fn with(mut self, zone: u16, harm: Harm, from: Micros, to: Micros) -> Day {
-        self.outages.push(Outage { zone, harm, from: T0 + from, to: T0 + to });
+    pub fn with(mut self, zone: u16, failure_mode: FailureMode, from: Micros, to: Micros) -> Day {
+        self.outages.push(Outage { zone, failure_mode, from: T0 + from, to: T0 + to });
         self
     }
-    pub(crate) fn of(&self, zone: u16) -> u16 {
+    pub(crate) fn members_in(&self, zone: u16) -> u16 {
         if zone < self.locations {
             self.members.0
         } else {
             self.members.1
         }
     }
-    pub(crate) fn many(&self) -> u16 {
-        self.locations + self.hubs
+    pub(crate) fn zone_count(&self) -> u16 {
+        self.locations + self.parents
     }
     pub(crate) fn member(&self, zone: u16, n: u16) -> Addr {
         let [z, n] = [zone as u8, n as u8];
@@ -116,22 +116,22 @@
     }
     /// What a proxy's planner lists: the own location and the hubs; a voter, which may come to decide, lists all.
     pub(crate) fn entries(&self, i: usize) -> Vec<Entry> {
-        let origin = Entry { addr: ORIGIN, zone: self.many(), kind: 2, ..Entry::default() };
-        let own = |z: &u16| self.lists(i, *z);
-        let of = |z| (0..self.of(z)).map(move |n| self.entry(z, n));
-        (0..self.many()).filter(own).flat_map(of).chain([origin]).collect()
+        let origin = Entry { addr: ORIGIN, zone: self.zone_count(), kind: 2, ..Entry::default() };
+        let own = |z: &u16| self.lists_zone(i, *z);
+        let of = |z| (0..self.members_in(z)).map(move |n| self.entry(z, n));
+        (0..self.zone_count()).filter(own).flat_map(of).chain([origin]).collect()
     }
-    pub(crate) fn lists(&self, i: usize, zone: u16) -> bool {
-        i < VOTERS || zone >= self.locations || usize::from(zone) == self.stands(i)
+    pub(crate) fn lists_zone(&self, i: usize, zone: u16) -> bool {
+        i < VOTERS || zone >= self.locations || usize::from(zone) == self.location_of(i)
     }
-    pub(crate) fn stands(&self, i: usize) -> usize {
+    pub(crate) fn location_of(&self, i: usize) -> usize {
         i % usize::from(self.locations)
     }
     pub(crate) fn settings(&self, i: usize) -> Settings {
         let s = crate::fleet::settings(self.proxies);
         let own = self.proxies as u32 / u32::from(self.locations);
         Settings {
-            zone: self.stands(i) as u16,
+            zone: self.location_of(i) as u16,
             routers_by_zone: vec![own; usize::from(self.locations)],
             siblings: Siblings::Off,
             direct: self.direct,
@@ -139,16 +139,16 @@
             ..s
         }
     }
-    pub(crate) fn charter(&self) -> Vec<Zone> {
+    pub(crate) fn zone_settings(&self) -> Vec<Zone> {
         let s = self.settings(0);
         let hubs = |but: Option<u16>| {
-            (0..self.hubs).map(|h| self.hub(h)).filter(|h| Some(*h) != but).collect::<Vec<_>>()
+            (0..self.parents).map(|h| self.parent(h)).filter(|h| Some(*h) != but).collect::<Vec<_>>()
         };
-        (0..self.many())
+        (0..self.zone_count())
             .map(|z| match z < self.locations {
                 true => Zone {
                     kind: Kind::Location,
-                    region: z % self.hubs,
+                    region: z % self.parents,
                     warm_up: s.cold_period,
                     fallbacks: if self.direct { hubs(None) } else { Vec::new() },
                 },
--- a/lab/src/event_queue.rs
+++ b/lab/src/event_queue.rs
@@ -23,18 +23,18 @@
         EventQueue { heap: BinaryHeap::new(), events: BTreeMap::new(), last_sequence: 0, now }
     }
     /// Schedules an event; one in the past is due now.
-    pub fn put(&mut self, at: Micros, event: T) {
+    pub fn schedule(&mut self, at: Micros, event: T) {
         self.last_sequence += 1;
         self.heap.push(Reverse((at.max(self.now), self.last_sequence)));
         self.events.insert(self.last_sequence, event);
     }
     /// When the next event is due.
-    pub fn peek(&self) -> Option<Micros> {
+    pub fn next_event_at(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
     /// The next event that is due by `until`; the clock goes to its time, or to `until` where there is none.
     pub fn pop(&mut self, until: Micros) -> Option<T> {
-        if self.peek().is_none_or(|at| at > until) {
+        if self.next_event_at().is_none_or(|at| at > until) {
             self.now = self.now.max(until);
             return None;
         }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -30,7 +30,7 @@
 
 /// What goes wrong with a member, between two points on the clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Disruption {
     /// Says nothing; fills from it never end.
     Hang,
     /// Breaks the connection under each attempt, at once.
@@ -43,13 +43,13 @@
 
 /// Who gossips, and how.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Talk {
+pub enum GossipMode {
     /// Nobody: as if there were none.
     Silent,
     Honest,
-    /// The last one accuses every hub, all the time.
+    /// The last one accuses every parent, all the time.
     LiarAll,
-    /// The last one accuses one hub, which is well.
+    /// The last one accuses one parent, which is well.
     LiarOne,
 }
 
@@ -58,42 +58,42 @@
     pub seed: u64,
     pub proxies: usize,
     pub caches: u8,
-    pub hubs: u8,
+    pub parents: u8,
     /// Requests a second at each proxy.
-    pub rate: f64,
-    pub span: Micros,
+    pub requests_per_s: f64,
+    pub duration: Micros,
     pub objects: u64,
     /// Objects that a cache holds, and a hub.
-    pub held: (usize, usize),
-    pub talk: Talk,
-    pub troubles: Vec<(Addr, Trouble, Micros, Micros)>,
+    pub store_capacities: (usize, usize),
+    pub gossip_mode: GossipMode,
+    pub disruptions: Vec<(Addr, Disruption, Micros, Micros)>,
     /// Purges a second, each of one object.
-    pub purges: f64,
+    pub purges_per_s: f64,
     pub conditions: NetworkConditions,
     /// Transfers that a warm cache carries at full pace: what the rule on cold starts is held against.
-    pub flows: f64,
+    pub warm_transfers: f64,
 }
 
 impl Scenario {
-    pub fn new(seed: u64, talk: Talk) -> Scenario {
+    pub fn new(seed: u64, talk: GossipMode) -> Scenario {
         Scenario {
             seed,
             proxies: 4,
             caches: 6,
-            hubs: 4,
-            rate: 60.0,
-            span: 30 * S,
+            parents: 4,
+            requests_per_s: 60.0,
+            duration: 30 * S,
             objects: 6_000,
-            held: (700, 3_000),
-            talk,
-            troubles: Vec::new(),
-            purges: 0.5,
+            store_capacities: (700, 3_000),
+            gossip_mode: talk,
+            disruptions: Vec::new(),
+            purges_per_s: 0.5,
             conditions: NetworkConditions::default(),
-            flows: 6.0,
+            warm_transfers: 6.0,
         }
     }
-    pub fn with(mut self, member: Addr, trouble: Trouble, from: Micros, to: Micros) -> Scenario {
-        self.troubles.push((member, trouble, T0 + from, T0 + to));
+    pub fn with(mut self, member: Addr, trouble: Disruption, from: Micros, to: Micros) -> Scenario {
+        self.disruptions.push((member, trouble, T0 + from, T0 + to));
         self
     }
 }
@@ -101,7 +101,7 @@
 pub fn cache(n: u8) -> Addr {
     Addr { ip: [10, 1, 0, n], port: 1 }
 }
-pub fn hub(n: u8) -> Addr {
+pub fn parent(n: u8) -> Addr {
     Addr { ip: [10, 2, 0, n], port: 1 }
 }
 pub const ORIGIN: Addr = Addr { ip: [10, 3, 0, 1], port: 1 };
@@ -243,25 +243,25 @@
     pub refused: u64,
     pub failed: u64,
     /// Worth served over worth asked for.
-    pub worth: f64,
+    pub served_value_share: f64,
     /// Mean time of those served.
-    pub mean: Micros,
+    pub mean_latency: Micros,
     /// When each proxy first skipped each member in trouble, from its beginning; none: it never did.
-    pub skipped: Vec<Vec<Option<Micros>>>,
+    pub skip_delays: Vec<Vec<Option<Micros>>>,
     /// Skips that a rumour helped: of members in trouble, and of healthy ones.
-    pub helped: u32,
-    pub helped_healthy: u32,
+    pub suspicion_skips_of_failing: u32,
+    pub suspicion_skips_of_healthy: u32,
     pub gossip_bytes: u64,
     pub gossip_datagrams: u64,
     /// Breaks of the rules, in words.
-    pub broken: Vec<String>,
+    pub rule_violations: Vec<String>,
 }
 
 impl Record {
     /// From the beginning of the first trouble until all proxies skip the member; the end where one never did.
-    pub fn all_skip(&self, end: Micros) -> Micros {
+    pub fn time_until_all_skip(&self, end: Micros) -> Micros {
         let last = |of: &Vec<Option<Micros>>| of.iter().map(|t| t.unwrap_or(end)).max().unwrap_or(end);
-        self.skipped.first().map_or(end, last)
+        self.skip_delays.first().map_or(end, last)
     }
 }
 
@@ -288,7 +288,7 @@
     let entry = |addr, zone, kind, weight| Entry { addr, zone, kind, weight, ..Entry::default() };
     (1..=sc.caches)
         .map(|n| entry(cache(n), 1, 0, 6.0))
-        .chain((1..=sc.hubs).map(|n| entry(hub(n), 0, 1, 12.0)))
+        .chain((1..=sc.parents).map(|n| entry(parent(n), 0, 1, 12.0)))
         .chain([entry(ORIGIN, 0, 2, 0.0)])
         .collect()
 }
@@ -306,19 +306,19 @@
             let link = Box::new(RecordedLink(Rc::clone(&orders)));
             let mut planner = Planner::new(settings.clone(), sc.seed ^ i as u64, limits, link);
             planner.update_members(T0, ListForm::Full, entries(&sc));
-            let gossip = (sc.talk != Talk::Silent).then(|| {
+            let gossip = (sc.gossip_mode != GossipMode::Silent).then(|| {
                 let mut entropy = [0; 32];
                 stream(sc.seed, 0x100 + i as u64).fill_bytes(&mut entropy);
                 let s = threadward_gossip::Settings::new(&format!("n{i}"), secret(i), peers.clone());
                 Gossip::new(T0, s, entropy).unwrap_or_else(|e| panic!("n{i}: {e}"))
             });
             if gossip.is_some() {
-                queue.put(T0, Event::Tick(i));
+                queue.schedule(T0, Event::Tick(i));
             }
-            queue.put(T0 + i as u64 * 7 * MS, Event::Look(i));
+            queue.schedule(T0 + i as u64 * 7 * MS, Event::Look(i));
             let (own, n) = (draw_arrivals(&sc, i, &settings), i);
             for (k, a) in own.iter().enumerate() {
-                queue.put(a.at, Event::Arrive(n, k));
+                queue.schedule(a.at, Event::Arrive(n, k));
             }
             arrivals.push(own);
             proxies.push(Proxy {
@@ -337,18 +337,18 @@
         let mut rng = stream(sc.seed, 3);
         let mut at = T0;
         loop {
-            at += (-unit(&mut rng).max(1e-12).ln() / sc.purges.max(1e-9) * 1e6) as Micros;
-            if at > T0 + sc.span {
+            at += (-unit(&mut rng).max(1e-12).ln() / sc.purges_per_s.max(1e-9) * 1e6) as Micros;
+            if at > T0 + sc.duration {
                 break;
             }
             let class = u64::from(unit(&mut rng) < 0.6);
-            queue.put(at, Event::Purge(popular(&sc, &mut rng) << 2 | class));
+            queue.schedule(at, Event::Purge(popular(&sc, &mut rng) << 2 | class));
         }
-        for (a, t, from, _) in &sc.troubles {
+        for (a, t, from, _) in &sc.disruptions {
             match t {
-                Trouble::Drain => queue.put(*from, Event::Drain(*a)),
-                Trouble::Restart => queue.put(*from, Event::Restart(*a)),
-                Trouble::Hang | Trouble::FailFast => {}
+                Disruption::Drain => queue.schedule(*from, Event::Drain(*a)),
+                Disruption::Restart => queue.schedule(*from, Event::Restart(*a)),
+                Disruption::Hang | Disruption::FailFast => {}
             }
         }
         let net = Net::new(sc.seed, sc.conditions);
@@ -370,14 +370,14 @@
         }
     }
 
-    fn trouble(&self, member: Addr, now: Micros) -> Option<Trouble> {
-        let on = |t: &&(Addr, Trouble, Micros, Micros)| t.0 == member && (t.2..t.3).contains(&now);
-        self.sc.troubles.iter().find(on).map(|t| t.1)
+    fn trouble(&self, member: Addr, now: Micros) -> Option<Disruption> {
+        let on = |t: &&(Addr, Disruption, Micros, Micros)| t.0 == member && (t.2..t.3).contains(&now);
+        self.sc.disruptions.iter().find(on).map(|t| t.1)
     }
 
     /// Plays it to the end.
     pub fn run(mut self) -> Record {
-        let until = T0 + self.sc.span + 8 * S;
+        let until = T0 + self.sc.duration + 8 * S;
         while let Some(event) = self.queue.pop(until) {
             let now = self.queue.now;
             match event {
@@ -387,12 +387,12 @@
                 Event::Timers(i) => {
                     self.proxies[i].armed = Micros::MAX;
                     self.proxies[i].planner.run_timers(now);
-                    self.after(i);
+                    self.run_orders(i);
                 }
                 Event::End(i, id, n, end) => {
                     if self.proxies[i].out.remove(&(id, n)) {
                         self.proxies[i].planner.attempt_ended(now, id, n, *end);
-                        self.after(i);
+                        self.run_orders(i);
                     }
                 }
                 Event::Look(i) => self.look(i),
@@ -409,7 +409,7 @@
                     self.stores.values_mut().for_each(|s| s.drop(object));
                     for i in 0..self.proxies.len() {
                         self.proxies[i].planner.purge(now, 0, Some(object), 0);
-                        self.after(i);
+                        self.run_orders(i);
                     }
                 }
                 Event::Drain(member) => {
@@ -425,20 +425,20 @@
         }
         for (i, of) in self.arrivals.iter().enumerate() {
             for (k, a) in of.iter().enumerate().filter(|(_, a)| a.answered != 1) {
-                self.report.broken.push(format!("request {k} of n{i} got {} answers", a.answered));
+                self.report.rule_violations.push(format!("request {k} of n{i} got {} answers", a.answered));
             }
         }
         let r = &mut self.report;
-        r.worth = self.earned / self.asked.max(1e-9);
-        r.mean = self.spent / r.served.max(1);
+        r.served_value_share = self.earned / self.asked.max(1e-9);
+        r.mean_latency = self.spent / r.served.max(1);
         (r.gossip_bytes, r.gossip_datagrams) = (self.net.bytes, self.net.delivered);
-        for (member, trouble, from, to) in &self.sc.troubles {
-            if matches!(trouble, Trouble::Hang | Trouble::FailFast) {
+        for (member, trouble, from, to) in &self.sc.disruptions {
+            if matches!(trouble, Disruption::Hang | Disruption::FailFast) {
                 let first = |p: &Proxy| {
                     let at = p.skipped.get(member).copied();
                     at.filter(|at| at < to).map(|at| at.saturating_sub(*from))
                 };
-                r.skipped.push(self.proxies.iter().map(first).collect());
+                r.skip_delays.push(self.proxies.iter().map(first).collect());
             }
         }
         self.report
@@ -450,7 +450,7 @@
         for i in 0..self.proxies.len() {
             let list = entries(&self.sc).into_iter().filter(|e| e.addr == member).map(&change).collect();
             self.proxies[i].planner.update_members(now, ListForm::Delta, list);
-            self.after(i);
+            self.run_orders(i);
         }
     }
 
@@ -468,11 +468,11 @@
         }
         let share =
             s.cold_start_share + (1.0 - s.cold_start_share) * (now - *from) as f64 / s.cold_period as f64;
-        let most = 1.1 * s.overload_multiple * share * self.sc.flows * s.overload_tolerance as f64;
+        let most = 1.1 * s.overload_multiple * share * self.sc.warm_transfers * s.overload_tolerance as f64;
         let sum: Micros = sent.iter().map(|(_, w)| w).sum();
         if sum as f64 > most {
             self.report
-                .broken
+                .rule_violations
                 .push(format!("cold {member:?} sent {sum} us of work in a span that bears {most:.0}"));
         }
     }
@@ -493,11 +493,11 @@
         let answers = self.proxies[i].answers.clone();
         let reply = Box::new(move |last| answers.borrow_mut().push((k, last)));
         self.proxies[i].planner.accept_request(now, 0, ask, reply);
-        self.after(i);
+        self.run_orders(i);
     }
 
     /// Carries out what a planner wants, takes its answers, and sees to its timers.
-    fn after(&mut self, i: usize) {
+    fn run_orders(&mut self, i: usize) {
         loop {
             let orders: Vec<Order> = self.proxies[i].orders.borrow_mut().drain(..).collect();
             if orders.is_empty() {
@@ -522,7 +522,7 @@
             let class = &s.classes[usize::from(a.class)];
             let took = now - a.at;
             if took > class.deadline + s.answer_slack {
-                self.report.broken.push(format!("request {k} of n{i} answered after {took} us"));
+                self.report.rule_violations.push(format!("request {k} of n{i} answered after {took} us"));
             }
             match last {
                 FinalAnswer::Served(_) => {
@@ -542,7 +542,7 @@
         let due = self.proxies[i].planner.next_due().unwrap_or(Micros::MAX);
         if due < self.proxies[i].armed {
             self.proxies[i].armed = due.max(now);
-            self.queue.put(due, Event::Timers(i));
+            self.queue.schedule(due, Event::Timers(i));
         }
     }
 
@@ -553,18 +553,20 @@
         self.proxies[i].out.insert((id, n));
         let drained = |a: &Addr| self.leaving.get(a).is_some_and(|at| now > at + S);
         if drained(&member) || d.source.as_ref().is_some_and(drained) {
-            self.report.broken.push(format!("sent to {member:?} after its drain"));
+            self.report.rule_violations.push(format!("sent to {member:?} after its drain"));
         }
         let purged = self.purged.get(&object).copied().filter(|at| now > at + 300 * MS && now < at + 6 * S);
         if let Some(at) =
             purged.filter(|at| d.client_request.class != 2 && (d.max_age == 0 || d.max_age > now - at))
         {
-            self.report.broken.push(format!("a copy from before {at} would do for a request at {now}"));
+            self.report
+                .rule_violations
+                .push(format!("a copy from before {at} would do for a request at {now}"));
         }
         if d.client_request.class == 2 {
             let before = self.proxies[i].ran.insert(id, n);
             if before.is_some() {
-                self.report.broken.push(format!("booking {id} of n{i} went out again"));
+                self.report.rule_violations.push(format!("booking {id} of n{i} went out again"));
             }
         }
         let sending = [90, 20, 5][usize::from(d.client_request.class)] * MS;
@@ -584,8 +586,8 @@
             })
         };
         let (after, end) = match self.trouble(member, now) {
-            Some(Trouble::Hang) => return,
-            Some(Trouble::FailFast) => (5 * MS, AttemptEnd::ConnectionFailed(Progress::FullyWritten)),
+            Some(Disruption::Hang) => return,
+            Some(Disruption::FailFast) => (5 * MS, AttemptEnd::ConnectionFailed(Progress::FullyWritten)),
             _ if d.client_request.class == 2 => {
                 let way = d.source.map_or(0, |_| between(3, 60 * MS, 120 * MS));
                 (near + way, told(Outcome::Ok, Note::FilledOrigin, way))
@@ -595,10 +597,10 @@
                 match d.source {
                     _ if held => (near, told(Outcome::Ok, Note::Hit, 0)),
                     None => (near / 4, told(Outcome::Miss, Note::None, 0)),
-                    Some(s) if self.trouble(s, now) == Some(Trouble::Hang) => return,
+                    Some(s) if self.trouble(s, now) == Some(Disruption::Hang) => return,
                     Some(s) => {
-                        let at_hub =
-                            s != ORIGIN && self.stores.entry(s).or_default().take(object, self.sc.held.1);
+                        let at_hub = s != ORIGIN
+                            && self.stores.entry(s).or_default().take(object, self.sc.store_capacities.1);
                         let note = if at_hub { Note::Filled } else { Note::FilledOrigin };
                         let wait =
                             if at_hub { between(4, 25 * MS, 70 * MS) } else { between(4, 80 * MS, 200 * MS) };
@@ -609,38 +611,40 @@
         };
         if d.client_request.class != 2 && matches!(&end, AttemptEnd::Answered(t) if t.outcome == Outcome::Ok)
         {
-            self.stores.entry(member).or_default().take(object, self.sc.held.0);
+            self.stores.entry(member).or_default().take(object, self.sc.store_capacities.0);
         }
         if let AttemptEnd::Answered(CacheAnswer { outcome: Outcome::Miss, .. }) = end {
             self.proxies[i].ran.remove(&id);
         }
-        self.queue.put(now + after, Event::End(i, id, n, Box::new(end)));
+        self.queue.schedule(now + after, Event::End(i, id, n, Box::new(end)));
     }
 
     /// A proxy looks at what its own traffic shows, and tells its gossip instance.
     fn look(&mut self, i: usize) {
         let now = self.queue.now;
-        if now < T0 + self.sc.span {
-            self.queue.put(now + OBSERVATION_INTERVAL, Event::Look(i));
+        if now < T0 + self.sc.duration {
+            self.queue.schedule(now + OBSERVATION_INTERVAL, Event::Look(i));
         }
         let mut standings = self.proxies[i].planner.member_health();
         for s in &standings {
             let troubled =
-                self.sc.troubles.iter().any(|t| t.0 == s.member && now >= t.2 && now < t.3 + 5 * S);
+                self.sc.disruptions.iter().any(|t| t.0 == s.member && now >= t.2 && now < t.3 + 5 * S);
             if s.skipped && troubled {
                 self.proxies[i].skipped.entry(s.member).or_insert(s.last_failed_at);
             }
             let before = self.proxies[i].helped.insert(s.member, s.suspicion_skips).unwrap_or(0);
             let more = s.suspicion_skips - before;
             if troubled {
-                self.report.helped += more;
+                self.report.suspicion_skips_of_failing += more;
             } else {
-                self.report.helped_healthy += more;
+                self.report.suspicion_skips_of_healthy += more;
             }
         }
-        if i + 1 == self.sc.proxies && matches!(self.sc.talk, Talk::LiarAll | Talk::LiarOne) {
-            let all = self.sc.talk == Talk::LiarAll;
-            let accused = |m: Addr| m == hub(self.sc.hubs) || all;
+        if i + 1 == self.sc.proxies
+            && matches!(self.sc.gossip_mode, GossipMode::LiarAll | GossipMode::LiarOne)
+        {
+            let all = self.sc.gossip_mode == GossipMode::LiarAll;
+            let accused = |m: Addr| m == parent(self.sc.parents) || all;
             for s in standings.iter_mut().filter(|s| s.role == Role::Parent && accused(s.member)) {
                 (s.last_failed_at, s.last_good_at, s.skipped, s.last_failure) =
                     (now, 0, true, Some(Outcome::Timeout));
@@ -656,12 +660,12 @@
         f(g, now, &mut out);
         for (to, bytes) in out.send {
             if bytes.len() > 256 {
-                self.report.broken.push(format!("a datagram of {} bytes", bytes.len()));
+                self.report.rule_violations.push(format!("a datagram of {} bytes", bytes.len()));
             }
             let Some(to) = (0..self.proxies.len()).find(|k| address(*k) == to) else { continue };
-            for at in self.net.carry(now, i, to, bytes.len()) {
+            for at in self.net.transmit(now, i, to, bytes.len()) {
                 let event = Event::Datagram { from: address(i), to, bytes: bytes.clone() };
-                self.queue.put(at, event);
+                self.queue.schedule(at, event);
             }
         }
         for news in out.notices {
@@ -682,11 +686,11 @@
             }
         }
         let due = self.proxies[i].gossip.as_ref().map_or(Micros::MAX, Gossip::next_due);
-        if due < self.proxies[i].gossip_armed && now < T0 + self.sc.span {
+        if due < self.proxies[i].gossip_armed && now < T0 + self.sc.duration {
             self.proxies[i].gossip_armed = due.max(now);
-            self.queue.put(due, Event::Tick(i));
+            self.queue.schedule(due, Event::Tick(i));
         }
-        self.after(i);
+        self.run_orders(i);
     }
 }
 
@@ -699,8 +703,8 @@
     let mut rng = stream(sc.seed, 0x1000 + i as u64);
     let (mut at, mut all) = (T0 + 100 * MS, Vec::new());
     loop {
-        at += (-unit(&mut rng).max(1e-12).ln() / sc.rate * 1e6) as Micros;
-        if at > T0 + sc.span {
+        at += (-unit(&mut rng).max(1e-12).ln() / sc.requests_per_s * 1e6) as Micros;
+        if at > T0 + sc.duration {
             return all;
         }
         let class = match unit(&mut rng) {
--- a/lab/src/gossip_simulation.rs
+++ b/lab/src/gossip_simulation.rs
@@ -32,13 +32,13 @@
     /// The settings of its next start.
     pub settings: Settings,
     /// How far its clock is ahead of the queue's.
-    pub ahead: Micros,
+    pub clock_offset: Micros,
     /// What its own traffic shows.
-    pub standings: Vec<MemberHealth>,
-    /// Whom it accuses of having just failed, whatever its traffic shows: a liar.
-    pub accuses: Vec<Addr>,
+    pub member_health: Vec<MemberHealth>,
+    /// Whom it always_accused of having just failed, whatever its traffic shows: a liar.
+    pub always_accused: Vec<Addr>,
     /// What it has reported so far.
-    pub news: Vec<Notice>,
+    pub reported_notices: Vec<Notice>,
     addr: SocketAddr,
     incarnation: u64,
     /// When it ticks next, so that one timer is enough.
@@ -87,7 +87,7 @@
 }
 
 /// A hub or cache as a standing that shows nothing wrong.
-pub fn well(member: Addr, role: Role) -> MemberHealth {
+pub fn healthy(member: Addr, role: Role) -> MemberHealth {
     MemberHealth {
         member,
         incarnation: 0,
@@ -102,7 +102,7 @@
 }
 
 /// The hub of that number.
-pub fn hub(n: u8) -> Addr {
+pub fn parent(n: u8) -> Addr {
     Addr { ip: [10, 9, 0, n], port: 80 }
 }
 
@@ -133,10 +133,10 @@
             self.slots.push(InstanceSlot {
                 gossip: None,
                 settings: Settings::new(&peer.name, secret(i), peers.clone()),
-                ahead: 0,
-                standings: (1..=4).map(|n| well(hub(n), Role::Parent)).collect(),
-                accuses: Vec::new(),
-                news: Vec::new(),
+                clock_offset: 0,
+                member_health: (1..=4).map(|n| healthy(parent(n), Role::Parent)).collect(),
+                always_accused: Vec::new(),
+                reported_notices: Vec::new(),
                 addr: peer.addr,
                 incarnation: 0,
                 armed: Micros::MAX,
@@ -150,7 +150,7 @@
     }
 
     fn clock(&self, i: usize) -> Micros {
-        self.queue.now + self.slots[i].ahead
+        self.queue.now + self.slots[i].clock_offset
     }
 
     /// Starts an instance, from nothing.
@@ -168,12 +168,12 @@
         slot.gossip = Some(gossip.unwrap_or_else(|e| panic!("n{i}: {e}")));
         slot.armed = Micros::MAX;
         let incarnation = slot.incarnation;
-        self.queue.put(self.queue.now, Event::Observe(i, incarnation));
+        self.queue.schedule(self.queue.now, Event::Observe(i, incarnation));
         self.arm(i);
     }
 
     /// Its clock was moved: what it waits for is reckoned anew, as a timer of the system's would be.
-    pub fn wake(&mut self, i: usize) {
+    pub fn apply_clock_change(&mut self, i: usize) {
         self.slots[i].armed = Micros::MAX;
         self.call(i, |g, now, out| g.tick(now, out));
     }
@@ -185,11 +185,11 @@
 
     fn arm(&mut self, i: usize) {
         let slot = &mut self.slots[i];
-        let next_due = slot.gossip.as_ref().map(|g| g.next_due().saturating_sub(slot.ahead));
+        let next_due = slot.gossip.as_ref().map(|g| g.next_due().saturating_sub(slot.clock_offset));
         let Some(due) = next_due else { return };
         if due < slot.armed {
             slot.armed = due.max(self.queue.now);
-            self.queue.put(slot.armed, Event::Tick(i, slot.incarnation));
+            self.queue.schedule(slot.armed, Event::Tick(i, slot.incarnation));
         }
     }
 
@@ -199,7 +199,7 @@
         let mut out = Output::default();
         let Some(g) = self.slots[i].gossip.as_mut() else { return };
         f(g, now, &mut out);
-        self.slots[i].news.extend(out.notices);
+        self.slots[i].reported_notices.extend(out.notices);
         for (addr, bytes) in out.send {
             // Several may stand in the file under one address: all of them get it.
             for to in self.slots_by_address.get(&addr).cloned().unwrap_or_default() {
@@ -214,9 +214,9 @@
         if self.record {
             self.sent.push((self.queue.now, from, to, bytes.to_vec()));
         }
-        for at in self.net.carry(self.queue.now, from, to, bytes.len()) {
+        for at in self.net.transmit(self.queue.now, from, to, bytes.len()) {
             let from = self.slots[from].addr;
-            self.queue.put(at, Event::Arrive { from, to, bytes: bytes.to_vec() });
+            self.queue.schedule(at, Event::Arrive { from, to, bytes: bytes.to_vec() });
         }
     }
 
@@ -244,8 +244,8 @@
                     if self.slots[i].incarnation == incarnation && self.slots[i].gossip.is_some() =>
                 {
                     let now = self.clock(i);
-                    let mut shown = self.slots[i].standings.clone();
-                    for s in shown.iter_mut().filter(|s| self.slots[i].accuses.contains(&s.member)) {
+                    let mut shown = self.slots[i].member_health.clone();
+                    for s in shown.iter_mut().filter(|s| self.slots[i].always_accused.contains(&s.member)) {
                         (s.last_failed_at, s.skipped, s.last_failure, s.last_good_at) =
                             (now, true, Some(Outcome::Timeout), 0);
                     }
@@ -255,7 +255,8 @@
                         g.add_served_requests(served);
                         g.observe(now, &shown, out);
                     });
-                    self.queue.put(self.queue.now + OBSERVATION_INTERVAL, Event::Observe(i, incarnation));
+                    self.queue
+                        .schedule(self.queue.now + OBSERVATION_INTERVAL, Event::Observe(i, incarnation));
                 }
                 _ => {}
             }
@@ -263,9 +264,9 @@
     }
 
     /// An instance's own traffic shows from now on that a member fails, or answers well.
-    pub fn shows(&mut self, i: usize, member: Addr, fails: bool) {
+    pub fn set_member_failing(&mut self, i: usize, member: Addr, fails: bool) {
         let now = self.clock(i);
-        for s in self.slots[i].standings.iter_mut().filter(|s| s.member == member) {
+        for s in self.slots[i].member_health.iter_mut().filter(|s| s.member == member) {
             if fails {
                 (s.last_failed_at, s.skipped, s.last_failure) = (now, true, Some(Outcome::Timeout));
             } else {
@@ -286,18 +287,18 @@
     }
 
     /// How many instances each one holds live, itself among them; 0 where none runs.
-    pub fn live(&self) -> Vec<usize> {
+    pub fn live_counts(&self) -> Vec<usize> {
         let live = |slot: &InstanceSlot| slot.gossip.as_ref().map_or(0, |g| g.quorum().live);
         self.slots.iter().map(live).collect()
     }
 
     /// What an instance holds of another.
-    pub fn sees(&self, i: usize, other: usize) -> State {
+    pub fn peer_state(&self, i: usize, other: usize) -> State {
         self.gossip(i).state(&format!("n{other}")).unwrap_or_default()
     }
 
     /// The members of which an instance believes that they fail.
-    pub fn believes(&self, i: usize) -> Vec<Addr> {
+    pub fn suspected_by(&self, i: usize) -> Vec<Addr> {
         self.gossip(i).suspected_members()
     }
 }
--- a/lab/src/net.rs
+++ b/lab/src/net.rs
@@ -54,7 +54,7 @@
         self.cuts.insert((from, to));
     }
     /// Cuts all links between two groups, in both directions.
-    pub fn part(&mut self, one: &[usize], other: &[usize]) {
+    pub fn cut_groups(&mut self, one: &[usize], other: &[usize]) {
         for a in one {
             for b in other {
                 self.cut(*a, *b);
@@ -63,11 +63,11 @@
         }
     }
     /// Restores all links that were cut.
-    pub fn heal(&mut self) {
+    pub fn restore_links(&mut self) {
         self.cuts.clear();
     }
     /// The times at which a datagram arrives: none, one or two.
-    pub fn carry(&mut self, now: Micros, from: usize, to: usize, bytes: usize) -> Vec<Micros> {
+    pub fn transmit(&mut self, now: Micros, from: usize, to: usize, bytes: usize) -> Vec<Micros> {
         let conditions = self.conditions;
         // As many draws for each datagram, whatever becomes of it.
         let [lost, twice, slow, first, second] = std::array::from_fn(|_| unit(&mut self.rng));
--- a/lab/src/plain_division.rs
+++ b/lab/src/plain_division.rs
@@ -2,7 +2,7 @@
 //! [`threadward_budgets::grant`], and what both cost. It owns the plain algorithm as the program had it. The program
 //! never uses it: a question costs time that grows with the number of holders, and a fleet asks in step with its size.
 //!
-//! [`question_nanoseconds`] reads the system's clock, for a figure alone: no run depends on it.
+//! [`request_nanoseconds`] reads the system's clock, for a figure alone: no run depends on it.
 use nickelgate::Micros;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -123,13 +123,13 @@
     }
 
     /// The sum of the newest wants of the holders that are known.
-    pub fn wanted(&self, budget: usize) -> u64 {
+    pub fn total_demand(&self, budget: usize) -> u64 {
         let want = |holder: &Holder| u64::from(holder.wants.get(budget).copied().unwrap_or(0));
         self.holders.values().map(want).sum()
     }
 
     /// One has left by will and uses nothing any more.
-    pub fn left(&mut self, by: Author) {
+    pub fn record_leave(&mut self, by: Author) {
         if let Some(h) = self.holders.get_mut(&by.index) {
             h.out.retain(|o| o.life != by.incarnation);
             if h.life == by.incarnation {
@@ -192,7 +192,7 @@
 
 /// What one question costs the grantor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QuestionCost {
+pub struct RequestCost {
     /// Nanoseconds by sorting all holders; nothing for more holders than are measured that way.
     pub plain: Option<u64>,
     /// Nanoseconds by the ledger of the program.
@@ -201,7 +201,7 @@
 
 /// Measures what a question costs, by the system's clock: the mean over so many, with so many live holders that all want
 /// everything of two budgets and ask in turn, four times in a lease time.
-pub fn question_nanoseconds(holders: u16, questions: u32) -> QuestionCost {
+pub fn request_nanoseconds(holders: u16, questions: u32) -> RequestCost {
     let terms = Terms {
         lease: LEASE,
         proxies: holders,
@@ -218,7 +218,7 @@
             plain_ledger.answer(now, request, supply, &terms)
         })
     });
-    QuestionCost { plain, incremental }
+    RequestCost { plain, incremental }
 }
 
 /// Nanoseconds of a question, after some rounds that are not measured.
--- a/lab/src/regions/arrivals.rs
+++ b/lab/src/regions/arrivals.rs
@@ -1,5 +1,5 @@
 //! The clients of a fleet: their requests, drawn ahead, and what they are answered.
-use super::{Event, Harm, Regions, MS, T0};
+use super::{Event, FailureMode, Regions, MS, T0};
 use crate::day::Day;
 use crate::{stream, unit};
 use nickelgate::Micros;
@@ -24,8 +24,8 @@
     let mut rng = stream(day.seed, STREAM + i as u64);
     let (mut at, mut all) = (T0 + 100 * MS, Vec::new());
     loop {
-        at += (-unit(&mut rng).max(1e-12).ln() / day.rate * 1e6) as Micros;
-        if at > T0 + day.span {
+        at += (-unit(&mut rng).max(1e-12).ln() / day.requests_per_s * 1e6) as Micros;
+        if at > T0 + day.duration {
             return all;
         }
         let class = match unit(&mut rng) {
@@ -45,9 +45,9 @@
         let (now, arrival) = (self.queue.now, &self.arrivals[i][index]);
         let class = &self.settings.classes[usize::from(arrival.class)];
         self.report.requests += 1;
-        self.report.asked += class.value;
+        self.report.value_requested += class.value;
         if self.touched(i, now) {
-            self.report.asked_hit += class.value;
+            self.report.affected_value_requested += class.value;
         }
         let ask = ClientRequest {
             call_id: format!("{i}-{index}").into(),
@@ -57,12 +57,12 @@
             ..ClientRequest::default()
         };
         if let Some(next) = self.arrivals[i].get(index + 1) {
-            self.queue.put(next.at, Event::Arrive(i, index + 1));
+            self.queue.schedule(next.at, Event::Arrive(i, index + 1));
         }
         let answers = self.proxies[i].answers.clone();
         let reply = Box::new(move |last| answers.borrow_mut().push((index, last)));
         self.proxies[i].planner.accept_request(now, 0, ask, reply);
-        self.after(i);
+        self.run_orders(i);
     }
 
     /// Takes the answers that a planner has given since the last call.
@@ -79,15 +79,15 @@
         let (at, class) = (arrival.at, &self.settings.classes[usize::from(arrival.class)]);
         let took = self.queue.now - at;
         if took > class.deadline + self.settings.answer_slack {
-            self.report.broken.push(format!("request {index} of n{i} answered after {took} us"));
+            self.report.rule_violations.push(format!("request {index} of n{i} answered after {took} us"));
         }
         let earned = class.value * if took <= class.target_latency { 1.0 } else { class.late_value };
         match last {
             FinalAnswer::Served(_) => {
                 self.report.served += 1;
-                self.report.earned += earned;
+                self.report.value_served += earned;
                 if self.touched(i, at) {
-                    self.report.earned_hit += earned;
+                    self.report.affected_value_served += earned;
                 }
             }
             FinalAnswer::Refused { .. } => self.report.refused += 1,
@@ -100,8 +100,8 @@
         self.day.outages.iter().any(|outage| {
             let until = outage.to + self.settings.cold_period;
             let affected =
-                outage.zone >= self.day.locations || usize::from(outage.zone) == self.day.stands(i);
-            outage.harm != Harm::OneBad && affected && (outage.from..until).contains(&at)
+                outage.zone >= self.day.locations || usize::from(outage.zone) == self.day.location_of(i);
+            outage.failure_mode != FailureMode::OneBad && affected && (outage.from..until).contains(&at)
         })
     }
 }
--- a/lab/src/regions/control.rs
+++ b/lab/src/regions/control.rs
@@ -40,9 +40,9 @@
             me: budgets.identity(),
             proxies,
             voters,
-            own_zone: day.stands(i) as u16,
+            own_zone: day.location_of(i) as u16,
             lease: LEASE,
-            zones: day.charter(),
+            zones: day.zone_settings(),
         };
         let zones = Zones::new(T0, settings).unwrap_or_else(|error| panic!("n{i}: {error}"));
         ControlPart { budgets, zones, armed: Micros::MAX, epoch: Epoch::default() }
@@ -74,18 +74,18 @@
     /// A proxy looks at what its own traffic shows, and its zones carry out what is due.
     pub(super) fn observe(&mut self, i: usize) {
         let now = self.queue.now;
-        if now < T0 + self.day.span {
-            self.queue.put(now + OBSERVATION_INTERVAL, Event::Observe(i));
+        if now < T0 + self.day.duration {
+            self.queue.schedule(now + OBSERVATION_INTERVAL, Event::Observe(i));
         }
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
         let mut seen = proxy.planner.zone_observations(now);
         if self.day.liar == Some(i) {
-            lie(&mut seen, self.day.locations..self.day.many(), self.day.hub(0));
+            lie(&mut seen, self.day.locations..self.day.zone_count(), self.day.parent(0));
         }
         control.zones.observe(now, seen);
         if i < VOTERS {
-            for zone in 0..self.day.many() {
+            for zone in 0..self.day.zone_count() {
                 control.zones.set_newest_start(zone, proxy.planner.newest_start(zone));
             }
         }
@@ -114,7 +114,8 @@
         let proxy = &mut self.proxies[i];
         let Some(control) = &mut proxy.control else { return };
         if control.zones.ready(now) {
-            let uses: Vec<ZoneUse> = (0..self.day.many()).map(|zone| control.zones.usage(zone)).collect();
+            let uses: Vec<ZoneUse> =
+                (0..self.day.zone_count()).map(|zone| control.zones.usage(zone)).collect();
             proxy.planner.set_zone_uses(now, &uses, control.zones.refused_permille());
         }
         let epoch = control.zones.map().epoch;
@@ -129,7 +130,7 @@
             }
         }
         self.post(i, out);
-        self.after(i);
+        self.run_orders(i);
     }
 
     /// Calls the budgets of a proxy, sends what they want sent and sees to their timer.
@@ -140,8 +141,8 @@
         let due = control.budgets.next_due().max(now + 1);
         if due < control.armed || control.armed <= now {
             control.armed = due;
-            if now < T0 + self.day.span {
-                self.queue.put(due, Event::Budget(i));
+            if now < T0 + self.day.duration {
+                self.queue.schedule(due, Event::Budget(i));
             }
         }
         self.post(i, out);
@@ -156,8 +157,8 @@
             if cut == Some(i) || cut == Some(to) {
                 continue;
             }
-            for at in self.net.carry(now, i, to, bytes.len()) {
-                self.queue.put(at, Event::Datagram { from: i, to, bytes: bytes.clone() });
+            for at in self.net.transmit(now, i, to, bytes.len()) {
+                self.queue.schedule(at, Event::Datagram { from: i, to, bytes: bytes.clone() });
             }
         }
     }
@@ -166,6 +167,6 @@
     pub(super) fn control_bytes(&self) -> f64 {
         let sent = |control: &ControlPart| control.zones.counters.sent_bytes;
         let bytes: u64 = self.proxies.iter().map(|proxy| proxy.control.as_ref().map_or(0, sent)).sum();
-        bytes as f64 / self.day.proxies as f64 / (self.day.span as f64 / S as f64)
+        bytes as f64 / self.day.proxies as f64 / (self.day.duration as f64 / S as f64)
     }
 }
--- a/lab/src/regions/mod.rs
+++ b/lab/src/regions/mod.rs
@@ -27,7 +27,7 @@
 use threadward_zones::state::State;
 use threadward_zones::wire;
 
-pub use crate::day::{Day, Harm, Outage};
+pub use crate::day::{Day, FailureMode, Outage};
 pub use crate::fleet::{S, T0};
 pub use record::Record;
 
@@ -116,7 +116,7 @@
         let mut planner = Planner::new(day.settings(i), day.seed ^ i as u64, limits, link);
         let control = day.zones.then(|| ControlPart::new(day, i));
         if control.is_some() {
-            planner.enable_zones(usize::from(day.many()));
+            planner.enable_zones(usize::from(day.zone_count()));
         }
         planner.update_members(T0, ListForm::Full, day.entries(i));
         let (in_flight, ran) = (HashSet::new(), HashSet::new());
@@ -126,15 +126,17 @@
 
 /// Schedules what the script of the day has in store.
 fn schedule_script(day: &Day, queue: &mut EventQueue<Event>) {
-    for outage in day.outages.iter().filter(|o| matches!(o.harm, Harm::Kill | Harm::KillTwice)) {
-        queue.put(outage.to, Event::Restart(outage.zone));
+    for outage in
+        day.outages.iter().filter(|o| matches!(o.failure_mode, FailureMode::Kill | FailureMode::KillTwice))
+    {
+        queue.schedule(outage.to, Event::Restart(outage.zone));
     }
     // One machine of the first zone in trouble drains before, for good.
     if let Some(outage) = day.outages.first() {
-        queue.put(T0 + DRAIN_AT, Event::Drain(day.member(outage.zone, 1)));
+        queue.schedule(T0 + DRAIN_AT, Event::Drain(day.member(outage.zone, 1)));
     }
     if let Some(at) = day.decider_lost {
-        queue.put(at, Event::LoseDecider);
+        queue.schedule(at, Event::LoseDecider);
     }
 }
 
@@ -146,18 +148,18 @@
         for i in 0..day.proxies {
             let proxy = Proxy::new(&day, i);
             if proxy.control.is_some() {
-                queue.put(T0 + (i as u64 * 37) % 100 * MS, Event::Observe(i));
-                queue.put(T0, Event::Budget(i));
+                queue.schedule(T0 + (i as u64 * 37) % 100 * MS, Event::Observe(i));
+                queue.schedule(T0, Event::Budget(i));
             }
             let own = draw_arrivals(&day, i);
             if let Some(first) = own.first() {
-                queue.put(first.at, Event::Arrive(i, 0));
+                queue.schedule(first.at, Event::Arrive(i, 0));
             }
             arrivals.push(own);
             proxies.push(proxy);
         }
         schedule_script(&day, &mut queue);
-        let zones = usize::from(day.many());
+        let zones = usize::from(day.zone_count());
         Regions {
             settings: day.settings(0),
             stand_ins: stand_ins(&day),
@@ -179,7 +181,7 @@
 
     /// Plays it to the end.
     pub fn run(mut self) -> Record {
-        let until = T0 + self.day.span + RUN_OUT;
+        let until = T0 + self.day.duration + RUN_OUT;
         while let Some(event) = self.queue.pop(until) {
             self.handle(event);
         }
@@ -195,12 +197,12 @@
             Event::Timers(i) => {
                 self.proxies[i].armed = Micros::MAX;
                 self.proxies[i].planner.run_timers(now);
-                self.after(i);
+                self.run_orders(i);
             }
             Event::End(i, request, attempt, end) => {
                 if self.proxies[i].in_flight.remove(&(request, attempt)) {
                     self.proxies[i].planner.attempt_ended(now, request, attempt, *end);
-                    self.after(i);
+                    self.run_orders(i);
                 }
             }
             Event::Observe(i) => self.observe(i),
@@ -218,7 +220,7 @@
     }
 
     /// Carries out what a planner wants, takes its answers, and sees to its timers.
-    fn after(&mut self, i: usize) {
+    fn run_orders(&mut self, i: usize) {
         loop {
             let orders: Vec<Order> = self.proxies[i].orders.borrow_mut().drain(..).collect();
             if orders.is_empty() {
@@ -237,7 +239,7 @@
         let due = self.proxies[i].planner.next_due().unwrap_or(Micros::MAX);
         if due < self.proxies[i].armed {
             self.proxies[i].armed = due.max(self.queue.now);
-            self.queue.put(due, Event::Timers(i));
+            self.queue.schedule(due, Event::Timers(i));
         }
     }
 }
--- a/lab/src/regions/outages.rs
+++ b/lab/src/regions/outages.rs
@@ -1,7 +1,7 @@
 //! What goes wrong in a fleet: members that start anew or drain, proxies that are cut off, and how a proxy meets a member
 //! in an outage.
 use super::stand_ins::StandIn;
-use super::{Event, Harm, Outage, Proxy, Regions, MS, S};
+use super::{Event, FailureMode, Outage, Proxy, Regions, MS, S};
 use nickelgate::{Addr, Entry, Lifecycle, ListForm, Micros};
 use std::mem;
 use threadward_zones::state::{State, RETURN_STEPS};
@@ -29,19 +29,19 @@
     /// Cuts a proxy off from all others; its caches answer it as before.
     fn isolate(&mut self, i: usize) {
         let others: Vec<usize> = (0..self.day.proxies).filter(|other| *other != i).collect();
-        self.net.part(&[i], &others);
+        self.net.cut_groups(&[i], &others);
         self.apart.push(i);
     }
 
     /// All members of a zone start anew, empty and cold, and all proxies are told.
     pub(super) fn restart(&mut self, zone: u16) {
         let now = self.queue.now;
-        for n in 0..self.day.of(zone) {
+        for n in 0..self.day.members_in(zone) {
             let member = self.day.member(zone, n);
             let able = self.stand_ins[&member].able;
             self.stand_ins.insert(member, StandIn::started_anew(now, able));
         }
-        let all = (0..self.day.of(zone)).map(|n| Entry {
+        let all = (0..self.day.members_in(zone)).map(|n| Entry {
             started_at: now,
             incarnation: now,
             ..self.day.entry(zone, n)
@@ -61,32 +61,32 @@
     fn list(&mut self, zone: u16, list: Vec<Entry>) {
         let now = self.queue.now;
         for i in 0..self.day.proxies {
-            if self.day.lists(i, zone) {
+            if self.day.lists_zone(i, zone) {
                 self.proxies[i].planner.update_members(now, ListForm::Delta, list.clone());
-                self.after(i);
+                self.run_orders(i);
             }
         }
     }
 
     /// What is wrong with a member, as this proxy and its location's caches meet it; `lot` decides on what is lost.
-    pub(super) fn harm(&self, i: usize, member: Addr, now: Micros, lot: f64) -> Option<Harm> {
+    pub(super) fn failure_mode(&self, i: usize, member: Addr, now: Micros, lot: f64) -> Option<FailureMode> {
         if self.day.cut.is_some_and(|(cut, from, to)| cut == i && (from..to).contains(&now)) {
-            return Some(Harm::Kill);
+            return Some(FailureMode::Kill);
         }
         let zone = self.day.zone_of(member)? as u16;
         let n = Micros::from(member.ip[3]);
-        let strikes = |outage: &&Outage| match outage.harm {
+        let strikes = |outage: &&Outage| match outage.failure_mode {
             _ if outage.zone != zone || !(outage.from..outage.to).contains(&now) => false,
-            Harm::CutHalf => self.in_cut_half(i, zone),
-            Harm::Drip => now >= outage.from + n * DRIP_INTERVAL,
-            Harm::Lossy => lot < LOSS,
-            Harm::OneBad => n == 0,
+            FailureMode::CutHalf => self.in_cut_half(i, zone),
+            FailureMode::Drip => now >= outage.from + n * DRIP_INTERVAL,
+            FailureMode::Lossy => lot < LOSS,
+            FailureMode::OneBad => n == 0,
             _ => true,
         };
-        Some(match self.day.outages.iter().find(strikes)?.harm {
-            Harm::OneBad | Harm::FailFast => Harm::FailFast,
-            Harm::Slow => Harm::Slow,
-            _ => Harm::Kill,
+        Some(match self.day.outages.iter().find(strikes)?.failure_mode {
+            FailureMode::OneBad | FailureMode::FailFast => FailureMode::FailFast,
+            FailureMode::Slow => FailureMode::Slow,
+            _ => FailureMode::Kill,
         })
     }
 
@@ -111,13 +111,13 @@
         let now = self.queue.now;
         for index in 0..self.day.outages.len() {
             let outage = self.day.outages[index];
-            let twice = outage.harm == Harm::KillTwice && usize::from(outage.zone) == zone;
+            let twice = outage.failure_mode == FailureMode::KillTwice && usize::from(outage.zone) == zone;
             let returns = state == State::Returning && (2..RETURN_STEPS).contains(&step);
             if twice && now > outage.to && returns && !mem::replace(&mut self.again[index], true) {
                 let to = now + SECOND_OUTAGE;
-                self.day.outages.push(Outage { harm: Harm::Kill, from: now, to, ..outage });
+                self.day.outages.push(Outage { failure_mode: FailureMode::Kill, from: now, to, ..outage });
                 self.again.push(false);
-                self.queue.put(to, Event::Restart(outage.zone));
+                self.queue.schedule(to, Event::Restart(outage.zone));
             }
         }
     }
--- a/lab/src/regions/rules.rs
+++ b/lab/src/regions/rules.rs
@@ -28,20 +28,22 @@
         }
         let request = dispatch.request;
         if dispatch.client_request.class == BOOKINGS && !self.proxies[i].ran.insert(request) {
-            self.report.broken.push(format!("booking {request} of n{i} went out again"));
+            self.report.rule_violations.push(format!("booking {request} of n{i} went out again"));
         }
     }
 
     fn check_member(&mut self, i: usize, member: Addr) {
         let now = self.queue.now;
         if self.leaving.get(&member).is_some_and(|at| now > at + GRACE) {
-            self.report.broken.push(format!("sent to {member:?} after its drain"));
+            self.report.rule_violations.push(format!("sent to {member:?} after its drain"));
         }
         let Some(zone) = self.day.zone_of(member) else { return };
         let ZoneState { state, since, .. } = self.states[zone];
         if is_left(state) && now > since + GRACE && !self.apart.contains(&i) && !self.is_cut(i, now) {
             let after = (now - since) / MS;
-            self.report.broken.push(format!("n{i} sent to zone {zone}, {state:?}, {after} ms after"));
+            self.report
+                .rule_violations
+                .push(format!("n{i} sent to zone {zone}, {state:?}, {after} ms after"));
         }
         if self.day.outages.iter().all(|outage| now < outage.from) && now > CALM_FROM {
             self.calm[zone] += 1.0;
@@ -67,7 +69,7 @@
         let sum: f64 = stand_in.sent.iter().map(|(_, work)| work).sum();
         if sum > allowed + 3.0 * allowed.sqrt() + 3.0 {
             let at = (now - T0) / MS;
-            self.report.overspent.push(format!("{member:?} got {sum:.1} of {allowed:.1} at {at}"));
+            self.report.cold_overloads.push(format!("{member:?} got {sum:.1} of {allowed:.1} at {at}"));
         }
     }
 
@@ -110,7 +112,7 @@
         if let Some(outage) = self.day.outages.iter().filter(over).max_by_key(|outage| outage.to) {
             let is_location = zone < usize::from(self.day.locations);
             let cold = if is_location { self.settings.cold_period } else { self.settings.parent_cold_period };
-            self.report.returns.push((now - outage.to) as f64 / cold as f64);
+            self.report.return_ratios.push((now - outage.to) as f64 / cold as f64);
         }
     }
 
@@ -120,7 +122,7 @@
         let now = (self.queue.now - T0) / MS;
         for kind in [0..locations, locations..zones.len()] {
             if kind.clone().all(|zone| !zones[zone].accepts_new_requests()) {
-                self.report.guard.push(format!("all of {kind:?} out at {now}"));
+                self.report.guard_violations.push(format!("all of {kind:?} out at {now}"));
             }
         }
         let first = self.day.outages.iter().map(|outage| outage.from).min().unwrap_or(T0 + 10 * S);
@@ -134,10 +136,14 @@
             .map(|zone| self.calm[zone] / span * f64::from(zones[zone].moved_permille) / 1000.0)
             .sum();
         let carried: f64 = hubs.clone().filter(|zone| !out(zone)).map(|zone| self.calm[zone] / span).sum();
-        let able: f64 =
-            hubs.filter(|zone| !out(zone)).map(|zone| self.calm[zone] / span * self.day.spare.1).sum();
+        let able: f64 = hubs
+            .filter(|zone| !out(zone))
+            .map(|zone| self.calm[zone] / span * self.day.capacity_factors.1)
+            .sum();
         if moved > 0.0 && moved + carried > able {
-            self.report.guard.push(format!("{moved:.0} moved to {carried:.0} of {able:.0} at {now}"));
+            self.report
+                .guard_violations
+                .push(format!("{moved:.0} moved to {carried:.0} of {able:.0} at {now}"));
         }
     }
 
--- a/lab/src/regions/stand_ins.rs
+++ b/lab/src/regions/stand_ins.rs
@@ -2,7 +2,7 @@
 //!
 //! A stand-in answers as those of `fleet.rs`. It bears two seconds of its capacity at once; what is asked beyond waits its
 //! turn, and is turned away where that turn is far. One that started anew holds nothing and can do as the settings say.
-use super::{Day, Event, Harm, Regions, BOOKINGS, MS, S};
+use super::{Day, Event, FailureMode, Regions, BOOKINGS, MS, S};
 use crate::day::ORIGIN;
 use crate::draw;
 use nickelgate::{Addr, Micros, Note, Outcome, Report};
@@ -46,15 +46,15 @@
 
 /// Every member with what it can do: so many times what it is asked for in calm times.
 pub(super) fn stand_ins(day: &Day) -> BTreeMap<Addr, StandIn> {
-    let all = day.proxies as f64 * day.rate;
+    let all = day.proxies as f64 * day.requests_per_s;
     // Three in ten are filled at a hub, and four of ten of those from the origin, as the bookings are.
     let fills = all * 0.95 * 0.3;
-    let cache = all / f64::from(day.locations) / f64::from(day.members.0) * day.spare.0;
-    let hub = fills / f64::from(day.hubs) / f64::from(day.members.1) * day.spare.1;
+    let cache = all / f64::from(day.locations) / f64::from(day.members.0) * day.capacity_factors.0;
+    let hub = fills / f64::from(day.parents) / f64::from(day.members.1) * day.capacity_factors.1;
     let mut stand_ins = BTreeMap::new();
-    for zone in 0..day.many() {
+    for zone in 0..day.zone_count() {
         let able = if zone < day.locations { cache } else { hub };
-        for n in 0..day.of(zone) {
+        for n in 0..day.members_in(zone) {
             stand_ins.insert(day.member(zone, n), StandIn { able, ..StandIn::default() });
         }
     }
@@ -67,8 +67,8 @@
     member.ip[1] == 1
 }
 
-fn slowness(harm: Option<Harm>) -> Micros {
-    if harm == Some(Harm::Slow) {
+fn slowness(failure_mode: Option<FailureMode>) -> Micros {
+    if failure_mode == Some(FailureMode::Slow) {
         SLOWNESS
     } else {
         0
@@ -144,17 +144,17 @@
         self.check_send(i, dispatch);
         let reply = self.answer(&Attempt::new(self.day.seed, i, dispatch));
         if let Some(Reply { after, end }) = reply {
-            self.queue.put(self.queue.now + after, Event::End(i, request, attempt, Box::new(end)));
+            self.queue.schedule(self.queue.now + after, Event::End(i, request, attempt, Box::new(end)));
         }
     }
 
     /// What comes of an attempt; nothing, where the member is silent.
     fn answer(&mut self, attempt: &Attempt) -> Option<Reply> {
         let Dispatch { member, request, client_request: ref ask, .. } = *attempt.dispatch;
-        let harm = self.harm(attempt.proxy, member, self.queue.now, attempt.member_lot);
-        match harm {
-            Some(Harm::Kill) => return None,
-            Some(Harm::FailFast) => return Some(Reply::broken()),
+        let failure_mode = self.failure_mode(attempt.proxy, member, self.queue.now, attempt.member_lot);
+        match failure_mode {
+            Some(FailureMode::Kill) => return None,
+            Some(FailureMode::FailFast) => return Some(Reply::broken()),
             _ => {}
         }
         self.check_cold(member, attempt.units);
@@ -165,7 +165,7 @@
                 return Some(Reply::answered(2 * MS, Outcome::Refused, Note::None, 0, busy));
             }
         };
-        let near = attempt.near + wait + slowness(harm);
+        let near = attempt.near + wait + slowness(failure_mode);
         if member == ORIGIN {
             return Some(Reply::answered(near, Outcome::Ok, Note::None, 0, busy));
         }
@@ -193,12 +193,12 @@
 
     /// The member fills from a source: a hub, or the origin.
     fn fill(&mut self, attempt: &Attempt, source: Addr, near: Micros, busy: f32) -> Option<Reply> {
-        let harm = self.harm(attempt.proxy, source, self.queue.now, attempt.source_lot);
-        if harm == Some(Harm::Kill) {
+        let failure_mode = self.failure_mode(attempt.proxy, source, self.queue.now, attempt.source_lot);
+        if failure_mode == Some(FailureMode::Kill) {
             self.forget(attempt);
             return None;
         }
-        if harm == Some(Harm::FailFast) {
+        if failure_mode == Some(FailureMode::FailFast) {
             self.forget(attempt);
             return Some(Reply::answered(10 * MS, Outcome::Error, Note::SourceFailed, 5 * MS, busy));
         }
@@ -214,7 +214,7 @@
             let origin = if source == ORIGIN { 0 } else { self.wait_at_origin(attempt.units) };
             (Note::FilledOrigin, between(attempt.fill, 80 * MS, 200 * MS) + origin)
         };
-        let fill = wait + slowness(harm) + way;
+        let fill = wait + slowness(failure_mode) + way;
         Some(Reply::answered(near + fill, Outcome::Ok, note, fill, busy))
     }
 
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -255,7 +255,7 @@
             if at < node.armed[part] || node.armed[part] <= now {
                 node.armed[part] = at.max(now + 1);
                 let tick = Event::Tick { to: place as u16, part: part as u8, start: node.start };
-                self.queue.put(node.armed[part], tick);
+                self.queue.schedule(node.armed[part], tick);
             }
         }
         let side = node.side;
@@ -263,8 +263,8 @@
             if self.nodes[usize::from(to)].side != side {
                 continue;
             }
-            for at in self.net.carry(now, place, usize::from(to), bytes.len()) {
-                self.queue.put(at, Event::Datagram { from: place as u16, to, bytes: bytes.clone() });
+            for at in self.net.transmit(now, place, usize::from(to), bytes.len()) {
+                self.queue.schedule(at, Event::Datagram { from: place as u16, to, bytes: bytes.clone() });
             }
         }
     }
--- a/lab/src/scale/real/virtual_time.rs
+++ b/lab/src/scale/real/virtual_time.rs
@@ -66,7 +66,7 @@
         random.fill_bytes(&mut entropy);
         let start = start_of(fleet, place, SECOND);
         proxies.push(HollowProxy::new(fleet, place, start, entropy, stopwatch)?);
-        queue.put(start, Event::Tick(place));
+        queue.schedule(start, Event::Tick(place));
     }
     let armed = (0..fleet.proxies).map(|place| start_of(fleet, place, SECOND)).collect();
     let mut simulation = Simulation { queue, net: Net::new(seed, LOOPBACK), proxies, armed, pace: None };
@@ -117,14 +117,14 @@
     fn carry(&mut self, place: u16, out: Vec<(u16, Vec<u8>)>) {
         let now = self.queue.now;
         for (to, datagram) in out {
-            for at in self.net.carry(now, usize::from(place), usize::from(to), datagram.len()) {
-                self.queue.put(at, Event::Datagram(to, datagram.clone()));
+            for at in self.net.transmit(now, usize::from(place), usize::from(to), datagram.len()) {
+                self.queue.schedule(at, Event::Datagram(to, datagram.clone()));
             }
         }
         let (due, armed) = (self.proxies[usize::from(place)].next_due(), &mut self.armed[usize::from(place)]);
         if due < *armed {
             *armed = due.max(now + 1);
-            self.queue.put(*armed, Event::Tick(place));
+            self.queue.schedule(*armed, Event::Tick(place));
         }
     }
 }
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -11,7 +11,7 @@
 use super::summary::{self, Summary};
 use super::target::Target;
 use super::{cut, watch};
-use crate::plain_division::question_nanoseconds;
+use crate::plain_division::request_nanoseconds;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -225,7 +225,7 @@
 /// of the one that divides: the star of today. What was measured at rest with the present one stays, as an event of its
 /// own.
 fn add_plain_division(findings: &mut Findings, size: usize) {
-    let cost = question_nanoseconds(size as u16, PLAIN_QUESTIONS);
+    let cost = request_nanoseconds(size as u16, PLAIN_QUESTIONS);
     let Some(plain) = cost.plain else {
         return findings.not_reached.push(format!("Star of {size}: the plain division was not measured"));
     };
--- a/lab/tests/budgets.rs
+++ b/lab/tests/budgets.rs
@@ -38,8 +38,8 @@
             1 | 2 => w.start(i),
             3 => w.leave(i),
             4 => w.pause(i, roll(3 * LEASE)),
-            5 => w.net.part(&(0..i).collect::<Vec<_>>(), &(i..n.into()).collect::<Vec<_>>()),
-            6 => w.net.heal(),
+            5 => w.net.cut_groups(&(0..i).collect::<Vec<_>>(), &(i..n.into()).collect::<Vec<_>>()),
+            6 => w.net.restore_links(),
             7 if i != k => w.net.cut(i, k),
             // Twice within the flight of a message: answers to one life reach the next.
             8 => {
@@ -47,18 +47,18 @@
                 w.run(roll(LEASE / 4));
                 w.start(i);
             }
-            _ => w.want(i, roll(2) as usize, roll(120) as u32),
+            _ => w.set_proxy_demand(i, roll(2) as usize, roll(120) as u32),
         }
         w.run(roll(2 * LEASE));
     }
     // Calm again: all run, and the whole is used.
-    w.net.heal();
+    w.net.restore_links();
     w.net.conditions = NetworkConditions::default();
     (0..n.into()).for_each(|i| w.start(i));
     w.run(8 * LEASE);
     // Two messages in a row may be lost, and a share lapse: the best of some moments.
     let sum = (0..10).map(|_| (w.run(LEASE / 10), w.sum(0)).1).max().unwrap_or(0);
-    (w.most, sum)
+    (w.max_sums, sum)
 }
 
 #[test]
@@ -79,15 +79,19 @@
     w.run(5 * S);
     assert!(w.sum(0) >= 90);
     // Two of five voters on one side.
-    w.net.part(&[0, 1, 5, 6, 7], &[2, 3, 4, 8, 9]);
+    w.net.cut_groups(&[0, 1, 5, 6, 7], &[2, 3, 4, 8, 9]);
     w.run(10 * S);
-    assert_eq!(w.grantors().iter().filter(|g| [0, 1, 5, 6, 7].contains(g)).count(), 0, "a minority divides");
+    assert_eq!(
+        w.coordinators().iter().filter(|g| [0, 1, 5, 6, 7].contains(g)).count(),
+        0,
+        "a minority divides"
+    );
     // The floors alone: a tenth, in whole units.
     assert_eq!([0, 1, 5, 6, 7].map(|i| w.share(i, 0)), [1; 5]);
     assert!(w.sum(0) >= 90, "the majority's side uses {}", w.sum(0));
-    w.net.heal();
+    w.net.restore_links();
     w.run(5 * S);
-    assert!(w.most[0] <= 100 && w.grantors().len() == 1);
+    assert!(w.max_sums[0] <= 100 && w.coordinators().len() == 1);
     assert!(w.share(0, 0) > 1, "nothing again for the side that was cut off");
 }
 
@@ -96,17 +100,17 @@
     for seed in 0..20 {
         let mut w = started(seed, 10, &[100], NetworkConditions::default());
         w.run(5 * S);
-        let old = w.grantors()[0];
+        let old = w.coordinators()[0];
         let others: Vec<usize> = (0..5).filter(|i| *i != old).collect();
         // One of them hears nothing of the grantor and so is free to stand; two start anew under it.
         w.net.cut(old, others[0]);
         w.run(2 * LEASE);
-        w.net.part(&[old, 5, 6, 7], &[&others[..], &[8, 9]].concat());
+        w.net.cut_groups(&[old, 5, 6, 7], &[&others[..], &[8, 9]].concat());
         w.start(others[1]);
         w.start(others[2]);
         w.run(4 * LEASE);
-        assert!(w.most[0] <= 100, "seed {seed}: {} of 100", w.most[0]);
-        assert!(w.grantors() != [old], "the others found no grantor");
+        assert!(w.max_sums[0] <= 100, "seed {seed}: {} of 100", w.max_sums[0]);
+        assert!(w.coordinators() != [old], "the others found no grantor");
     }
 }
 
@@ -114,25 +118,25 @@
 fn a_holder_paused_over_the_end_of_its_lease_uses_nothing_of_it() {
     let mut w = started(4, 5, &[100], NetworkConditions::default());
     w.run(5 * S);
-    let paused = (0..5).find(|i| !w.grantors().contains(i)).unwrap();
+    let paused = (0..5).find(|i| !w.coordinators().contains(i)).unwrap();
     w.pause(paused, 4 * LEASE);
     w.run(3 * LEASE);
     assert_eq!(w.share(paused, 0), 2, "more than its floor after the pause");
     assert!(w.sum(0) >= 90, "its part was not divided anew: {}", w.sum(0));
     w.run(3 * LEASE);
-    assert!(w.share(paused, 0) > 2 && w.most[0] <= 100);
+    assert!(w.share(paused, 0) > 2 && w.max_sums[0] <= 100);
 }
 
 #[test]
 fn a_paused_grantor_comes_back_without_authority() {
     let mut w = started(5, 7, &[100], NetworkConditions::default());
     w.run(5 * S);
-    let old = w.grantors()[0];
+    let old = w.coordinators()[0];
     w.pause(old, 4 * LEASE);
     w.run(3 * LEASE);
-    assert!(w.grantors() != [old] && w.grantors().len() == 1, "{:?}", w.grantors());
+    assert!(w.coordinators() != [old] && w.coordinators().len() == 1, "{:?}", w.coordinators());
     w.run(4 * LEASE);
-    assert!(w.most[0] <= 100 && w.sum(0) >= 90);
+    assert!(w.max_sums[0] <= 100 && w.sum(0) >= 90);
 }
 
 #[test]
@@ -149,7 +153,7 @@
         used += w.sum(0);
         had.extend((0..300).find(|i| w.share(*i, 0) == 1));
     }
-    assert!(w.most[0] <= 1 && w.most[1] <= 3000, "{:?}", w.most);
+    assert!(w.max_sums[0] <= 1 && w.max_sums[1] <= 3000, "{:?}", w.max_sums);
     assert!(used >= 100, "the unit was in use {used} times of 200");
     assert!(had.len() > 1, "one holder kept the unit");
     assert!(w.sum(1) >= 2700, "{} of 3000", w.sum(1));
@@ -160,7 +164,7 @@
     for word in [true, false] {
         let mut w = started(7, 5, &[100], NetworkConditions { loss: 0.0, ..NetworkConditions::default() });
         w.run(5 * S);
-        let gone = (0..5).find(|i| !w.grantors().contains(i)).unwrap();
+        let gone = (0..5).find(|i| !w.coordinators().contains(i)).unwrap();
         if word {
             w.leave(gone)
         } else {
@@ -172,7 +176,7 @@
         }
         let took = w.now() - from;
         assert!(took <= if word { LEASE / 2 } else { 2 * LEASE }, "{took} us");
-        assert!(w.most[0] <= 100);
+        assert!(w.max_sums[0] <= 100);
     }
 }
 
@@ -186,23 +190,23 @@
             NetworkConditions { min_delay: 40 * MS, max_delay: 90 * MS, ..NetworkConditions::default() },
         );
         w.run(5 * S + seed * 20 * MS);
-        let old = w.grantors()[0];
-        w.retire(old);
+        let old = w.coordinators()[0];
+        w.announce_leave(old);
         w.run(MS);
         for _ in 0..60 {
             w.run(50 * MS);
-            assert!(!w.grantors().contains(&old), "seed {seed}: votes on their way brought it back");
+            assert!(!w.coordinators().contains(&old), "seed {seed}: votes on their way brought it back");
         }
         // Two messages in a row may be lost, and a share lapse: the best of some moments.
         let sum = (0..10).map(|_| (w.run(LEASE / 10), w.sum(0)).1).max();
-        assert!(w.most[0] <= 100 && sum >= Some(90), "seed {seed}: {:?}, {sum:?} in use", w.most);
+        assert!(w.max_sums[0] <= 100 && sum >= Some(90), "seed {seed}: {:?}, {sum:?} in use", w.max_sums);
     }
 }
 
 #[test]
 fn a_share_goes_where_it_is_wanted() {
     let mut w = started(8, 5, &[1000], NetworkConditions::default());
-    [30, 50, 0].into_iter().enumerate().for_each(|(i, n)| w.want(i, 0, n));
+    [30, 50, 0].into_iter().enumerate().for_each(|(i, n)| w.set_proxy_demand(i, 0, n));
     w.run(6 * S);
     let got: Vec<u32> = (0..5).map(|i| w.share(i, 0)).collect();
     // Floors are 20. What the others do not want goes to the last two in even parts.
--- a/lab/tests/control.rs
+++ b/lab/tests/control.rs
@@ -43,8 +43,8 @@
 
 /// No whole was exceeded at any moment so far.
 fn assert_sums(fleet: &BudgetSimulation<ControlTree>, what: &str) {
-    assert!(fleet.most[0] <= WHOLES[0] && fleet.most[1] <= WHOLES[1], "{what}: {:?}", fleet.most);
-    for (region, most) in fleet.most_in_group.iter().enumerate() {
+    assert!(fleet.max_sums[0] <= WHOLES[0] && fleet.max_sums[1] <= WHOLES[1], "{what}: {:?}", fleet.max_sums);
+    for (region, most) in fleet.max_group_sums.iter().enumerate() {
         assert!(most[2] <= WHOLES[2], "{what}: region {region} used {most:?}");
     }
 }
@@ -108,25 +108,25 @@
                 let region = topology.group_of(one as u16, Level::Region);
                 let (inside, outside): (Vec<usize>, Vec<usize>) =
                     all.iter().partition(|place| topology.group_of(**place as u16, Level::Region) == region);
-                fleet.net.part(&inside, &outside);
+                fleet.net.cut_groups(&inside, &outside);
             }
-            7 => fleet.net.heal(),
+            7 => fleet.net.restore_links(),
             8 if one != other => fleet.net.cut(one, other),
             9 => all.iter().filter(|place| **place != one).for_each(|place| fleet.net.cut(one, *place)),
             10 => leaders.iter().for_each(|place| fleet.start(*place)),
-            _ => fleet.want(one, roll(3) as usize, roll(700) as u32),
+            _ => fleet.set_proxy_demand(one, roll(3) as usize, roll(700) as u32),
         }
         fleet.run(roll(2 * LEASE));
     }
     assert_sums(&fleet, &format!("seed {seed}"));
     // Calm again: all run, and the whole is used.
-    fleet.net.heal();
+    fleet.net.restore_links();
     fleet.net.conditions = NetworkConditions::default();
     all.iter().for_each(|place| fleet.start(*place));
     fleet.run(24 * LEASE);
     let used = (0..20).map(|_| (fleet.run(LEASE / 4), fleet.sum(0)).1).max().unwrap_or(0);
     assert_sums(&fleet, &format!("seed {seed}, calm"));
-    (f64::from(used) / f64::from(WHOLES[0]), fleet.most[1] == 1)
+    (f64::from(used) / f64::from(WHOLES[0]), fleet.max_sums[1] == 1)
 }
 
 #[test]
@@ -245,7 +245,7 @@
                 assert!(!fleet.leaders(Level::Fleet).contains(&cut), "{level:?}: leads the fleet unheard");
                 let used = best_use(&mut fleet);
                 assert!(used >= 480, "{level:?}, hears {hears}, seed {seed}: {used}");
-                fleet.net.heal();
+                fleet.net.restore_links();
                 fleet.run(12 * LEASE);
                 assert!(best_use(&mut fleet) >= 540, "{level:?}, hears {hears}, seed {seed}: after");
                 assert_sums(&fleet, "a head cut on one side");
@@ -293,17 +293,17 @@
     let mut fleet = settled(3, EVEN);
     let inside: Vec<usize> = (0..8).collect();
     let outside: Vec<usize> = (8..24).collect();
-    fleet.net.part(&inside, &outside);
+    fleet.net.cut_groups(&inside, &outside);
     let (mut moments, mut of_fleet, mut of_region) = (0, 0, 0);
     let mut least = u32::MAX;
     let start = fleet.now();
     while fleet.now() < start + 3600 * S {
         fleet.run(S);
         moments += 1;
-        of_fleet += fleet.sum_in_group(0, 0);
-        of_region += fleet.sum_in_group(0, 2);
+        of_fleet += fleet.group_share(0, 0);
+        of_region += fleet.group_share(0, 2);
         if fleet.now() > start + 60 * S {
-            least = least.min(fleet.sum_in_group(0, 2));
+            least = least.min(fleet.group_share(0, 2));
         }
     }
     let even = f64::from(WHOLES[0]) / 3.0;
@@ -314,8 +314,8 @@
     );
     assert!(used >= 0.45 && own >= 0.9, "{used} of its even part, {own} of its own");
     assert_sums(&fleet, "an hour's cut");
-    fleet.net.heal();
-    let back = until(&mut fleet, 30 * LEASE, |fleet| f64::from(fleet.sum_in_group(0, 0)) >= 0.9 * even);
+    fleet.net.restore_links();
+    let back = until(&mut fleet, 30 * LEASE, |fleet| f64::from(fleet.group_share(0, 0)) >= 0.9 * even);
     println!(
         "after its return nine tenths of the even part in use after {:?} s",
         back.map(|span| span as f64 / S as f64)
@@ -340,7 +340,7 @@
 fn a_head_that_lies_gives_nobody_more_than_was_asked_for() {
     for level in LEVELS {
         let mut fleet = settled(5, EVEN);
-        (0..24).for_each(|place| fleet.want(place, 0, 20));
+        (0..24).for_each(|place| fleet.set_proxy_demand(place, 0, 20));
         fleet.run(6 * LEASE);
         let liar = head(&fleet, level);
         fleet.tamper(Box::new(move |from, _, bytes| {
@@ -352,9 +352,9 @@
         for place in 0..24 {
             assert!(fleet.share(place, 0) <= 20, "{level:?}: {} at {place}", fleet.share(place, 0));
         }
-        assert!(fleet.most[0] <= WHOLES[0], "{level:?}: {:?}", fleet.most);
+        assert!(fleet.max_sums[0] <= WHOLES[0], "{level:?}: {:?}", fleet.max_sums);
         // All want everything: whoever believes the liar takes no more than the whole, and the others what they hold.
-        (0..24).for_each(|place| fleet.want(place, 0, WHOLES[0]));
+        (0..24).for_each(|place| fleet.set_proxy_demand(place, 0, WHOLES[0]));
         fleet.run(10 * LEASE);
         let most = (0..24).map(|place| fleet.share(place, 0)).max();
         assert!(most <= Some(WHOLES[0]), "{level:?}: {most:?}");
@@ -367,13 +367,13 @@
     let all: Vec<usize> = (0..24).collect();
     all.chunks(8).for_each(|inside| {
         let outside: Vec<usize> = all.iter().copied().filter(|place| !inside.contains(place)).collect();
-        fleet.net.part(inside, &outside);
+        fleet.net.cut_groups(inside, &outside);
     });
     fleet.run(30 * LEASE);
     let mut least = u32::MAX;
     for _ in 0..50 {
         fleet.run(LEASE / 4);
-        least = (0..3).map(|region| fleet.sum_in_group(region, 2)).fold(least, u32::min);
+        least = (0..3).map(|region| fleet.group_share(region, 2)).fold(least, u32::min);
     }
     println!("no region reaches another: at least {least} of {} in use of each region's own", WHOLES[2]);
     assert!(fleet.leaders(Level::Fleet).is_empty());
--- a/lab/tests/division.rs
+++ b/lab/tests/division.rs
@@ -7,7 +7,7 @@
 use threadward_budgets::grant::{Grant, Ledger, Request, Supply};
 use threadward_budgets::wire::Author;
 use threadward_budgets::Terms;
-use threadward_lab::plain_division::{question_nanoseconds, PlainLedger};
+use threadward_lab::plain_division::{request_nanoseconds, PlainLedger};
 
 const LEASE: Micros = 1_000_000;
 const BUDGETS: usize = 2;
@@ -189,7 +189,7 @@
 
     fn leaves(&mut self, place: u16) {
         let life = self.askers[usize::from(place)].life;
-        self.plain.left(Author { index: place, incarnation: life });
+        self.plain.record_leave(Author { index: place, incarnation: life });
         self.incremental.record_leave(Author { index: place, incarnation: life });
         if let Some(known) = self.known.get_mut(&place) {
             known.grants.retain(|given| given.life != life);
@@ -338,7 +338,7 @@
             let said = u64::from(self.incremental.granted(self.now, budget, &self.terms));
             prop_assert_eq!(said, incremental[budget], "the incremental ledger's sum");
             let wanted: u64 = self.known.values().map(|known| u64::from(known.wants[budget])).sum();
-            prop_assert_eq!(self.plain.wanted(budget), wanted);
+            prop_assert_eq!(self.plain.total_demand(budget), wanted);
             prop_assert_eq!(self.incremental.total_demand(budget), wanted);
         }
         Ok(())
@@ -398,7 +398,7 @@
 
 #[test]
 fn the_cost_of_a_question_is_measured_for_both() {
-    let few = question_nanoseconds(30, 100);
+    let few = request_nanoseconds(30, 100);
     assert!(few.plain.is_some_and(|cost| cost > 0) && few.incremental > 0, "{few:?}");
-    assert_eq!(question_nanoseconds(3_001, 10).plain, None, "not measured beyond 3000 holders");
+    assert_eq!(request_nanoseconds(3_001, 10).plain, None, "not measured beyond 3000 holders");
 }
--- a/lab/tests/event_queue.rs
+++ b/lab/tests/event_queue.rs
@@ -6,7 +6,7 @@
 fn events_come_by_time_and_then_in_turn() {
     let mut queue = EventQueue::new(10);
     for (at, event) in [(30, 'c'), (20, 'a'), (20, 'b'), (5, '0')] {
-        queue.put(at, event);
+        queue.schedule(at, event);
     }
     let next = || queue.pop(25).map(|event| (event, queue.now));
     let got: Vec<(char, Micros)> = std::iter::from_fn(next).collect();
--- a/lab/tests/gossip.rs
+++ b/lab/tests/gossip.rs
@@ -3,7 +3,7 @@
 use threadward_gossip::keys::{short_id, OwnKey, SIGNATURE_BYTES};
 use threadward_gossip::wire::{self, Claim, Head, Kind};
 use threadward_gossip::{public_key, Dropped, Notice, Settings, State};
-use threadward_lab::gossip_simulation::{address, hub, peer, secret, GossipSimulation};
+use threadward_lab::gossip_simulation::{address, parent, peer, secret, GossipSimulation};
 use threadward_lab::net::NetworkConditions;
 
 const S: Micros = 1_000_000;
@@ -13,11 +13,11 @@
     let mut g = GossipSimulation::new(n, 2, seed, NetworkConditions::default());
     for _ in 0..60 {
         g.run(S);
-        if g.live().iter().all(|l| *l == n) {
+        if g.live_counts().iter().all(|l| *l == n) {
             return g;
         }
     }
-    panic!("not all found each other: {:?}", g.live());
+    panic!("not all found each other: {:?}", g.live_counts());
 }
 
 fn dropped(g: &GossipSimulation, i: usize, why: Dropped) -> u64 {
@@ -26,7 +26,7 @@
 
 fn nobody_believes(g: &GossipSimulation, but: &[usize]) {
     for i in (0..g.slots.len()).filter(|i| !but.contains(i)) {
-        assert_eq!(g.believes(i), Vec::<Addr>::new(), "n{i}");
+        assert_eq!(g.suspected_by(i), Vec::<Addr>::new(), "n{i}");
     }
 }
 
@@ -40,35 +40,35 @@
 fn two_witnesses_help_the_others_and_the_word_ends() {
     for seed in 1..6 {
         let mut g = joined(4, seed);
-        g.shows(0, hub(1), true);
+        g.set_member_failing(0, parent(1), true);
         g.run(S);
         nobody_believes(&g, &[]);
-        g.shows(0, hub(1), true);
-        g.shows(1, hub(1), true);
+        g.set_member_failing(0, parent(1), true);
+        g.set_member_failing(1, parent(1), true);
         g.run(S);
         for i in [2, 3] {
-            assert_eq!(g.believes(i), [hub(1)], "seed {seed}");
+            assert_eq!(g.suspected_by(i), [parent(1)], "seed {seed}");
         }
         // An own good answer outranks it at once; the other goes by age.
         g.run(100_000);
-        g.shows(2, hub(1), false);
+        g.set_member_failing(2, parent(1), false);
         g.run(60_000);
-        assert!(g.believes(2).is_empty());
+        assert!(g.suspected_by(2).is_empty());
         g.run(6 * S);
         nobody_believes(&g, &[]);
     }
 }
 
-/// Accuses every hub, then one: nobody believes it, it loses credit where own traffic refutes it, and an honest
+/// Accuses every parent, then one: nobody believes it, it loses credit where own traffic refutes it, and an honest
 /// instance with it is not enough once that has happened.
 #[test]
 fn one_liar_among_four_moves_nothing() {
     let mut g = joined(4, 7);
-    for accused in [vec![hub(1), hub(2), hub(3), hub(4)], vec![hub(1)]] {
-        g.slots[3].accuses = accused;
+    for accused in [vec![parent(1), parent(2), parent(3), parent(4)], vec![parent(1)]] {
+        g.slots[3].always_accused = accused;
         for _ in 0..40 {
             for i in 0..3 {
-                (1..=4).for_each(|h| g.shows(i, hub(h), false));
+                (1..=4).for_each(|h| g.set_member_failing(i, parent(h), false));
             }
             g.run(250_000);
             nobody_believes(&g, &[3]);
@@ -79,31 +79,31 @@
         assert!(g.gossip(i).credit("n3") < 0.3, "n{i}: {}", g.gossip(i).credit("n3"));
         assert!(g.gossip(i).credit("n0") > 0.7);
     }
-    g.shows(0, hub(1), true);
+    g.set_member_failing(0, parent(1), true);
     g.run(S);
-    assert!(g.believes(1).is_empty() && g.believes(2).is_empty());
+    assert!(g.suspected_by(1).is_empty() && g.suspected_by(2).is_empty());
 }
 
 #[test]
 fn two_liars_of_seven_in_league_move_nothing() {
     let mut g = joined(7, 8);
     for liar in [5, 6] {
-        g.slots[liar].accuses = (1..=4).map(hub).collect();
+        g.slots[liar].always_accused = (1..=4).map(parent).collect();
     }
     for _ in 0..100 {
         g.run(100_000);
         nobody_believes(&g, &[5, 6]);
     }
     // A third witness makes the number, wherever it is honest.
-    g.shows(0, hub(2), true);
+    g.set_member_failing(0, parent(2), true);
     g.run(S);
-    assert_eq!(g.believes(1), [hub(2)]);
+    assert_eq!(g.suspected_by(1), [parent(2)]);
 }
 
 /// A datagram that claims to be `author`'s, signed with this secret.
 fn forged(author: usize, with: [u8; 32], start: u64, seq: u32) -> Vec<u8> {
     let key = OwnKey::new(&secret(author)).id();
-    let claim = Claim { member: hub(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
+    let claim = Claim { member: parent(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
     let mut b = wire::statement(Head { key, start, seq, uptime: 100 }, &[claim]);
     OwnKey::new(&with).sign(&mut b);
     b
@@ -113,7 +113,7 @@
 fn forgeries_and_flipped_bits_are_dropped() {
     let mut g = joined(4, 9);
     g.record = true;
-    g.shows(1, hub(1), true);
+    g.set_member_failing(1, parent(1), true);
     g.run(S);
     let good = statements(&g, 1, 0).pop().unwrap();
     let head = wire::read(&good).unwrap().head;
@@ -145,10 +145,10 @@
     let mut g = joined(4, 10);
     g.record = true;
     for i in [1, 2] {
-        g.shows(i, hub(1), true);
+        g.set_member_failing(i, parent(1), true);
     }
     g.run(S);
-    assert_eq!(g.believes(0), [hub(1)]);
+    assert_eq!(g.suspected_by(0), [parent(1)]);
     g.run(10 * S);
     nobody_believes(&g, &[]);
     let all: Vec<(usize, Vec<u8>)> = g.sent.iter().filter(|s| s.2 == 0).map(|s| (s.1, s.3.clone())).collect();
@@ -174,9 +174,9 @@
     g.start(0);
     replay(&mut g);
     nobody_believes(&g, &[]);
-    assert_eq!(g.live()[0], 1, "recordings prove nothing");
+    assert_eq!(g.live_counts()[0], 1, "recordings prove nothing");
     g.run(20 * S);
-    assert_eq!(g.live()[0], 4);
+    assert_eq!(g.live_counts()[0], 4);
     replay(&mut g);
     nobody_believes(&g, &[]);
 }
@@ -186,14 +186,14 @@
 fn a_former_life_says_nothing() {
     let mut g = joined(4, 11);
     for i in [1, 2] {
-        g.slots[i].ahead = 3600 * S;
+        g.slots[i].clock_offset = 3600 * S;
         g.start(i);
     }
     g.run(20 * S);
-    assert_eq!(g.live(), [4; 4]);
+    assert_eq!(g.live_counts(), [4; 4]);
     g.record = true;
     for i in [1, 2] {
-        g.shows(i, hub(1), true);
+        g.set_member_failing(i, parent(1), true);
     }
     g.run(S);
     let old: Vec<(usize, Vec<u8>)> =
@@ -201,15 +201,15 @@
     assert!(!old.is_empty());
     for i in [1, 2] {
         g.kill(i);
-        g.slots[i].standings.iter_mut().for_each(|s| (s.last_failed_at, s.skipped) = (0, false));
+        g.slots[i].member_health.iter_mut().for_each(|s| (s.last_failed_at, s.skipped) = (0, false));
     }
     g.run(500_000);
     for i in [1, 2] {
-        g.slots[i].ahead = 0;
+        g.slots[i].clock_offset = 0;
         g.start(i);
     }
     g.run(15 * S);
-    assert_eq!(g.live(), [4; 4]);
+    assert_eq!(g.live_counts(), [4; 4]);
     let before = dropped(&g, 0, Dropped::Replayed);
     for (from, bytes) in &old {
         g.inject(address(*from), 0, bytes);
@@ -220,23 +220,23 @@
 
 #[test]
 fn clocks_that_disagree_by_five_seconds_change_nothing() {
-    let run = |ahead: [Micros; 4]| {
+    let run = |clock_offset: [Micros; 4]| {
         let mut g = GossipSimulation::new(4, 2, 12, NetworkConditions::default());
-        for (i, a) in ahead.into_iter().enumerate() {
-            g.slots[i].ahead = a;
+        for (i, a) in clock_offset.into_iter().enumerate() {
+            g.slots[i].clock_offset = a;
             g.start(i);
         }
         g.run(20 * S);
         for i in [0, 1] {
-            g.shows(i, hub(1), true);
+            g.set_member_failing(i, parent(1), true);
         }
         g.run(300_000);
-        let early = (2..4).map(|i| g.believes(i)).collect::<Vec<_>>();
+        let early = (2..4).map(|i| g.suspected_by(i)).collect::<Vec<_>>();
         g.run(6 * S);
-        (early, g.live(), (0..4).map(|i| g.believes(i).len()).sum::<usize>())
+        (early, g.live_counts(), (0..4).map(|i| g.suspected_by(i).len()).sum::<usize>())
     };
     let even = run([0; 4]);
-    assert_eq!(even, (vec![vec![hub(1)]; 2], vec![4; 4], 0));
+    assert_eq!(even, (vec![vec![parent(1)]; 2], vec![4; 4], 0));
     assert_eq!(run([0, 5 * S, S, 3 * S]), even);
 }
 
@@ -245,19 +245,19 @@
 fn a_clock_that_jumps_loses_nobody_for_long() {
     let mut g = joined(4, 23);
     for ahead in [3600 * S, 0] {
-        g.slots[2].ahead = ahead;
-        g.wake(2);
+        g.slots[2].clock_offset = ahead;
+        g.apply_clock_change(2);
         g.record = true;
         g.sent.clear();
         g.run(20 * S);
-        assert_eq!(g.live(), [4; 4], "{ahead}");
+        assert_eq!(g.live_counts(), [4; 4], "{ahead}");
         let pings = g.sent.iter().filter(|s| s.1 == 2 && s.3[0] & 15 == 1).count();
         assert!(pings >= 18, "{pings} pings in 20 periods");
         let now = g.now();
-        g.shows(0, hub(1), true);
-        g.shows(1, hub(1), true);
+        g.set_member_failing(0, parent(1), true);
+        g.set_member_failing(1, parent(1), true);
         g.run(S);
-        assert_eq!(g.believes(3), [hub(1)], "{ahead} at {now}");
+        assert_eq!(g.suspected_by(3), [parent(1)], "{ahead} at {now}");
         g.run(6 * S);
         nobody_believes(&g, &[]);
     }
@@ -278,24 +278,24 @@
             g.call(i, |gossip, now, _| gossip.reconfigure(now, s).unwrap());
         }
         g.run(10 * S);
-        assert_eq!(g.live(), [4; 4], "nobody was lost");
+        assert_eq!(g.live_counts(), [4; 4], "nobody was lost");
     }
     // What still signs with the old key is not heard.
     let before = dropped(&g, 0, Dropped::Key);
     g.inject(address(1), 0, &forged(1, old, 1, 1));
     assert_eq!(dropped(&g, 0, Dropped::Key), before + 1);
     // Withdrawn whole: its word and its vote are gone, and it counts for no quorum.
-    g.shows(1, hub(1), true);
-    g.shows(2, hub(1), true);
+    g.set_member_failing(1, parent(1), true);
+    g.set_member_failing(2, parent(1), true);
     g.run(S);
-    assert_eq!(g.believes(0), [hub(1)]);
+    assert_eq!(g.suspected_by(0), [parent(1)]);
     for i in [0, 2, 3] {
         g.slots[i].settings.peers[1].keys.clear();
         let s = g.slots[i].settings.clone();
         g.call(i, |gossip, now, _| gossip.reconfigure(now, s).unwrap());
     }
     g.run(100_000);
-    assert_eq!((g.believes(0), g.gossip(0).quorum().eligible), (vec![], 3));
+    assert_eq!((g.suspected_by(0), g.gossip(0).quorum().eligible), (vec![], 3));
     // A file that is wrong leaves all as it was.
     let mut bad = g.slots[0].settings.clone();
     bad.peers.clear();
@@ -326,22 +326,22 @@
     );
     assert!(dropped(&g, 0, Dropped::Flood) >= 99_000);
     // The peer in whose name it came is heard all the same, in the midst of it.
-    g.shows(1, hub(1), true);
-    g.shows(3, hub(1), true);
+    g.set_member_failing(1, parent(1), true);
+    g.set_member_failing(3, parent(1), true);
     for i in 0..500u32 {
         let mut b = wire::ping(head(200_000 + i), short_id(b"n0"), short_id(b"n1"), 1, &[]);
         b.extend_from_slice(&[1; SIGNATURE_BYTES]);
         (0..100).for_each(|_| g.inject(address(1), 0, &b));
         g.run(2_000);
     }
-    assert_eq!((g.believes(0), g.sees(0, 1)), (vec![hub(1)], State::Live));
+    assert_eq!((g.suspected_by(0), g.peer_state(0, 1)), (vec![parent(1)], State::Live));
 }
 
 #[test]
 fn partitions_know_their_side_and_heal() {
     for (a, b) in [(vec![0, 1], vec![2, 3]), (vec![0, 1, 2], vec![3])] {
         let mut g = joined(4, 15);
-        g.net.part(&a, &b);
+        g.net.cut_groups(&a, &b);
         g.run(15 * S);
         for i in 0..4 {
             let side = if a.contains(&i) { a.len() } else { b.len() };
@@ -349,16 +349,16 @@
             assert_eq!((q.live, q.has_majority()), (side, side > 2), "n{i} of {a:?}|{b:?}");
         }
         // On half of them nothing is believed, on three of four two witnesses still do.
-        g.shows(0, hub(1), true);
-        g.shows(1, hub(1), true);
+        g.set_member_failing(0, parent(1), true);
+        g.set_member_failing(1, parent(1), true);
         g.run(S);
         if a.len() == 3 {
-            assert_eq!(g.believes(2), [hub(1)]);
+            assert_eq!(g.suspected_by(2), [parent(1)]);
         }
         nobody_believes(&g, &[2]);
-        g.net.heal();
+        g.net.restore_links();
         g.run(30 * S);
-        assert_eq!(g.live(), [4; 4], "{a:?}|{b:?}");
+        assert_eq!(g.live_counts(), [4; 4], "{a:?}|{b:?}");
     }
 }
 
@@ -379,7 +379,7 @@
     g.net.cut(0, 3);
     g.net.cut(3, 0);
     g.run(30 * S);
-    assert_eq!(g.live(), [4; 4]);
+    assert_eq!(g.live_counts(), [4; 4]);
 }
 
 #[test]
@@ -391,16 +391,16 @@
         let mut dead = 0;
         for _ in 0..60 {
             g.run(S);
-            let of = |i: usize| (0..5).filter(|j| *j != i && g.sees(i, *j) == State::Dead).count();
+            let of = |i: usize| (0..5).filter(|j| *j != i && g.peer_state(i, *j) == State::Dead).count();
             dead += (0..5).map(of).sum::<usize>();
         }
         // Of 1,200 looks of one at another.
         assert!(dead <= (loss * 250.0) as usize, "{dead} with {loss} lost");
         for i in 0..3 {
-            g.shows(i, hub(1), true);
+            g.set_member_failing(i, parent(1), true);
         }
         g.run(4 * S);
-        assert!(loss > 0.3 || g.believes(4) == [hub(1)], "with {loss} lost");
+        assert!(loss > 0.3 || g.suspected_by(4) == [parent(1)], "with {loss} lost");
     }
 }
 
@@ -410,13 +410,13 @@
     g.call(3, |gossip, now, out| gossip.leave(now, out));
     g.kill(3);
     g.run(200_000);
-    let left = (0..3).filter(|i| g.sees(*i, 3) == State::Left).count();
+    let left = (0..3).filter(|i| g.peer_state(*i, 3) == State::Left).count();
     assert!(left >= 2, "{left} of 3 heard it");
     g.run(10 * S);
-    assert!((0..3).all(|i| g.sees(i, 3) != State::Live));
+    assert!((0..3).all(|i| g.peer_state(i, 3) != State::Live));
     g.start(3);
     g.run(10 * S);
-    assert_eq!(g.live(), [4; 4]);
+    assert_eq!(g.live_counts(), [4; 4]);
 }
 
 /// Another instance, with a name and a key of its own, starts at the address of one that was ended.
@@ -435,7 +435,7 @@
     g.start(4);
     g.run(25 * S);
     for i in 0..3 {
-        assert_eq!((g.sees(i, 4), g.sees(i, 3)), (State::Live, State::Dead), "n{i}");
+        assert_eq!((g.peer_state(i, 4), g.peer_state(i, 3)), (State::Live, State::Dead), "n{i}");
     }
     assert_eq!(
         g.gossip(0).quorum(),
@@ -448,7 +448,7 @@
 fn two_hundred_and_fifty_six_join_at_once() {
     let mut g = GossipSimulation::new(256, 3, 21, NetworkConditions::default());
     g.run(100 * S);
-    let live = g.live();
+    let live = g.live_counts();
     assert!(live.iter().all(|l| l * 2 > 256), "each has its majority: {:?}", live.iter().min());
     let rate = g.net.bytes as f64 / 256.0 / 100.0;
     assert!(rate < 600.0, "{rate} bytes a second and instance");
@@ -458,13 +458,13 @@
 #[test]
 fn a_reload_takes_the_period_over_and_repeats_no_news() {
     let mut g = joined(4, 24);
-    g.slots[3].accuses = vec![hub(1)];
+    g.slots[3].always_accused = vec![parent(1)];
     for _ in 0..20 {
-        g.shows(0, hub(1), false);
+        g.set_member_failing(0, parent(1), false);
         g.run(250_000);
     }
     let credit = |g: &GossipSimulation| {
-        g.slots[0].news.iter().filter(|n| matches!(n, Notice::WitnessTrust { .. })).count()
+        g.slots[0].reported_notices.iter().filter(|n| matches!(n, Notice::WitnessTrust { .. })).count()
     };
     assert_eq!(credit(&g), 1);
     let pings = |g: &mut GossipSimulation| {
@@ -478,7 +478,7 @@
     g.call(0, |gossip, now, _| gossip.reconfigure(now, s).unwrap());
     let after = pings(&mut g);
     assert!(after > before * 3, "{before} pings in 20 s, then {after}");
-    assert_eq!(credit(&g), 1, "{:?}", g.slots[0].news);
+    assert_eq!(credit(&g), 1, "{:?}", g.slots[0].reported_notices);
 }
 
 /// A proxy with more to do than it can sends less, and hands nothing on.
@@ -486,8 +486,8 @@
 fn an_overloaded_proxy_says_less() {
     let sent = |busy: bool| {
         let mut g = joined(8, 22);
-        g.slots[7].accuses = vec![hub(1)];
-        g.slots[0].accuses = vec![hub(2)];
+        g.slots[7].always_accused = vec![parent(1)];
+        g.slots[0].always_accused = vec![parent(2)];
         for i in 0..8 {
             g.call(i, |gossip, now, _| gossip.set_overloaded(now, busy));
         }
--- a/lab/tests/large.rs
+++ b/lab/tests/large.rs
@@ -108,7 +108,7 @@
         for a in out {
             match a {
                 Action::Wake { token, after } => {
-                    self.queue.put(now + Micros::from(after), What::Timer(i, token))
+                    self.queue.schedule(now + Micros::from(after), What::Timer(i, token))
                 }
                 Action::Get(g) => self.send(i, g),
                 _ => {}
@@ -149,14 +149,14 @@
             source_wait: if filled { 30 * MS } else { 0 },
             report: Report { count: 2, values },
         };
-        self.queue.put(self.queue.now + elapsed, What::End(i, filled, c));
+        self.queue.schedule(self.queue.now + elapsed, What::End(i, filled, c));
     }
     fn arrive(&mut self, c: Case) {
         let mean = WORK[0] * (1.0 - FILMS) + WORK[1] * FILMS;
         let usual = self.queue.now < T0 + USUAL;
         let rate = if usual { c.load.min(0.5) } else { c.load } * CARRIES * f64::from(CACHES) / mean;
         let gap = -(1.0 - unit(&mut self.rng)).ln() / rate * 1e6;
-        self.queue.put(self.queue.now + gap as Micros, What::Arrive);
+        self.queue.schedule(self.queue.now + gap as Micros, What::Arrive);
         let class = usize::from(unit(&mut self.rng) < FILMS);
         let object = (2_000f64.powf(unit(&mut self.rng)) as u64) << 1 | class as u64;
         let (size, i) = (size(object), (unit(&mut self.rng) * c.routers as f64) as usize);
@@ -199,9 +199,9 @@
     for i in 0..c.routers {
         p.event(i, Event::Members { form: ListForm::Full, entries: list.clone() });
     }
-    p.queue.put(T0, What::Arrive);
+    p.queue.schedule(T0, What::Arrive);
     if c.cold {
-        p.queue.put(T0 + (USUAL + SPAN) / 2, What::Cold);
+        p.queue.schedule(T0 + (USUAL + SPAN) / 2, What::Cold);
     }
     while let Some(what) = p.queue.pop(T0 + SPAN + 10 * S) {
         match what {
--- a/lab/tests/plain_bytes.rs
+++ b/lab/tests/plain_bytes.rs
@@ -36,7 +36,7 @@
     fleet.run(4 * S);
     fleet.start(7);
     fleet.leave(8);
-    let leader = fleet.grantors().first().copied().unwrap_or(0);
+    let leader = fleet.coordinators().first().copied().unwrap_or(0);
     fleet.kill(leader);
     fleet.run(8 * S);
     sum.get()
--- a/lab/tests/terms.rs
+++ b/lab/tests/terms.rs
@@ -8,7 +8,7 @@
     Note, Outcome, Payload, Planner, Progress, Report, RequestPolicy,
 };
 use threadward_lab::event_queue::EventQueue;
-use threadward_lab::fleet::{cache, hub, settings, ORIGIN, T0};
+use threadward_lab::fleet::{cache, parent, settings, ORIGIN, T0};
 
 const MS: Micros = 1_000;
 
@@ -91,7 +91,7 @@
         |addr, zone, kind, weight| threadward_core::Entry { addr, zone, kind, weight, ..Default::default() };
     let list = (1..=3)
         .map(|n| entry(cache(n), 1, 0, 6.0))
-        .chain([entry(hub(1), 0, 1, 12.0), entry(ORIGIN, 0, 2, 0.0)]);
+        .chain([entry(parent(1), 0, 1, 12.0), entry(ORIGIN, 0, 2, 0.0)]);
     p.update_members(T0, ListForm::Full, list.collect());
     let due = T0 + s.classes[usize::from(class)].deadline;
     let ask = ClientRequest {
@@ -112,7 +112,7 @@
             doubled += usize::from(ran > 0);
             let fate = fates.get(usize::from(d.attempt)).copied().unwrap_or(Fate::Hang);
             ran += usize::from(!matches!(fate, Fate::Refused | Fate::PartlyWritten));
-            let mut put = |after: Micros, end| queue.put(now + after, Event::End(d.attempt, end));
+            let mut put = |after: Micros, end| queue.schedule(now + after, Event::End(d.attempt, end));
             match fate {
                 Fate::Refused => put(10 * MS, AttemptEnd::ConnectionFailed(Progress::NotConnected)),
                 Fate::PartlyWritten => put(20 * MS, AttemptEnd::ConnectionFailed(Progress::PartlyWritten)),
@@ -131,8 +131,8 @@
             answers.push((now as i64 - due as i64, matches!(last, FinalAnswer::Refused { .. })));
         }
         let timer = p.next_due().unwrap_or(Micros::MAX);
-        if queue.peek().is_none_or(|at| at > timer) {
-            queue.put(timer, Event::Timers);
+        if queue.next_event_at().is_none_or(|at| at > timer) {
+            queue.schedule(timer, Event::Timers);
         }
         match queue.pop(due + 500 * MS) {
             None => return Play { ran, doubled, answers },
