--- a/node/tests/door.rs
+++ b/node/tests/door.rs
@@ -255,10 +255,10 @@
     for c in &caches {
         *c.behavior.borrow_mut() = served();
     }
-    let (_, _, bulletin) = start_discovery(ex);
+    let (_, _, discovery_addr) = start_discovery(ex);
     let front = unused_address();
     let list = [0, 1].map(|i| server_entry(&format!("s-{i}"), caches[i].addr, "std", "active", 0));
-    let json = configuration(front, bulletin, &list);
+    let json = configuration(front, discovery_addr, &list);
     ProgramFixture {
         caches,
         front,
