--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -418,7 +418,6 @@
         }
         let opened = Rc::new(CacheConnection {
             socket_addr: server.socket_addr,
-
             pending: RefCell::default(),
             queue: RefCell::default(),
             expired_ids: RefCell::default(),
@@ -511,9 +510,7 @@
         if !pending.is_empty() {
             self.count(Counter::Broken);
         }
-
         // A connection that can't be established counts as a failure of the member unless other connections
-
         // to it work (the member then accepts no further ones) or the error is local to this machine.
         let local_failure =
             connect_error.as_ref().is_some_and(|e| !matches!(e.kind(), REFUSED | RESET | TIMED_OUT));
@@ -525,9 +522,7 @@
         for pending_attempt in pending.into_values() {
             let dispatch = &pending_attempt.dispatch;
             // A connection that broke before the request was fully written proves that the request didn't
-
             // run. If it had been established, it proves nothing about the member: devices in between reset
-
             // idle and new connections.
             let not_fully_written = pending_attempt.progress != Progress::FullyWritten;
             if not_fully_written && local_failure {
@@ -913,7 +908,6 @@
         drop(pending);
         let Some((call_id, pending_attempt)) = found else { return false };
         // Withdrawn attempts no longer count for `is_silent`. Without this, a connection blocked by an answer
-
         // that never ends would look usable again and delay every later attempt.
         if conn.is_silent(now(), self.0.names.connect_timeout) {
             conn.retired.set(true);
@@ -925,7 +919,6 @@
             conn.queue.borrow_mut().retain(|i| !is_its_item(i));
         }
         // An attempt that has been written in part is written to its end and then cancelled. The cache never
-
         // learns of one that hasn't been begun.
         let must_tell_cache = pending_attempt.progress != Progress::NotConnected;
         if must_tell_cache {
