--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::event_queue::EventQueue;
 use crate::gossip_simulation::{address, peer, secret, OBSERVATION_INTERVAL};
 use crate::net::{Net, NetworkConditions};
-use crate::recorded_link::{Order, RecordedLink};
+use crate::recorded_link::{RecordingTransport, TransportCall};
 use crate::{draw, stream, unit};
 use nickelgate::{Addr, Effect, Entry, Lifecycle, ListForm, Micros, Note, Outcome, Role, Settings};
 use nickelgate::{Class, DedupGroup, Report, Siblings, WeightSource};
@@ -213,7 +213,7 @@
 
 struct Proxy {
     planner: Planner,
-    orders: Rc<RefCell<Vec<Order>>>,
+    transport_calls: Rc<RefCell<Vec<TransportCall>>>,
     answers: Rc<RefCell<Vec<(usize, FinalAnswer)>>>,
     gossip: Option<Gossip>,
     armed: Micros,
@@ -301,9 +301,9 @@
         let mut proxies = Vec::new();
         let mut arrivals = Vec::new();
         for i in 0..sc.proxies {
-            let (orders, answers) = (Rc::default(), Rc::default());
+            let (transport_calls, answers) = (Rc::default(), Rc::default());
             let limits = Limits { max_open: 4096, max_bytes: usize::MAX, retry_after: 250 * MS };
-            let link = Box::new(RecordedLink(Rc::clone(&orders)));
+            let link = Box::new(RecordingTransport(Rc::clone(&transport_calls)));
             let mut planner = Planner::new(settings.clone(), sc.seed ^ i as u64, limits, link);
             planner.update_members(T0, ListForm::Full, entries(&sc));
             let gossip = (sc.gossip_mode != GossipMode::Silent).then(|| {
@@ -323,7 +323,7 @@
             arrivals.push(own);
             proxies.push(Proxy {
                 planner,
-                orders,
+                transport_calls,
                 answers,
                 gossip,
                 armed: Micros::MAX,
@@ -499,14 +499,15 @@
     /// Carries out what a planner wants, takes its answers, and sees to its timers.
     fn run_orders(&mut self, i: usize) {
         loop {
-            let orders: Vec<Order> = self.proxies[i].orders.borrow_mut().drain(..).collect();
-            if orders.is_empty() {
+            let transport_calls: Vec<TransportCall> =
+                self.proxies[i].transport_calls.borrow_mut().drain(..).collect();
+            if transport_calls.is_empty() {
                 break;
             }
-            for o in orders {
+            for o in transport_calls {
                 match o {
-                    Order::Send(d) => self.send(i, &d),
-                    Order::Withdraw(id, n) => {
+                    TransportCall::Send(d) => self.send(i, &d),
+                    TransportCall::Withdraw(id, n) => {
                         self.proxies[i].out.remove(&(id, n));
                     }
                 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,7 +1,8 @@
-//! Simulations of proxies in virtual time: real planners, gossip, budget and zone instances against scripted stand-ins of
-//! caches, hubs and clients on a simulated network.
+//! Simulations of proxies in virtual time: real planners and real gossip, budget and zone instances run against
+//! scripted simulated caches, parents and clients on a simulated network.
 //!
-//! A simulation reads no system clock and draws all numbers from its seeds: the same seeds give the same run, bit for bit.
+//! A simulation doesn't read the system clock, and all its random numbers come from its seeds: the same seeds
+//! give the same run, bit for bit.
 #![forbid(unsafe_code)]
 
 pub mod budget_simulation;
@@ -19,21 +20,22 @@
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
-/// A stream of random numbers of its own for each purpose, so that one more draw here shifts nothing there.
+/// Returns a separate stream of random numbers for each purpose, so that an additional draw for one purpose
+/// doesn't shift the numbers of another.
 pub fn stream(seed: u64, purpose: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(purpose);
     rng
 }
 
-/// A number from 0 to under 1.
+/// Draws a number from 0 (inclusive) to 1 (exclusive).
 pub fn unit(rng: &mut impl RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A number from 0 to under 1 that belongs to these words and no order of draws.
-pub fn draw(words: &[u64]) -> f64 {
-    let seed = words.iter().fold(0x9e37_79b9_7f4a_7c15u64, |h, w| {
+/// Returns a number from 0 (inclusive) to 1 (exclusive) that depends only on the key, not on the order of draws.
+pub fn draw(key: &[u64]) -> f64 {
+    let seed = key.iter().fold(0x9e37_79b9_7f4a_7c15u64, |h, w| {
         let x = (h ^ w).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         (x ^ (x >> 29)).wrapping_mul(0x94d0_49bb_1331_11eb)
     });
--- a/lab/src/regions/control.rs
+++ b/lab/src/regions/control.rs
@@ -1,6 +1,6 @@
 //! The control part of a proxy: its budgets and its zones, the messages between proxies, and what its planner is told.
 use super::{Event, Regions, OBSERVATION_INTERVAL, S, T0};
-use crate::day::{Day, VOTERS};
+use crate::day::{Day, VOTER_COUNT};
 use crate::stream;
 use nickelgate::Micros;
 use rand_core::RngCore;
@@ -26,7 +26,7 @@
     pub fn new(day: &Day, i: usize) -> ControlPart {
         let mut entropy = [0; 32];
         stream(day.seed, STREAM + i as u64).fill_bytes(&mut entropy);
-        let voters: Vec<u16> = (0..VOTERS as u16).collect();
+        let voters: Vec<u16> = (0..VOTER_COUNT as u16).collect();
         let proxies = day.proxies as u16;
         let settings = threadward_budgets::Settings {
             index: i as u16,
@@ -84,7 +84,7 @@
             lie(&mut seen, self.day.locations..self.day.zone_count(), self.day.parent(0));
         }
         control.zones.observe(now, seen);
-        if i < VOTERS {
+        if i < VOTER_COUNT {
             for zone in 0..self.day.zone_count() {
                 control.zones.set_newest_start(zone, proxy.planner.newest_start(zone));
             }
--- a/lab/src/regions/mod.rs
+++ b/lab/src/regions/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::event_queue::EventQueue;
 use crate::net::Net;
-use crate::recorded_link::{Order, RecordedLink};
+use crate::recorded_link::{RecordingTransport, TransportCall};
 use arrivals::{draw_arrivals, Arrival};
 use control::ControlPart;
 use nickelgate::{Addr, ListForm, Micros, Settings};
@@ -65,7 +65,7 @@
 
 struct Proxy {
     planner: Planner,
-    orders: Rc<RefCell<Vec<Order>>>,
+    transport_calls: Rc<RefCell<Vec<TransportCall>>>,
     answers: Rc<RefCell<Vec<(usize, FinalAnswer)>>>,
     control: Option<ControlPart>,
     /// When its planner's timer is due.
@@ -110,9 +110,9 @@
 
 impl Proxy {
     fn new(day: &Day, i: usize) -> Proxy {
-        let (orders, answers) = (Rc::default(), Rc::default());
+        let (transport_calls, answers) = (Rc::default(), Rc::default());
         let limits = Limits { max_open: 4096, max_bytes: usize::MAX, retry_after: 250 * MS };
-        let link = Box::new(RecordedLink(Rc::clone(&orders)));
+        let link = Box::new(RecordingTransport(Rc::clone(&transport_calls)));
         let mut planner = Planner::new(day.settings(i), day.seed ^ i as u64, limits, link);
         let control = day.zones.then(|| ControlPart::new(day, i));
         if control.is_some() {
@@ -120,7 +120,7 @@
         }
         planner.update_members(T0, ListForm::Full, day.entries(i));
         let (in_flight, ran) = (HashSet::new(), HashSet::new());
-        Proxy { planner, orders, answers, control, armed: Micros::MAX, in_flight, ran }
+        Proxy { planner, transport_calls, answers, control, armed: Micros::MAX, in_flight, ran }
     }
 }
 
@@ -222,14 +222,15 @@
     /// Carries out what a planner wants, takes its answers, and sees to its timers.
     fn run_orders(&mut self, i: usize) {
         loop {
-            let orders: Vec<Order> = self.proxies[i].orders.borrow_mut().drain(..).collect();
-            if orders.is_empty() {
+            let transport_calls: Vec<TransportCall> =
+                self.proxies[i].transport_calls.borrow_mut().drain(..).collect();
+            if transport_calls.is_empty() {
                 break;
             }
-            for order in orders {
+            for order in transport_calls {
                 match order {
-                    Order::Send(dispatch) => self.send(i, &dispatch),
-                    Order::Withdraw(request, attempt) => {
+                    TransportCall::Send(dispatch) => self.send(i, &dispatch),
+                    TransportCall::Withdraw(request, attempt) => {
                         self.proxies[i].in_flight.remove(&(request, attempt));
                     }
                 }
