--- a/lab/src/budget_simulation.rs
+++ b/lab/src/budget_simulation.rs
@@ -1,6 +1,9 @@
-//! Real instances of shared budgets in virtual time: each with a clock of its own that runs fast or slow, on a network
-//! that loses, delays, doubles and cuts; processes that pause, die, start anew or leave. Keeps the schedule, and takes the
-//! sum of what all may use after every event. An instance is not looked into: a share counts as it is told.
+//! A simulation of real instances of shared budgets in virtual time. Each has its own clock, which runs fast
+//! or slow, on a network that loses, delays, duplicates and cuts; processes pause, are killed, restart or
+//! leave.
+//!
+//! The simulation keeps the schedule and, after every event, sums up what all instances may use. It doesn't
+//! read the state of an instance: the share that the instance reports counts.
 use crate::event_queue::EventQueue;
 use crate::net::{Net, NetworkConditions};
 use crate::{stream, unit};
@@ -17,133 +20,142 @@
 pub const S: Micros = 1_000_000;
 
 enum Event {
-    /// Of a place, its start, and when it was due: one that was armed anew since is passed over.
+    /// The timer of a proxy is due: its index, the number of its start and the due time. A timer that was
+    /// replaced since is ignored.
     Tick(usize, u64, Micros),
+    /// A datagram arrives at a proxy.
     Datagram(usize, Vec<u8>),
 }
 
 struct Proxy<B> {
     instance: Option<B>,
-    /// The own clock: so far ahead, and running at this rate.
-    ahead: Micros,
-    rate: f64,
-    /// Nothing happens in it until then; datagrams wait.
-    paused: Micros,
-    /// Its present start, as a number, and when its next tick was put down.
-    start: u64,
-    armed: Micros,
-    /// Bytes that its former starts sent.
-    sent: u64,
+    /// How far its own clock was ahead at time 0.
+    clock_offset: Micros,
+    /// How fast its own clock runs: 1 is true time.
+    clock_rate: f64,
+    /// The process is paused until then; its timers and datagrams are postponed.
+    paused_until: Micros,
+    /// Number of times it has been started.
+    start_count: u64,
+    /// When its timer is due.
+    timer_at: Micros,
+    /// Bytes that its earlier starts sent.
+    bytes_of_earlier_starts: u64,
 }
 
-/// Makes the instance of a place: its start by its own clock, and random bytes.
+/// Creates the instance of a proxy, given its index, its start on its own clock, and random bytes.
 type Factory<B> = Box<dyn Fn(u16, Micros, [u8; 32]) -> B>;
 
-/// Sees a message of a place to another before it is sent, and may change it.
+/// Receives each message before it is sent (sender, receiver, bytes) and may change it.
 pub type Tamper = Box<dyn FnMut(usize, u16, &mut Vec<u8>)>;
 
-/// Some proxies that share budgets.
+/// A simulation of proxies that share budgets.
 pub struct BudgetSimulation<B: SharedBudgets = Budgets> {
-    /// What becomes of datagrams.
+    /// The network between the proxies.
     pub net: Net,
     factory: Factory<B>,
     proxies: Vec<Proxy<B>>,
-    agenda: EventQueue<Event>,
+    queue: EventQueue<Event>,
     rng: ChaCha8Rng,
-    wants: Vec<u32>,
-    /// The most that all together could use of each budget at any moment so far.
+    /// The demand of a proxy for each budget when it starts: the whole.
+    initial_demands: Vec<u32>,
+    /// For each budget, the largest amount that all proxies together could use at any moment so far.
     pub max_sums: Vec<u32>,
-    /// Proxies whose sums are taken apart from the others'.
+    /// Groups of proxies for which sums are taken separately.
     groups: Vec<Vec<usize>>,
-    /// Changes a message before it is sent: a process that lies.
+    /// Changes messages before they are sent, to simulate a process that sends false ones.
     tamper: Option<Tamper>,
-    /// Of each group, the most that its proxies together could use of each budget so far.
+    /// For each group and budget, the largest amount that the group's proxies together could use so far.
     pub max_group_sums: Vec<Vec<u32>>,
 }
 
 impl BudgetSimulation<Budgets> {
-    /// None is started yet. Clocks are up to a minute apart and run up to 1% fast or slow.
-    pub fn new(seed: u64, settings: Settings, weather: NetworkConditions) -> Self {
-        let (proxies, wholes) = (settings.proxies, settings.totals.clone());
-        let factory = Box::new(move |place, now, entropy| {
-            let settings = Settings { index: place, ..settings.clone() };
+    /// Creates the proxies without starting them. Clocks are up to a minute apart and run up to 1% fast or
+    /// slow.
+    pub fn new(seed: u64, settings: Settings, conditions: NetworkConditions) -> Self {
+        let (proxies, budget_totals) = (settings.proxies, settings.totals.clone());
+        let factory = Box::new(move |own_index, now, entropy| {
+            let settings = Settings { index: own_index, ..settings.clone() };
             Budgets::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"))
         });
-        Self::with_factory(seed, proxies, wholes, weather, factory)
+        Self::with_factory(seed, proxies, budget_totals, conditions, factory)
     }
 }
 
-/// What all proxies of a tree have in common.
+/// Settings that all proxies of a control tree share.
 #[derive(Clone)]
 pub struct TreeSettings {
     /// Sites and regions.
     pub topology: Arc<Topology>,
     /// The budgets.
     pub budgets: Vec<SharedBudget>,
-    /// Lease time of a site.
+    /// Lease time within a site.
     pub lease: Micros,
 }
 
 impl BudgetSimulation<ControlTree> {
-    /// A fleet with sites and regions; sums are taken of each region too. None is started yet.
-    pub fn tree(seed: u64, settings: TreeSettings, weather: NetworkConditions) -> Self {
+    /// Creates a fleet with sites and regions, without starting the proxies. Sums are also taken for each
+    /// region.
+    pub fn tree(seed: u64, settings: TreeSettings, conditions: NetworkConditions) -> Self {
         let topology = settings.topology.clone();
-        let wholes = settings.budgets.iter().map(|budget| budget.total_units).collect();
-        let factory = Box::new(move |place, now, entropy| {
+        let budget_totals = settings.budgets.iter().map(|budget| budget.total_units).collect();
+        let factory = Box::new(move |own_index, now, entropy| {
             let TreeSettings { topology, budgets, lease } = settings.clone();
-            let settings = threadward_control::Settings { proxy_index: place, topology, budgets, lease };
+            let settings = threadward_control::Settings { proxy_index: own_index, topology, budgets, lease };
             ControlTree::new(now, settings, entropy).unwrap_or_else(|error| panic!("{error}"))
         });
-        let mut simulation = Self::with_factory(seed, topology.proxies() as u16, wholes, weather, factory);
+        let mut simulation =
+            Self::with_factory(seed, topology.proxies() as u16, budget_totals, conditions, factory);
         let region = |region: u16| {
-            let places = topology.proxies_of_seat(Level::Fleet, 0, region);
-            places.iter().map(|place| usize::from(*place)).collect()
+            let members = topology.proxies_of_seat(Level::Fleet, 0, region);
+            members.iter().map(|member| usize::from(*member)).collect()
         };
         simulation.groups = (0..topology.regions() as u16).map(region).collect();
         simulation.max_group_sums = vec![vec![0; simulation.max_sums.len()]; simulation.groups.len()];
         simulation
     }
 
-    /// The places that lead their group of a level now.
+    /// Returns the proxies that now lead their group at a level.
     pub fn leaders(&self, level: Level) -> Vec<usize> {
-        let leads = |i: &usize| {
+        let leads_now = |i: &usize| {
             let instance = self.proxies[*i].instance.as_ref();
             instance.is_some_and(|tree| tree.leads(self.clock(*i), level))
         };
-        (0..self.proxies.len()).filter(leads).collect()
+        (0..self.proxies.len()).filter(leads_now).collect()
     }
 }
 
 impl<B: SharedBudgets> BudgetSimulation<B> {
+    /// Creates the proxies, whose instances `factory` makes when they are started.
     fn with_factory(
         seed: u64,
         proxies: u16,
-        wholes: Vec<u32>,
-        weather: NetworkConditions,
+        budget_totals: Vec<u32>,
+        conditions: NetworkConditions,
         factory: Factory<B>,
     ) -> Self {
         let mut rng = stream(seed, 0x6275);
         let proxy = |_| Proxy {
             instance: None,
-            ahead: (unit(&mut rng) * 60.0 * S as f64) as Micros,
-            rate: 0.99 + 0.02 * unit(&mut rng),
-            paused: 0,
-            start: 0,
-            armed: Micros::MAX,
-            sent: 0,
+            clock_offset: (unit(&mut rng) * 60.0 * S as f64) as Micros,
+            clock_rate: 0.99 + 0.02 * unit(&mut rng),
+            paused_until: 0,
+            start_count: 0,
+            timer_at: Micros::MAX,
+            bytes_of_earlier_starts: 0,
         };
         let proxies = (0..proxies).map(proxy).collect();
-        let most = vec![0; wholes.len()];
-        let net = Net::new(seed, weather);
+        let most = vec![0; budget_totals.len()];
+        let net = Net::new(seed, conditions);
         let (groups, max_group_sums) = (Vec::new(), Vec::new());
-        let agenda = EventQueue::new(S);
+        let queue = EventQueue::new(S);
         BudgetSimulation {
             net,
             factory,
             proxies,
-            agenda,
+            queue,
             rng,
-            wants: wholes,
+            initial_demands: budget_totals,
             max_sums: most,
             groups,
             tamper: None,
@@ -151,83 +163,88 @@
         }
     }
 
-    /// The true time.
+    /// Returns the true time.
     pub fn now(&self) -> Micros {
-        self.agenda.now
+        self.queue.now
     }
 
+    /// Returns the time on a proxy's own clock.
     fn clock(&self, i: usize) -> Micros {
         let p = &self.proxies[i];
-        p.ahead + (self.agenda.now as f64 * p.rate) as Micros
+        p.clock_offset + (self.queue.now as f64 * p.clock_rate) as Micros
     }
 
-    /// Starts a process of this place; one that runs there is killed before.
+    /// Starts the process of a proxy. One that is already running is killed first.
     pub fn start(&mut self, i: usize) {
         self.kill(i);
         let mut entropy = [0; 32];
         self.rng.fill_bytes(&mut entropy);
         let mut b = (self.factory)(i as u16, self.clock(i), entropy);
-        self.wants.iter().enumerate().for_each(|(budget, n)| b.set_demand(budget, *n));
+        self.initial_demands.iter().enumerate().for_each(|(budget, n)| b.set_demand(budget, *n));
         let p = &mut self.proxies[i];
-        (p.instance, p.start, p.armed, p.paused) = (Some(b), p.start + 1, Micros::MAX, 0);
+        (p.instance, p.start_count, p.timer_at, p.paused_until) =
+            (Some(b), p.start_count + 1, Micros::MAX, 0);
         self.call(i, |b, now, out| b.tick(now, out));
     }
 
-    /// The process ends without a word.
+    /// Kills the process of a proxy, without notice to the others.
     pub fn kill(&mut self, i: usize) {
         if let Some(b) = self.proxies[i].instance.take() {
-            self.proxies[i].sent += b.counters().sent_bytes;
+            self.proxies[i].bytes_of_earlier_starts += b.counters().sent_bytes;
         }
     }
 
-    /// The process leaves, and lives on for what it has still to answer.
+    /// Makes a process announce its leave. It keeps running for what it still has to answer.
     pub fn announce_leave(&mut self, i: usize) {
         self.call(i, |b, _, out| b.leave(out));
     }
 
-    /// The process ends by will.
+    /// Makes a process announce its leave and ends it.
     pub fn leave(&mut self, i: usize) {
         self.announce_leave(i);
         self.kill(i);
     }
 
-    /// Nothing happens in the process for so long; its clock goes on.
+    /// Pauses a process for a time span. Its clock goes on.
     pub fn pause(&mut self, i: usize, span: Micros) {
-        self.proxies[i].paused = self.agenda.now + span;
+        self.proxies[i].paused_until = self.queue.now + span;
     }
 
-    /// What one proxy wants of a budget from here on.
+    /// Sets the demand of a proxy for a budget from now on.
     pub fn set_proxy_demand(&mut self, i: usize, budget: usize, units: u32) {
         if let Some(b) = &mut self.proxies[i].instance {
             b.set_demand(budget, units);
         }
     }
 
-    /// What one proxy may use of a budget now; 0 where none runs.
+    /// Returns the units of a budget that a proxy may use now; 0 if it isn't running.
     pub fn share(&mut self, i: usize, budget: usize) -> u32 {
         let now = self.clock(i);
         self.proxies[i].instance.as_mut().map_or(0, |b| b.share(now, budget))
     }
 
-    /// What all together may use of a budget now.
+    /// Returns the units of a budget that all proxies together may use now.
     pub fn sum(&mut self, budget: usize) -> u32 {
         (0..self.proxies.len()).map(|i| self.share(i, budget)).sum()
     }
 
-    /// The place that divides the budgets now.
+    /// Returns the proxies that divide the budgets now: the coordinator or, in a tree, the leader of the
+    /// fleet. There should be at most one.
     pub fn coordinators(&self) -> Vec<usize> {
-        let grants =
+        let leads_now =
             |i: &usize| self.proxies[*i].instance.as_ref().is_some_and(|b| b.leads_fleet(self.clock(*i)));
-        (0..self.proxies.len()).filter(grants).collect()
+        (0..self.proxies.len()).filter(leads_now).collect()
     }
 
-    /// Bytes that all have sent so far.
+    /// Returns the bytes that all proxies have sent so far.
     pub fn bytes(&self) -> u64 {
-        let own = |p: &Proxy<B>| p.sent + p.instance.as_ref().map_or(0, |b| b.counters().sent_bytes);
+        let own = |p: &Proxy<B>| {
+            p.bytes_of_earlier_starts + p.instance.as_ref().map_or(0, |b| b.counters().sent_bytes)
+        };
         self.proxies.iter().map(own).sum()
     }
 
-    /// Calls an instance at its own time, and carries out what it wants.
+    /// Calls an instance with its own time, sends its messages and schedules its next timer.
     fn call(&mut self, i: usize, f: impl FnOnce(&mut B, Micros, &mut Outbox)) {
         let (now, mut out) = (self.clock(i), Outbox::new());
         let Some(b) = &mut self.proxies[i].instance else { return };
@@ -235,58 +252,59 @@
         let due = b.next_due();
         for (to, mut bytes) in out {
             self.tamper.iter_mut().for_each(|change| change(i, to, &mut bytes));
-            for at in self.net.transmit(self.agenda.now, i, usize::from(to), bytes.len()) {
-                self.agenda.schedule(at, Event::Datagram(usize::from(to), bytes.clone()));
+            for at in self.net.transmit(self.queue.now, i, usize::from(to), bytes.len()) {
+                self.queue.schedule(at, Event::Datagram(usize::from(to), bytes.clone()));
             }
         }
         let p = &mut self.proxies[i];
         if due == Micros::MAX {
             return;
         }
-        // From the own clock to true time, rounded up.
-        let at = ((due.saturating_sub(p.ahead)) as f64 / p.rate) as Micros + 2;
-        if at < p.armed || p.armed <= self.agenda.now {
-            p.armed = at.max(self.agenda.now + 1);
-            let (at, start) = (p.armed, p.start);
-            self.agenda.schedule(at, Event::Tick(i, start, at));
+        // Converts from the proxy's own clock to true time, rounded up.
+        let at = ((due.saturating_sub(p.clock_offset)) as f64 / p.clock_rate) as Micros + 2;
+        if at < p.timer_at || p.timer_at <= self.queue.now {
+            p.timer_at = at.max(self.queue.now + 1);
+            let (at, start) = (p.timer_at, p.start_count);
+            self.queue.schedule(at, Event::Tick(i, start, at));
         }
     }
 
-    /// Goes on for so long; after every event the sum is taken.
+    /// Runs for a time span. The largest sums are updated after every event.
     pub fn run(&mut self, span: Micros) {
-        let until = self.agenda.now + span;
-        while let Some(event) = self.agenda.pop(until) {
+        let until = self.queue.now + span;
+        while let Some(event) = self.queue.pop(until) {
             let i = match &event {
                 Event::Tick(i, ..) | Event::Datagram(i, _) => *i,
             };
-            if self.proxies[i].paused > self.agenda.now {
-                let at = self.proxies[i].paused;
-                self.agenda.schedule(at, event);
+            if self.proxies[i].paused_until > self.queue.now {
+                let at = self.proxies[i].paused_until;
+                self.queue.schedule(at, event);
                 continue;
             }
             match event {
                 Event::Tick(_, start, due)
-                    if start == self.proxies[i].start && due == self.proxies[i].armed =>
+                    if start == self.proxies[i].start_count && due == self.proxies[i].timer_at =>
                 {
-                    self.proxies[i].armed = Micros::MAX;
+                    self.proxies[i].timer_at = Micros::MAX;
                     self.call(i, |b, now, out| b.tick(now, out));
                 }
                 Event::Tick(..) => continue,
                 Event::Datagram(_, bytes) => self.call(i, |b, now, out| b.receive(now, &bytes, out)),
             }
-            self.look();
+            self.update_max_sums();
         }
     }
 
-    /// What the proxies of a group together may use of a budget now.
+    /// Returns the units of a budget that a group's proxies together may use now.
     pub fn group_share(&mut self, group: usize, budget: usize) -> u32 {
-        let places = std::mem::take(&mut self.groups[group]);
-        let sum = places.iter().map(|i| self.share(*i, budget)).sum();
-        self.groups[group] = places;
+        let members = std::mem::take(&mut self.groups[group]);
+        let sum = members.iter().map(|i| self.share(*i, budget)).sum();
+        self.groups[group] = members;
         sum
     }
 
-    fn look(&mut self) {
+    /// Updates the largest sums.
+    fn update_max_sums(&mut self) {
         for budget in 0..self.max_sums.len() {
             self.max_sums[budget] = self.max_sums[budget].max(self.sum(budget));
             for group in 0..self.groups.len() {
@@ -297,12 +315,12 @@
         }
     }
 
-    /// What was counted in the present instance of a place.
+    /// Returns the counters of a proxy's current instance.
     pub fn counters(&self, i: usize) -> Counters {
         self.proxies[i].instance.as_ref().map_or(Counters::default(), SharedBudgets::counters)
     }
 
-    /// From here on every message passes through this before it is sent.
+    /// Passes every message through `change` before it is sent, from now on.
     pub fn tamper(&mut self, change: Tamper) {
         self.tamper = Some(change);
     }
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -1,5 +1,5 @@
-//! The scenario of a fleet over locations and parents: its size, the outages and when they happen, and the settings
-//! of each location. [`crate::regions`] runs it.
+//! The scenario of a fleet over locations and parents: its size, the outages and when they happen, and the
+//! settings of each location. [`crate::regions`] runs it.
 use crate::fleet::{S, T0};
 use crate::net::NetworkConditions;
 use nickelgate::{Addr, Entry, Micros, Settings, Siblings};
@@ -138,8 +138,8 @@
         let kind = u8::from(zone >= self.locations);
         Entry { addr: self.member(zone, n), zone, kind, weight: 6.0, ..Entry::default() }
     }
-    /// Returns the member list of a proxy's planner: its own location and the parents. A voter, which may become the
-    /// one that decides, lists all zones.
+    /// Returns the member list of a proxy's planner: its own location and the parents. A voter, which may
+    /// become the one that decides, lists all zones.
     pub(crate) fn entries(&self, i: usize) -> Vec<Entry> {
         let origin = Entry { addr: ORIGIN, zone: self.zone_count(), kind: 2, ..Entry::default() };
         let listed = |z: &u16| self.lists_zone(i, *z);
--- a/lab/src/event_queue.rs
+++ b/lab/src/event_queue.rs
@@ -1,7 +1,7 @@
 //! An event queue in virtual time.
 //!
-//! Events are returned in the order of their time, and events of the same time in the order in which they were
-//! scheduled. No event is dropped, and the queue's clock never goes back.
+//! Events are returned in the order of their time, and events of the same time in the order in which they
+//! were scheduled. No event is dropped, and the queue's clock never goes back.
 use nickelgate::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -33,8 +33,8 @@
     pub fn next_event_at(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
-    /// Removes and returns the next event that is due by `until`, and advances the clock to the event's time, or to
-    /// `until` if there is no such event.
+    /// Removes and returns the next event that is due by `until`, and advances the clock to the event's time,
+    /// or to `until` if there is no such event.
     pub fn pop(&mut self, until: Micros) -> Option<T> {
         if self.next_event_at().is_none_or(|at| at > until) {
             self.now = self.now.max(until);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,12 +1,13 @@
-//! A simulation of proxies with real planners and gossip instances in front of simulated caches, parents and an
-//! origin, in virtual time. Disruptions are scripted, and the service's rules are checked as it runs.
+//! A simulation of proxies with real planners and gossip instances in front of simulated caches, parents and
+//! an origin, in virtual time. Disruptions are scripted, and the service's rules are checked as it runs.
 //!
-//! Clients' arrivals are drawn in advance, so that no answer shifts them. Planners and gossip instances receive only
-//! what a proxy could know.
+//! Clients' arrivals are drawn in advance, so that no answer shifts them. Planners and gossip instances
+//! receive only what a proxy could know.
 //!
-//! A simulated cache answers a hit after 8 to 30 ms plus the sending time. A miss is filled from the source: a
-//! parent that holds the object adds 25 to 70 ms, one that has to ask the origin adds 80 to 200 ms. Each random number
-//! depends on the request, the attempt and the member, so two runs of one seed differ only where decisions do.
+//! A simulated cache answers a hit after 8 to 30 ms plus the sending time. A miss is filled from the source:
+//! a parent that holds the object adds 25 to 70 ms, one that has to ask the origin adds 80 to 200 ms. Each
+//! random number depends on the request, the attempt and the member, so two runs of one seed differ only
+//! where decisions do.
 use crate::event_queue::EventQueue;
 use crate::gossip_simulation::{address, peer, secret, OBSERVATION_INTERVAL};
 use crate::net::{Net, NetworkConditions};
@@ -84,8 +85,8 @@
     pub purges_per_s: f64,
     /// The network between the gossip instances.
     pub conditions: NetworkConditions,
-    /// Number of concurrent transfers that a warm cache sends at full speed. The check of the rule on cold starts
-    /// uses it as the cache's capacity.
+    /// Number of concurrent transfers that a warm cache sends at full speed. The check of the rule on cold
+    /// starts uses it as the cache's capacity.
     pub warm_transfers: f64,
 }
 
@@ -126,7 +127,8 @@
 /// Address of the origin.
 pub const ORIGIN: Addr = Addr { ip: [10, 3, 0, 1], port: 1 };
 
-/// Returns the router's settings in the simulation. Requests for media and pages may be retried, bookings may not.
+/// Returns the router's settings in the simulation. Requests for media and pages may be retried, bookings may
+/// not.
 pub fn settings(proxies: usize) -> Settings {
     let media = Class {
         target_latency: 600 * MS,
@@ -282,8 +284,8 @@
     pub served_value_share: f64,
     /// Mean latency of the served requests.
     pub mean_latency: Micros,
-    /// For each hang or fast failure, in the order of the scenario, how long after its start each proxy first skipped
-    /// the member; `None` for a proxy that didn't before the end of the disruption.
+    /// For each hang or fast failure, in the order of the scenario, how long after its start each proxy first
+    /// skipped the member; `None` for a proxy that didn't before the end of the disruption.
     pub skip_delays: Vec<Vec<Option<Micros>>>,
     /// Number of skips of disrupted members to which the suspicion of other proxies contributed.
     pub suspicion_skips_of_failing: u32,
@@ -298,8 +300,8 @@
 }
 
 impl Record {
-    /// Returns the time from the start of the first disruption until all proxies skip the member, or `end` if one
-    /// never did.
+    /// Returns the time from the start of the first disruption until all proxies skip the member, or `end` if
+    /// one never did.
     pub fn time_until_all_skip(&self, end: Micros) -> Micros {
         let last = |of: &Vec<Option<Micros>>| of.iter().map(|t| t.unwrap_or(end)).max().unwrap_or(end);
         self.skip_delays.first().map_or(end, last)
@@ -506,9 +508,9 @@
     }
 
     /// Records work sent to a cache and checks the rule on cold starts, as WIRE states it: in no interval of
-    /// `overload_tolerance` do all proxies together send a cold cache more work (counted at the mean sending time of
-    /// its class) than `overload_multiple` times what the cache can do by then. A tenth more is allowed for random
-    /// variation.
+    /// `overload_tolerance` do all proxies together send a cold cache more work (counted at the mean sending
+    /// time of its class) than `overload_multiple` times what the cache can do by then. A tenth more is
+    /// allowed for random variation.
     fn check_cold_start(&mut self, member: Addr, work: Micros) {
         let (now, s) = (self.queue.now, &self.settings);
         let Some((from, sent)) =
@@ -686,8 +688,8 @@
         self.queue.schedule(now + after, Event::End(i, id, n, Box::new(end)));
     }
 
-    /// Passes the health of members, as a proxy's own traffic shows it, to its gossip instance, and counts the skips to
-    /// which suspicion contributed.
+    /// Passes the health of members, as a proxy's own traffic shows it, to its gossip instance, and counts
+    /// the skips to which suspicion contributed.
     fn report_observations(&mut self, i: usize) {
         let now = self.queue.now;
         if now < T0 + self.scenario.duration {
@@ -722,8 +724,8 @@
         self.call_gossip(i, |g, now, out| g.observe(now, &health, out));
     }
 
-    /// Calls a proxy's gossip instance, sends its datagrams, passes its notices to the planner and schedules its
-    /// next timer.
+    /// Calls a proxy's gossip instance, sends its datagrams, passes its notices to the planner and schedules
+    /// its next timer.
     fn call_gossip(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
         let now = self.queue.now;
         let mut out = Output::default();
--- a/lab/src/gossip_simulation.rs
+++ b/lab/src/gossip_simulation.rs
@@ -1,7 +1,8 @@
-//! A simulation of gossip instances in virtual time, without planners: what an instance's own traffic shows is scripted.
+//! A simulation of gossip instances in virtual time, without planners: the member health that an instance
+//! observes is scripted.
 //!
-//! It starts and kills instances, sets their clocks and records what they send. It uses an instance only through the
-//! calls that a proxy has.
+//! The simulation starts and kills instances, sets their clocks and records what they send. It uses an
+//! instance only through the calls that a proxy makes.
 use crate::event_queue::EventQueue;
 use crate::net::{Net, NetworkConditions};
 use crate::stream;
@@ -11,38 +12,36 @@
 use std::net::SocketAddr;
 use threadward_gossip::{public_key, Gossip, Notice, Output, PeerConfig, Settings, State};
 
-/// How often an instance observes its own traffic.
+/// How often an instance is given the member health that its own traffic shows.
 pub const OBSERVATION_INTERVAL: Micros = 25_000;
 
 enum Event {
-    Arrive {
-        from: SocketAddr,
-        to: usize,
-        bytes: Vec<u8>,
-    },
-    /// A timer or an observation, of one incarnation of an instance.
+    /// A datagram arrives.
+    Arrive { from: SocketAddr, to: usize, bytes: Vec<u8> },
+    /// The timer of one incarnation of an instance is due.
     Tick(usize, u64),
+    /// One incarnation of an instance is given its observations.
     Observe(usize, u64),
 }
 
-/// One instance of the simulation, running or not.
+/// An instance of the simulation, whether it is running or not.
 pub struct InstanceSlot {
-    /// The instance, while it runs.
+    /// The instance, if it is running.
     pub gossip: Option<Gossip>,
-    /// The settings of its next start.
+    /// The settings for its next start.
     pub settings: Settings,
-    /// How far its clock is ahead of the queue's.
+    /// How far its clock is ahead of the queue's clock.
     pub clock_offset: Micros,
-    /// What its own traffic shows.
+    /// The health of members as its own traffic shows it.
     pub member_health: Vec<MemberHealth>,
-    /// Whom it always_accused of having just failed, whatever its traffic shows: a liar.
+    /// Members that it reports as having just failed, whatever its traffic shows: it reports falsely.
     pub always_accused: Vec<Addr>,
-    /// What it has reported so far.
+    /// The notices that it has given so far.
     pub reported_notices: Vec<Notice>,
     addr: SocketAddr,
     incarnation: u64,
-    /// When it ticks next, so that one timer is enough.
-    armed: Micros,
+    /// When its timer is due. An event for any other time is outdated.
+    timer_at: Micros,
 }
 
 /// Gossip instances on a simulated network.
@@ -51,32 +50,33 @@
     pub slots: Vec<InstanceSlot>,
     /// The network between them.
     pub net: Net,
-    /// The instances at each address: more than one, where a file was changed before its instance ended.
+    /// The instances at each address. There are several if the settings file was changed before an instance
+    /// ended.
     slots_by_address: BTreeMap<SocketAddr, Vec<usize>>,
     queue: EventQueue<Event>,
-    /// Every datagram that was sent: when, from, to, and its bytes.
+    /// Every recorded datagram: when it was sent, its sender, its receiver and its bytes.
     pub sent: Vec<(Micros, usize, usize, Vec<u8>)>,
     /// Whether datagrams are recorded.
     pub record: bool,
-    /// Requests that each instance serves in a second.
+    /// Number of requests that each instance serves per second.
     pub served: u64,
     seed: u64,
 }
 
-/// The address of an instance, by its index.
+/// Returns the address of an instance, given its index.
 pub fn address(i: usize) -> SocketAddr {
     let [_, _, a, b] = (i as u32 + 1).to_be_bytes();
     SocketAddr::from(([127, 1, a, b], 7946))
 }
 
-/// The secret key of an instance, by its index.
+/// Returns the secret key of an instance, given its index.
 pub fn secret(i: usize) -> [u8; 32] {
     let mut secret = [7; 32];
     secret[..8].copy_from_slice(&(i as u64 + 1).to_be_bytes());
     secret
 }
 
-/// An instance as its peers' settings name it; the first `seeds` are asked first.
+/// Returns the entry of an instance in its peers' settings. The first `seeds` instances are seeds.
 pub fn peer(i: usize, seeds: usize) -> PeerConfig {
     PeerConfig {
         name: format!("n{i}"),
@@ -86,7 +86,7 @@
     }
 }
 
-/// A hub or cache as a standing that shows nothing wrong.
+/// Returns the health of a member that has shown no failure.
 pub fn healthy(member: Addr, role: Role) -> MemberHealth {
     MemberHealth {
         member,
@@ -101,13 +101,13 @@
     }
 }
 
-/// The hub of that number.
+/// Returns the address of a parent.
 pub fn parent(n: u8) -> Addr {
     Addr { ip: [10, 9, 0, n], port: 80 }
 }
 
 impl GossipSimulation {
-    /// `n` instances of which the first `seeds` are asked first; all start together.
+    /// Creates a simulation of `n` instances, the first `seeds` of which are seeds, and starts all of them.
     pub fn new(n: usize, seeds: usize, seed: u64, conditions: NetworkConditions) -> GossipSimulation {
         let peers: Vec<PeerConfig> = (0..n).map(|i| peer(i, seeds)).collect();
         let mut simulation = GossipSimulation {
@@ -127,7 +127,7 @@
         simulation
     }
 
-    /// Adds the peers of a longer file that are not part of the simulation yet. They start when told.
+    /// Adds those peers of a longer list that aren't part of the simulation yet. They aren't started.
     pub fn add(&mut self, peers: Vec<PeerConfig>) {
         for (i, peer) in peers.iter().enumerate().skip(self.slots.len()) {
             self.slots.push(InstanceSlot {
@@ -139,21 +139,22 @@
                 reported_notices: Vec::new(),
                 addr: peer.addr,
                 incarnation: 0,
-                armed: Micros::MAX,
+                timer_at: Micros::MAX,
             });
         }
     }
 
-    /// The time on the queue's clock.
+    /// Returns the time on the queue's clock.
     pub fn now(&self) -> Micros {
         self.queue.now
     }
 
+    /// Returns the time on an instance's own clock.
     fn clock(&self, i: usize) -> Micros {
         self.queue.now + self.slots[i].clock_offset
     }
 
-    /// Starts an instance, from nothing.
+    /// Starts an instance without any earlier state.
     pub fn start(&mut self, i: usize) {
         let now = self.clock(i);
         let slot = &mut self.slots[i];
@@ -166,34 +167,37 @@
         stream(self.seed, (i as u64) << 20 | slot.incarnation).fill_bytes(&mut entropy);
         let gossip = Gossip::new(now, slot.settings.clone(), entropy);
         slot.gossip = Some(gossip.unwrap_or_else(|e| panic!("n{i}: {e}")));
-        slot.armed = Micros::MAX;
+        slot.timer_at = Micros::MAX;
         let incarnation = slot.incarnation;
         self.queue.schedule(self.queue.now, Event::Observe(i, incarnation));
-        self.arm(i);
+        self.schedule_timer(i);
     }
 
-    /// Its clock was moved: what it waits for is reckoned anew, as a timer of the system's would be.
+    /// Applies a change of `clock_offset`: runs the instance's timers and computes anew when the next one is
+    /// due, as a timer of the operating system would.
     pub fn apply_clock_change(&mut self, i: usize) {
-        self.slots[i].armed = Micros::MAX;
+        self.slots[i].timer_at = Micros::MAX;
         self.call(i, |g, now, out| g.tick(now, out));
     }
 
-    /// Ends an instance with no word.
+    /// Ends an instance without notice to the others.
     pub fn kill(&mut self, i: usize) {
         self.slots[i].gossip = None;
     }
 
-    fn arm(&mut self, i: usize) {
+    /// Schedules the instance's next timer, if it is due earlier than the one that is scheduled.
+    fn schedule_timer(&mut self, i: usize) {
         let slot = &mut self.slots[i];
         let next_due = slot.gossip.as_ref().map(|g| g.next_due().saturating_sub(slot.clock_offset));
         let Some(due) = next_due else { return };
-        if due < slot.armed {
-            slot.armed = due.max(self.queue.now);
-            self.queue.schedule(slot.armed, Event::Tick(i, slot.incarnation));
+        if due < slot.timer_at {
+            slot.timer_at = due.max(self.queue.now);
+            self.queue.schedule(slot.timer_at, Event::Tick(i, slot.incarnation));
         }
     }
 
-    /// One call of an instance, and what it wants done.
+    /// Calls an instance, if it is running, and carries out what it returns: records notices and sends
+    /// datagrams.
     pub fn call(&mut self, i: usize, f: impl FnOnce(&mut Gossip, Micros, &mut Output)) {
         let now = self.clock(i);
         let mut out = Output::default();
@@ -201,12 +205,12 @@
         f(g, now, &mut out);
         self.slots[i].reported_notices.extend(out.notices);
         for (addr, bytes) in out.send {
-            // Several may stand in the file under one address: all of them get it.
+            // Several instances may have the same address in the settings: all of them receive the datagram.
             for to in self.slots_by_address.get(&addr).cloned().unwrap_or_default() {
                 self.send(i, to, &bytes);
             }
         }
-        self.arm(i);
+        self.schedule_timer(i);
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: &[u8]) {
@@ -220,12 +224,12 @@
         }
     }
 
-    /// A datagram from anywhere, as the script has it, now.
+    /// Delivers a datagram from any address at once, without the network.
     pub fn inject(&mut self, from: SocketAddr, to: usize, bytes: &[u8]) {
         self.call(to, |g, now, out| g.receive(now, from, bytes, out));
     }
 
-    /// Runs for a while.
+    /// Runs the simulation for a time span.
     pub fn run(&mut self, span: Micros) {
         let until = self.queue.now + span;
         while let Some(event) = self.queue.pop(until) {
@@ -233,27 +237,29 @@
                 Event::Arrive { from, to, bytes } => {
                     self.call(to, |g, now, out| g.receive(now, from, &bytes, out));
                 }
-                // One that was armed anew for an earlier time is void.
+                // A timer that was replaced by an earlier one is ignored.
                 Event::Tick(i, incarnation)
-                    if self.slots[i].incarnation == incarnation && self.slots[i].armed == self.queue.now =>
+                    if self.slots[i].incarnation == incarnation
+                        && self.slots[i].timer_at == self.queue.now =>
                 {
-                    self.slots[i].armed = Micros::MAX;
+                    self.slots[i].timer_at = Micros::MAX;
                     self.call(i, |g, now, out| g.tick(now, out));
                 }
                 Event::Observe(i, incarnation)
                     if self.slots[i].incarnation == incarnation && self.slots[i].gossip.is_some() =>
                 {
                     let now = self.clock(i);
-                    let mut shown = self.slots[i].member_health.clone();
-                    for s in shown.iter_mut().filter(|s| self.slots[i].always_accused.contains(&s.member)) {
+                    let mut observed = self.slots[i].member_health.clone();
+                    for s in observed.iter_mut().filter(|s| self.slots[i].always_accused.contains(&s.member))
+                    {
                         (s.last_failed_at, s.skipped, s.last_failure, s.last_good_at) =
                             (now, true, Some(Outcome::Timeout), 0);
                     }
-                    let second = self.queue.now % 1_000_000 < OBSERVATION_INTERVAL;
-                    let served = if second { self.served } else { 0 };
+                    let is_new_second = self.queue.now % 1_000_000 < OBSERVATION_INTERVAL;
+                    let served = if is_new_second { self.served } else { 0 };
                     self.call(i, |g, now, out| {
                         g.add_served_requests(served);
-                        g.observe(now, &shown, out);
+                        g.observe(now, &observed, out);
                     });
                     self.queue
                         .schedule(self.queue.now + OBSERVATION_INTERVAL, Event::Observe(i, incarnation));
@@ -263,7 +269,8 @@
         }
     }
 
-    /// An instance's own traffic shows from now on that a member fails, or answers well.
+    /// Sets whether an instance's own traffic shows that a member fails. The time of the last failure or of
+    /// the last good answer becomes now.
     pub fn set_member_failing(&mut self, i: usize, member: Addr, fails: bool) {
         let now = self.clock(i);
         for s in self.slots[i].member_health.iter_mut().filter(|s| s.member == member) {
@@ -275,10 +282,10 @@
         }
     }
 
-    /// An instance that runs.
+    /// Returns a running instance.
     ///
     /// # Panics
-    /// Where it does not run.
+    /// Panics if the instance isn't running.
     pub fn gossip(&self, i: usize) -> &Gossip {
         match &self.slots[i].gossip {
             Some(g) => g,
@@ -286,18 +293,19 @@
         }
     }
 
-    /// How many instances each one holds live, itself among them; 0 where none runs.
+    /// Returns for each instance how many instances it holds to be live, itself included; 0 if it isn't
+    /// running.
     pub fn live_counts(&self) -> Vec<usize> {
         let live = |slot: &InstanceSlot| slot.gossip.as_ref().map_or(0, |g| g.quorum().live);
         self.slots.iter().map(live).collect()
     }
 
-    /// What an instance holds of another.
+    /// Returns the state of another instance as this one holds it.
     pub fn peer_state(&self, i: usize, other: usize) -> State {
         self.gossip(i).state(&format!("n{other}")).unwrap_or_default()
     }
 
-    /// The members of which an instance believes that they fail.
+    /// Returns the members that an instance suspects.
     pub fn suspected_by(&self, i: usize) -> Vec<Addr> {
         self.gossip(i).suspected_members()
     }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Simulations of proxies in virtual time: real planners and real gossip, budget and zone instances run against
-//! scripted simulated caches, parents and clients on a simulated network.
+//! Simulations of proxies in virtual time: real planners and real gossip, budget and zone instances run
+//! against scripted simulated caches, parents and clients on a simulated network.
 //!
 //! A simulation doesn't read the system clock, and all its random numbers come from its seeds: the same seeds
 //! give the same run, bit for bit.
@@ -33,7 +33,8 @@
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Returns a number from 0 (inclusive) to 1 (exclusive) that depends only on the key, not on the order of draws.
+/// Returns a number from 0 (inclusive) to 1 (exclusive) that depends only on the key, not on the order of
+/// draws.
 pub fn draw(key: &[u64]) -> f64 {
     let seed = key.iter().fold(0x9e37_79b9_7f4a_7c15u64, |h, w| {
         let x = (h ^ w).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/lab/src/net.rs
+++ b/lab/src/net.rs
@@ -1,5 +1,6 @@
-//! The simulated network between instances. It loses, delays, duplicates and reorders datagrams, and links can be
-//! cut in one direction or in both. It decides whether and when a datagram arrives and never changes its bytes.
+//! The simulated network between instances. It loses, delays, duplicates and reorders datagrams, and links
+//! can be cut in one direction or in both. It decides whether and when a datagram arrives and never changes
+//! its bytes.
 use crate::{stream, unit};
 use nickelgate::Micros;
 use rand_chacha::ChaCha8Rng;
@@ -17,8 +18,8 @@
     pub loss: f64,
     /// The share of datagrams that arrive twice.
     pub duplicated: f64,
-    /// The shortest delay. Delays are uniformly distributed between the shortest and the longest, so datagrams can
-    /// overtake one another.
+    /// The shortest delay. Delays are uniformly distributed between the shortest and the longest, so
+    /// datagrams can overtake one another.
     pub min_delay: Micros,
     /// The longest delay.
     pub max_delay: Micros,
@@ -70,8 +71,8 @@
     /// Sends a datagram: counts it and returns the times at which it arrives (none, one or two).
     pub fn transmit(&mut self, now: Micros, from: usize, to: usize, bytes: usize) -> Vec<Micros> {
         let conditions = self.conditions;
-        // The number of draws is the same for every datagram, so that the fate of one doesn't shift the draws of the
-        // next.
+        // The number of draws is the same for every datagram, so that the fate of one doesn't shift the draws
+        // of the next.
         let [loss_draw, duplicate_draw, slow_draw, first_delay, second_delay] =
             std::array::from_fn(|_| unit(&mut self.rng));
         if loss_draw < conditions.loss || self.cuts.contains(&(from, to)) {
--- a/lab/src/recorded_link.rs
+++ b/lab/src/recorded_link.rs
@@ -1,7 +1,7 @@
 //! A planner's transport to its caches that records the planner's calls.
 //!
-//! The simulation takes the recorded calls in order and carries them out in virtual time. The transport itself
-//! never reports the end of an attempt.
+//! The simulation takes the recorded calls in order and carries them out in virtual time. The transport
+//! itself never reports the end of an attempt.
 use nickelgate::Addr;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/lab/src/regions/arrivals.rs
+++ b/lab/src/regions/arrivals.rs
@@ -1,27 +1,27 @@
-//! The clients of a fleet: their requests, drawn ahead, and what they are answered.
+//! The clients of a simulated fleet: their requests, which are drawn in advance, and the answers they get.
 use super::{Event, FailureMode, Regions, MS, T0};
 use crate::day::Day;
 use crate::{stream, unit};
 use nickelgate::Micros;
 use threadward_core::{ClientRequest, FinalAnswer};
 
-/// The first stream of random numbers that belongs to arrivals; each proxy has one.
-const STREAM: u64 = 0x1000;
-/// Objects that clients ask for.
-const OBJECTS: f64 = 20_000.0;
+/// Number of the first proxy's stream of random numbers for arrivals; the other proxies' streams follow.
+const FIRST_STREAM: u64 = 0x1000;
+/// Number of objects that clients request.
+const OBJECT_COUNT: f64 = 20_000.0;
 
-/// One request of a client.
+/// One client request.
 pub(super) struct Arrival {
     pub at: Micros,
     pub class: u8,
     pub object: u64,
-    /// Answers that it got: one, where all is well.
-    pub answered: u8,
+    /// Number of answers so far. At the end it has to be one.
+    pub answer_count: u8,
 }
 
-/// The arrivals at one proxy, all day.
+/// Draws all requests that arrive at one proxy.
 pub(super) fn draw_arrivals(day: &Day, i: usize) -> Vec<Arrival> {
-    let mut rng = stream(day.seed, STREAM + i as u64);
+    let mut rng = stream(day.seed, FIRST_STREAM + i as u64);
     let (mut at, mut all) = (T0 + 100 * MS, Vec::new());
     loop {
         at += (-unit(&mut rng).max(1e-12).ln() / day.requests_per_s * 1e6) as Micros;
@@ -33,23 +33,24 @@
             x if x < 0.95 => 1,
             _ => 2,
         };
-        // Popular ones more often, none so often that its one cache could not serve a whole location's.
-        let object = ((unit(&mut rng).powi(2) * OBJECTS) as u64) << 2 | class;
-        all.push(Arrival { at, class: class as u8, object, answered: 0 });
+        // Some objects are more popular, but none so much that its one cache couldn't serve the requests of a
+        // whole location.
+        let object = ((unit(&mut rng).powi(2) * OBJECT_COUNT) as u64) << 2 | class;
+        all.push(Arrival { at, class: class as u8, object, answer_count: 0 });
     }
 }
 
 impl Regions {
-    /// A request arrives at a proxy, and the next one is scheduled.
+    /// Passes an arriving request to a proxy's planner and schedules the next arrival.
     pub(super) fn arrive(&mut self, i: usize, index: usize) {
         let (now, arrival) = (self.queue.now, &self.arrivals[i][index]);
         let class = &self.settings.classes[usize::from(arrival.class)];
         self.report.requests += 1;
         self.report.value_requested += class.value;
-        if self.touched(i, now) {
+        if self.is_affected(i, now) {
             self.report.affected_value_requested += class.value;
         }
-        let ask = ClientRequest {
+        let request = ClientRequest {
             call_id: format!("{i}-{index}").into(),
             class: arrival.class,
             object: arrival.object,
@@ -61,11 +62,11 @@
         }
         let answers = self.proxies[i].answers.clone();
         let reply = Box::new(move |last| answers.borrow_mut().push((index, last)));
-        self.proxies[i].planner.accept_request(now, 0, ask, reply);
+        self.proxies[i].planner.accept_request(now, 0, request, reply);
         self.run_orders(i);
     }
 
-    /// Takes the answers that a planner has given since the last call.
+    /// Records the answers that a planner has given since the last call.
     pub(super) fn take_answers(&mut self, i: usize) {
         let answers: Vec<(usize, FinalAnswer)> = self.proxies[i].answers.borrow_mut().drain(..).collect();
         for (index, last) in answers {
@@ -73,21 +74,22 @@
         }
     }
 
+    /// Records one answer and checks that it came in time.
     fn take_answer(&mut self, i: usize, index: usize, last: &FinalAnswer) {
         let arrival = &mut self.arrivals[i][index];
-        arrival.answered += 1;
+        arrival.answer_count += 1;
         let (at, class) = (arrival.at, &self.settings.classes[usize::from(arrival.class)]);
-        let took = self.queue.now - at;
-        if took > class.deadline + self.settings.answer_slack {
-            self.report.rule_violations.push(format!("request {index} of n{i} answered after {took} us"));
+        let latency = self.queue.now - at;
+        if latency > class.deadline + self.settings.answer_slack {
+            self.report.rule_violations.push(format!("request {index} of n{i} answered after {latency} us"));
         }
-        let earned = class.value * if took <= class.target_latency { 1.0 } else { class.late_value };
+        let earned_value = class.value * if latency <= class.target_latency { 1.0 } else { class.late_value };
         match last {
             FinalAnswer::Served(_) => {
                 self.report.served += 1;
-                self.report.value_served += earned;
-                if self.touched(i, at) {
-                    self.report.affected_value_served += earned;
+                self.report.value_served += earned_value;
+                if self.is_affected(i, at) {
+                    self.report.affected_value_served += earned_value;
                 }
             }
             FinalAnswer::Refused { .. } => self.report.refused += 1,
@@ -95,13 +97,14 @@
         }
     }
 
-    /// Whether an outage touches this proxy's requests at that time: a hub's all, a location's those that stand there.
-    fn touched(&self, i: usize, at: Micros) -> bool {
+    /// Returns whether an outage affects this proxy's requests at a time: one of a parent affects all
+    /// proxies, one of a location affects the proxies in it. It lasts until the zone is warm again.
+    fn is_affected(&self, i: usize, at: Micros) -> bool {
         self.day.outages.iter().any(|outage| {
             let until = outage.to + self.settings.cold_period;
-            let affected =
+            let uses_zone =
                 outage.zone >= self.day.locations || usize::from(outage.zone) == self.day.location_of(i);
-            outage.failure_mode != FailureMode::OneBad && affected && (outage.from..until).contains(&at)
+            outage.failure_mode != FailureMode::OneBad && uses_zone && (outage.from..until).contains(&at)
         })
     }
 }
--- a/lab/src/regions/mod.rs
+++ b/lab/src/regions/mod.rs
@@ -1,8 +1,9 @@
-//! A fleet over locations and hubs in virtual time: real planners, budgets and zones for each proxy, before stand-ins of
-//! caches, hubs and an origin that have a capacity. Outages are scripted by [`Day`]; the rules are checked as it runs.
+//! A simulation of a fleet over locations and parents in virtual time. Each proxy has a real planner, real
+//! budgets and real zones, in front of simulated caches, parents and an origin with limited capacity. [`Day`]
+//! scripts the outages, and the service's rules are checked as the simulation runs.
 //!
-//! Arrivals are drawn ahead, so that no answer moves them, and no planner, budget or zone is told what a proxy could not
-//! know.
+//! Clients' arrivals are drawn in advance, so that no answer shifts them. Planners, budgets and zones receive
+//! only what a proxy could know.
 mod arrivals;
 mod control;
 mod outages;
@@ -32,34 +33,34 @@
 pub use record::Record;
 
 const MS: Micros = 1_000;
-/// How often a proxy looks at what its traffic showed.
+/// How often a proxy's zones are given what its own traffic shows.
 const OBSERVATION_INTERVAL: Micros = 100 * MS;
-/// What still runs after the end of the day is played for so long.
-const RUN_OUT: Micros = 8 * S;
-/// When one machine of the first zone in trouble drains, after the start.
+/// How long the simulation continues after the last arrival, so that requests in flight can end.
+const DRAIN_TIME: Micros = 8 * S;
+/// How long after the start one member of the first failing zone drains.
 const DRAIN_AT: Micros = 3 * S;
-/// The class of bookings, which may run once at most.
+/// The class of bookings, which may be carried out at most once.
 const BOOKINGS: u8 = 2;
 
-/// What happens at a time; the first number is a proxy's index.
+/// What happens at a time. The first number is a proxy's index.
 enum Event {
-    /// A request of a client, by its index among the proxy's arrivals.
+    /// A client's request arrives, given by its index among the proxy's arrivals.
     Arrive(usize, usize),
-    /// The timers of a planner.
+    /// The timers of a planner are due.
     Timers(usize),
-    /// The end of an attempt: of a request, and the number of the attempt.
+    /// An attempt ends, given by the request's id and the attempt's number.
     End(usize, u64, u16, Box<AttemptEnd>),
-    /// A proxy looks at what its traffic showed.
+    /// A proxy's zones are given what its traffic shows.
     Observe(usize),
-    /// The timer of a proxy's budgets.
+    /// The timer of a proxy's budgets is due.
     Budget(usize),
     /// A message between proxies arrives.
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
-    /// The end of an outage after which the zone starts anew.
+    /// An outage ends and all members of the zone restart.
     Restart(u16),
-    /// The list says that a member drains.
+    /// The member list marks a member as draining.
     Drain(Addr),
-    /// Whoever decides is cut off from the other proxies.
+    /// The proxy that decides on zones is cut off from the other proxies.
     LoseDecider,
 }
 
@@ -69,14 +70,14 @@
     answers: Rc<RefCell<Vec<(usize, FinalAnswer)>>>,
     control: Option<ControlPart>,
     /// When its planner's timer is due.
-    armed: Micros,
-    /// Attempts in flight: the request, and the number of the attempt.
+    timer_at: Micros,
+    /// Attempts in flight, as (request id, attempt number).
     in_flight: HashSet<(u64, u16)>,
-    /// Bookings that may have run.
-    ran: HashSet<u64>,
+    /// Bookings that a cache may have carried out.
+    may_have_run: HashSet<u64>,
 }
 
-/// What the newest map says of a zone, and since when.
+/// The state of a zone in the newest map, and since when it has had it.
 #[derive(Clone, Copy)]
 struct ZoneState {
     state: State,
@@ -84,7 +85,7 @@
     since: Micros,
 }
 
-/// A day of a fleet, to be played once.
+/// A simulation of one scenario, to be run once.
 pub struct Regions {
     day: Day,
     settings: Settings,
@@ -92,19 +93,20 @@
     proxies: Vec<Proxy>,
     arrivals: Vec<Vec<Arrival>>,
     stand_ins: BTreeMap<Addr, StandIn>,
-    /// Members that drain, and when the list said so.
-    leaving: BTreeMap<Addr, Micros>,
+    /// When each draining member began to drain.
+    drained_at: BTreeMap<Addr, Micros>,
     net: Net,
+    /// The epoch of the newest map that any proxy acts on.
     newest: Epoch,
-    /// By zone, as the newest map has it.
+    /// The state of each zone in the newest map.
     states: Vec<ZoneState>,
     leaves: Vec<Leave>,
-    /// Sends to each zone in the calm before the first outage.
-    calm: Vec<f64>,
-    /// Proxies that are cut off from all others for good.
-    apart: Vec<usize>,
-    /// Outages that have struck once more while the zone returned.
-    again: Vec<bool>,
+    /// Number of attempts sent to each zone before the first outage.
+    sends_before_outages: Vec<f64>,
+    /// Proxies that are permanently cut off from all others.
+    isolated: Vec<usize>,
+    /// For each outage, whether the zone has already failed a second time while it returned.
+    failed_again: Vec<bool>,
     report: Record,
 }
 
@@ -119,19 +121,19 @@
             planner.enable_zones(usize::from(day.zone_count()));
         }
         planner.update_members(T0, ListForm::Full, day.entries(i));
-        let (in_flight, ran) = (HashSet::new(), HashSet::new());
-        Proxy { planner, transport_calls, answers, control, armed: Micros::MAX, in_flight, ran }
+        let (in_flight, may_have_run) = (HashSet::new(), HashSet::new());
+        Proxy { planner, transport_calls, answers, control, timer_at: Micros::MAX, in_flight, may_have_run }
     }
 }
 
-/// Schedules what the script of the day has in store.
+/// Schedules the events of the scenario.
 fn schedule_script(day: &Day, queue: &mut EventQueue<Event>) {
     for outage in
         day.outages.iter().filter(|o| matches!(o.failure_mode, FailureMode::Kill | FailureMode::KillTwice))
     {
         queue.schedule(outage.to, Event::Restart(outage.zone));
     }
-    // One machine of the first zone in trouble drains before, for good.
+    // One member of the first failing zone drains before the outage and doesn't return.
     if let Some(outage) = day.outages.first() {
         queue.schedule(T0 + DRAIN_AT, Event::Drain(day.member(outage.zone, 1)));
     }
@@ -141,7 +143,7 @@
 }
 
 impl Regions {
-    /// The fleet of that day at its start.
+    /// Creates the simulation of a scenario.
     pub fn new(day: Day) -> Regions {
         let mut queue = EventQueue::new(T0);
         let (mut proxies, mut arrivals) = (Vec::new(), Vec::new());
@@ -165,13 +167,13 @@
             stand_ins: stand_ins(&day),
             net: Net::new(day.seed, day.conditions),
             states: vec![ZoneState { state: State::In, step: 0, since: T0 }; zones],
-            calm: vec![0.0; zones],
-            again: vec![false; day.outages.len()],
+            sends_before_outages: vec![0.0; zones],
+            failed_again: vec![false; day.outages.len()],
             report: Record { name: day.name, ..Record::default() },
             newest: Epoch::default(),
-            leaving: BTreeMap::new(),
+            drained_at: BTreeMap::new(),
             leaves: Vec::new(),
-            apart: Vec::new(),
+            isolated: Vec::new(),
             queue,
             proxies,
             arrivals,
@@ -179,23 +181,24 @@
         }
     }
 
-    /// Plays it to the end.
+    /// Runs the simulation to its end and returns the results.
     pub fn run(mut self) -> Record {
-        let until = T0 + self.day.duration + RUN_OUT;
+        let until = T0 + self.day.duration + DRAIN_TIME;
         while let Some(event) = self.queue.pop(until) {
             self.handle(event);
         }
         self.into_record()
     }
 
+    /// Handles one event.
     fn handle(&mut self, event: Event) {
         let now = self.queue.now;
         match event {
             Event::Arrive(i, arrival) => self.arrive(i, arrival),
-            // A timer that was armed anew for an earlier time is void.
-            Event::Timers(i) if self.proxies[i].armed != now => {}
+            // The timer has been replaced by an earlier one.
+            Event::Timers(i) if self.proxies[i].timer_at != now => {}
             Event::Timers(i) => {
-                self.proxies[i].armed = Micros::MAX;
+                self.proxies[i].timer_at = Micros::MAX;
                 self.proxies[i].planner.run_timers(now);
                 self.run_orders(i);
             }
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Carries out what a planner wants, takes its answers, and sees to its timers.
+    /// Carries out a planner's calls to its transport, takes its answers and schedules its next timer.
     fn run_orders(&mut self, i: usize) {
         loop {
             let transport_calls: Vec<TransportCall> =
@@ -227,8 +230,8 @@
             if transport_calls.is_empty() {
                 break;
             }
-            for order in transport_calls {
-                match order {
+            for call in transport_calls {
+                match call {
                     TransportCall::Send(dispatch) => self.send(i, &dispatch),
                     TransportCall::Withdraw(request, attempt) => {
                         self.proxies[i].in_flight.remove(&(request, attempt));
@@ -238,8 +241,8 @@
         }
         self.take_answers(i);
         let due = self.proxies[i].planner.next_due().unwrap_or(Micros::MAX);
-        if due < self.proxies[i].armed {
-            self.proxies[i].armed = due.max(self.queue.now);
+        if due < self.proxies[i].timer_at {
+            self.proxies[i].timer_at = due.max(self.queue.now);
             self.queue.schedule(due, Event::Timers(i));
         }
     }
--- a/lab/src/regions/record.rs
+++ b/lab/src/regions/record.rs
@@ -1,82 +1,90 @@
-//! What a day of the fleet showed.
+//! The results of a simulation.
 use super::{FailureMode, Outage, Regions, S, T0};
 use nickelgate::Micros;
 use threadward_zones::map::Epoch;
 
-/// A leave belongs to an outage until so long after its end.
-const AFTERMATH: Micros = 4 * S;
+/// How long after the end of an outage a leave is still attributed to it.
+const LEAVE_GRACE: Micros = 4 * S;
 
-/// A leave: when it was decided, under which epoch, and who has yet to act.
+/// A decision to take a zone out of use, and which proxies have yet to act on it.
 pub(super) struct Leave {
     pub epoch: Epoch,
     pub zone: u16,
     pub at: Micros,
-    /// By proxy: whether it has yet to act on it.
-    pub waits: Vec<bool>,
-    /// When the last proxy so far acted on it.
-    pub last: Micros,
+    /// For each proxy, whether it has yet to act on the decision.
+    pub pending: Vec<bool>,
+    /// When the most recent proxy acted on it.
+    pub last_acted_at: Micros,
 }
 
 impl Leave {
     fn belongs_to(&self, outage: &Outage) -> bool {
-        self.zone == outage.zone && (outage.from..outage.to + AFTERMATH).contains(&self.at)
+        self.zone == outage.zone && (outage.from..outage.to + LEAVE_GRACE).contains(&self.at)
     }
 }
 
-/// What a day showed.
+/// The results of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// The name of the day.
+    /// The name of the scenario.
     pub name: &'static str,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub requests: u64,
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub served: u64,
-    /// Requests that were refused.
+    /// Number of requests that were refused.
     pub refused: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// Worth asked for, all day.
+    /// Value of all requests.
     pub value_requested: f64,
-    /// Worth earned, all day.
+    /// Value of the served requests, reduced for late ones.
     pub value_served: f64,
-    /// Worth asked for by those that an outage touches, while it lasts and until warm again.
+    /// Value of the requests that an outage affects, while it lasts and until the zone is warm again.
     pub affected_value_requested: f64,
-    /// Worth earned of that.
+    /// The part of `affected_value_requested` that was served, reduced for late requests.
     pub affected_value_served: f64,
-    /// Decision to the last live proxy acting on it, of each leave.
+    /// For each leave, the time from the decision until the last reachable proxy acted on it; the rest of the
+    /// run if one never did.
     pub leave_spreads: Vec<Micros>,
-    /// Outage to decision, of those in which all of the zone fails; the whole outage where nobody decided.
+    /// For each outage in which the whole zone fails, the time from its start to the decision to leave the
+    /// zone; the whole outage if there was no decision.
     pub decision_delays: Vec<(FailureMode, Micros)>,
-    /// Leaves: when, and of which zone.
+    /// Each leave: when it was decided, and the zone.
     pub leaves: Vec<(Micros, u16)>,
-    /// Leaves of a zone in one outage.
+    /// For each outage, the number of leaves of its zone.
     pub leaves_per_outage: Vec<u32>,
-    /// Leaves without an outage that would be a reason.
+    /// Number of leaves that no outage justifies.
     pub false_leaves: u32,
-    /// From alive again to in service, over the cold time.
+    /// For each return of a zone, the time from the end of its outage until it is in service, as a multiple
+    /// of the cold period.
     pub return_ratios: Vec<f64>,
-    /// Cold members that got more than they can do.
+    /// Descriptions of cases in which cold members got more work than the rule on cold starts allows.
     pub cold_overloads: Vec<String>,
-    /// Moves after which a kind or the room of the others was gone.
+    /// Descriptions of decisions after which all zones of a kind were out of use, or the remaining ones
+    /// lacked capacity.
     pub guard_violations: Vec<String>,
-    /// Breaks of the other rules.
+    /// Descriptions of violations of the other rules.
     pub rule_violations: Vec<String>,
-    /// Bytes of the zones' messages for a proxy and second.
+    /// Bytes of zone messages per proxy and second.
     pub bytes_per_proxy_s: f64,
-    /// Every move, for whoever looks for a cause.
+    /// Every change of a zone's state, for debugging.
     pub log: Vec<String>,
-    /// Attempts that were sent.
+    /// Number of attempts that were sent.
     pub attempts: u64,
 }
 
 impl Regions {
-    /// The record of the day, once it is over.
+    /// Completes the results after the run and returns them.
     pub(super) fn into_record(mut self) -> Record {
         for (i, arrivals) in self.arrivals.iter().enumerate() {
-            for (index, arrival) in arrivals.iter().enumerate().filter(|(_, arrival)| arrival.answered != 1) {
-                let answered = arrival.answered;
-                self.report.rule_violations.push(format!("request {index} of n{i} got {answered} answers"));
+            for (index, arrival) in
+                arrivals.iter().enumerate().filter(|(_, arrival)| arrival.answer_count != 1)
+            {
+                let answer_count = arrival.answer_count;
+                self.report
+                    .rule_violations
+                    .push(format!("request {index} of n{i} got {answer_count} answers"));
             }
         }
         self.report.bytes_per_proxy_s = self.control_bytes();
@@ -87,11 +95,16 @@
         self.report
     }
 
+    /// Records how each leave spread, and counts the leaves that no outage justifies.
     fn record_leaves(&mut self) {
         let end = T0 + self.day.duration;
         for leave in &self.leaves {
-            let missed = leave.waits.iter().any(|waits| *waits);
-            self.report.leave_spreads.push(if missed { end - leave.at } else { leave.last - leave.at });
+            let missed = leave.pending.iter().any(|pending| *pending);
+            self.report.leave_spreads.push(if missed {
+                end - leave.at
+            } else {
+                leave.last_acted_at - leave.at
+            });
             self.report.leaves.push((leave.at - T0, leave.zone));
         }
         let is_reason =
@@ -101,18 +114,20 @@
         self.report.false_leaves = self.leaves.iter().filter(is_false).count() as u32;
     }
 
+    /// Records for each outage how many leaves there were and how soon the first one was decided.
     fn record_outages(&mut self) {
         for outage in &self.day.outages {
             let own: Vec<&Leave> = self.leaves.iter().filter(|leave| leave.belongs_to(outage)).collect();
             self.report.leaves_per_outage.push(own.len() as u32);
-            let dead = matches!(
+            let whole_zone_fails = matches!(
                 outage.failure_mode,
                 FailureMode::Kill | FailureMode::KillTwice | FailureMode::FailFast | FailureMode::Slow
             );
-            // One that falls while it returns fails its step; one whose load nobody takes stays.
-            let again = outage.from > self.day.outages[0].from;
-            let taken = outage.zone >= self.day.locations || self.day.direct;
-            if dead && taken && !again {
+            // A zone that fails again while it returns fails that step of its return instead of being left
+            // anew, and a location whose load no other zone may take isn't left.
+            let is_second = outage.from > self.day.outages[0].from;
+            let has_substitute = outage.zone >= self.day.locations || self.day.direct;
+            if whole_zone_fails && has_substitute && !is_second {
                 let first = own.first().map_or(outage.to, |leave| leave.at);
                 self.report.decision_delays.push((outage.failure_mode, first - outage.from));
             }
