--- a/lab/src/bin/capacity.rs
+++ b/lab/src/bin/capacity.rs
@@ -1,6 +1,6 @@
-//! Writes the tables of `docs/CAPACITY.md`: `make capacity`. With `--check` it writes nothing and exits with 1 where a
-//! table is not that of `docs/capacity.json`, `deploy/target.toml` and `docs/capacity-inputs.toml`. An argument names
-//! another folder in place of the working one.
+//! Writes the tables of `docs/CAPACITY.md` (`make capacity`). With `--check` it writes nothing and exits with
+//! 1 if a table doesn't match `docs/capacity.json`, `deploy/target.toml` and `docs/capacity-inputs.toml`. An
+//! argument names the folder to use instead of the working directory.
 use std::path::Path;
 use std::process::ExitCode;
 use threadward_lab::capacity::{CapacityError, Files};
--- a/lab/src/bin/hollow-host.rs
+++ b/lab/src/bin/hollow-host.rs
@@ -1,12 +1,12 @@
-//! A host of hollow proxies, and the runs beside real processes: `hollow-host host JOB` is what a run starts;
-//! `hollow-host measure PROGRAM SECONDS SIZE...` prints the figures of each size, one line of JSON each.
+//! Hosts hollow proxies and measures them beside real processes. A run starts `hollow-host host JOB`;
+//! `hollow-host measure PROGRAM SECONDS SIZE...` prints the figures of each size as one line of JSON.
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use threadward_lab::scale::real::{host, run, Divider, HostCommand, RealRun};
 
-/// Sizes from here on have two hosts.
-const TWO_HOSTS: u16 = 1_000;
+/// Smallest number of proxies for which two hosts are used.
+const TWO_HOSTS_FROM: u16 = 1_000;
 
 fn main() -> ExitCode {
     let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
@@ -25,11 +25,13 @@
     }
 }
 
+/// Parses a number of an argument.
 fn number<T: std::str::FromStr>(word: &OsString) -> Result<T, String> {
     let parsed = word.to_str().and_then(|text| text.parse().ok());
-    parsed.ok_or_else(|| format!("'{}' is no number that will do", word.display()))
+    parsed.ok_or_else(|| format!("'{}' is not a valid number", word.display()))
 }
 
+/// Measures each size, first with hollow proxies as dividers and then with real ones, and prints the figures.
 fn measure(program: &OsString, seconds: &OsString, sizes: &[OsString]) -> Result<(), String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     for (size, divided_by) in sizes.iter().flat_map(|size| [(size, Divider::Hollow), (size, Divider::Real)]) {
@@ -37,7 +39,7 @@
         let settings = RealRun {
             program: PathBuf::from(program),
             host: HostCommand { program: own.clone(), arguments: vec!["host".into()] },
-            hosts: if proxies < TWO_HOSTS { 1 } else { 2 },
+            hosts: if proxies < TWO_HOSTS_FROM { 1 } else { 2 },
             proxies,
             divided_by,
             seconds: number(seconds)?,
--- a/lab/src/bin/measure-gossip.rs
+++ b/lab/src/bin/measure-gossip.rs
@@ -1,6 +1,6 @@
-//! Measures gossip between proxies: `make measure-gossip`. Baseline and change run in the same process on the same
-//! seeds. It owns the scenarios and the figures' names; the last line of its output is JSON. It exits with 1 where a
-//! rule of the service broke.
+//! Measures gossip between proxies (`make measure-gossip`). Runs without and with gossip use the same process
+//! and the same seeds. The last line of the output is JSON. The program exits with 1 if a rule of the service
+//! was violated.
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Instant;
@@ -11,11 +11,13 @@
 
 /// The seeds of all runs.
 const SEEDS: std::ops::Range<u64> = 1..13;
-const HANG_AT: u64 = 10;
+/// Start of the hang or the fast failures, in seconds after the start of a run.
+const DISRUPTION_AT_S: u64 = 10;
 
-fn scenario(seed: u64, talk: GossipMode, hangs: bool) -> Scenario {
-    let sc = Scenario::new(seed, talk).with(cache(6), Disruption::Drain, 18 * S, 40 * S);
-    let (from, to) = (HANG_AT * S, 20 * S);
+/// Returns a scenario in which a parent hangs or a cache fails fast, while another cache drains.
+fn scenario(seed: u64, mode: GossipMode, hangs: bool) -> Scenario {
+    let sc = Scenario::new(seed, mode).with(cache(6), Disruption::Drain, 18 * S, 40 * S);
+    let (from, to) = (DISRUPTION_AT_S * S, 20 * S);
     let sc = if hangs {
         sc.with(parent(1), Disruption::Hang, from, to)
     } else {
@@ -31,9 +33,14 @@
     }
 }
 
-/// All seeds, each in a thread of its own: hung hub first, then the failing box.
-fn play(talk: GossipMode) -> Vec<(Record, Record)> {
-    let one = |seed| thread::spawn(move || [true, false].map(|h| Fleet::new(scenario(seed, talk, h)).run()));
+/// Runs all seeds, each in its own thread. Returns the results with a hanging parent and with a failing
+/// cache.
+fn run_all(mode: GossipMode) -> Vec<(Record, Record)> {
+    let one = |seed| {
+        thread::spawn(move || {
+            [true, false].map(|parent_hangs| Fleet::new(scenario(seed, mode, parent_hangs)).run())
+        })
+    };
     let all: Vec<_> = SEEDS.map(one).collect();
     all.into_iter()
         .map(|t| match t.join() {
@@ -48,13 +55,14 @@
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
-fn worth(of: &[(Record, Record)]) -> f64 {
+/// Returns the mean share of the requested value that was served.
+fn served_share(of: &[(Record, Record)]) -> f64 {
     mean(of.iter().flat_map(|(a, b)| [a.served_value_share, b.served_value_share]))
 }
 
-/// Bytes a second and instance, with one hub that all see hang for 10 s of 40, once nearly all have found each other;
-/// and how long that took.
-fn growth(n: usize) -> (f64, f64) {
+/// Returns the bytes per second and instance while a parent hangs for all instances during 10 s of 40,
+/// measured once nearly all have found one another, and the seconds that that took.
+fn gossip_traffic(n: usize) -> (f64, f64) {
     let mut g = GossipSimulation::new(n, 3, 77, NetworkConditions::default());
     let mut joined = 0.0;
     while g.live_counts().iter().any(|l| l * 20 < n * 19) && joined < 150.0 {
@@ -72,8 +80,8 @@
     ((g.net.bytes - before) as f64 / 40.0 / n as f64, joined)
 }
 
-/// Seconds for one check of a signature.
-fn check() -> f64 {
+/// Returns the seconds that the verification of one signature takes.
+fn verification_time() -> f64 {
     let own = keys::OwnKey::new(&[1; 32]);
     let peers = (0..4).map(|i| gossip_simulation::peer(i, 1)).chain([threadward_gossip::PeerConfig {
         name: "own".into(),
@@ -94,9 +102,10 @@
     begun.elapsed().as_secs_f64() / 5000.0
 }
 
-/// The part of a core that 100,000 bad datagrams in a second take: all forged in the name of a known peer, half from its
-/// own address, where each could cost a check of its signature, and the rest from nowhere and of no form.
-fn flood() -> f64 {
+/// Returns the share of a core that 100,000 invalid datagrams per second take. Half of them are forged in the
+/// name of a known peer and come from its address, so each could cost the verification of a signature. The
+/// others come from an unknown address or are malformed.
+fn flood_load() -> f64 {
     let settings = Settings::new(
         "n0",
         gossip_simulation::secret(0),
@@ -129,12 +138,12 @@
 }
 
 fn main() {
-    let verify = check();
-    let share = flood();
-    let (small, _) = growth(4);
-    let big = thread::spawn(|| growth(256));
+    let verify = verification_time();
+    let share = flood_load();
+    let (small, _) = gossip_traffic(4);
+    let big = thread::spawn(|| gossip_traffic(256));
     let [silent, honest, all, one] =
-        [GossipMode::Silent, GossipMode::Honest, GossipMode::LiarAll, GossipMode::LiarOne].map(play);
+        [GossipMode::Silent, GossipMode::Honest, GossipMode::LiarAll, GossipMode::LiarOne].map(run_all);
     let (large, joined) = big.join().unwrap_or((f64::INFINITY, 0.0));
     let runs = [&silent, &honest, &all, &one];
     let avoid =
@@ -148,7 +157,7 @@
         let (n, bytes): (u64, u64) = all.iter().fold((0, 0), |s, r| (s.0 + r.served, s.1 + r.gossip_bytes));
         println!(
             "{name:18} worth {:.4}  all skip the hub after {:6.0} ms, the box {:6.0} ms  helped {} ({} healthy)  {:.1} B/request",
-            worth(of),
+            served_share(of),
             avoid(of),
             avoid_box(of),
             all.iter().map(|r| r.suspicion_skips_of_failing).sum::<u32>(),
@@ -173,9 +182,9 @@
     let round = |x: f64, to: f64| (x * to).round() / to;
     let json = serde_json::json!({
         "bytes_per_request": round([&honest, &all, &one].map(|of| bytes(of)).into_iter().fold(0.0, f64::max), 100.0),
-        "served_honest": round(worth(&honest), 1e5),
-        "served_liar": round(worth(&all).min(worth(&one)), 1e5),
-        "served_silent": round(worth(&silent), 1e5),
+        "served_honest": round(served_share(&honest), 1e5),
+        "served_liar": round(served_share(&all).min(served_share(&one)), 1e5),
+        "served_silent": round(served_share(&silent), 1e5),
         "avoid_ratio": round(avoid(&honest) / avoid(&silent), 1e3),
         "avoid_ratio_box": round(avoid_box(&honest) / avoid_box(&silent), 1e3),
         "false_skips_liar": lies,
--- a/lab/src/bin/measure-routes.rs
+++ b/lab/src/bin/measure-routes.rs
@@ -1,5 +1,6 @@
-//! Measures the look-up of routes: `make measure-routes`. The index and a plain scan over the same tables and the same
-//! requests, seed 1. The last line of its output is JSON; it exits with 1 where the two disagree.
+//! Measures the look-up of routes (`make measure-routes`): the index and a plain scan, with the same tables
+//! and the same requests from seed 1. The last line of the output is JSON. The program exits with 1 if the
+//! two disagree.
 use ipnet::{IpNet, Ipv4Net};
 use rand_core::RngCore;
 use std::hint::black_box;
@@ -9,10 +10,12 @@
 use threadward_routes::table::find_by_scan;
 use threadward_routes::{Location, Matches, Prefix, Request, Route, Table, Terms};
 
+/// Seed of all random numbers.
 const SEED: u64 = 1;
-const REQUESTS: usize = 4_000;
+/// Number of requests that are looked up.
+const REQUEST_COUNT: usize = 4_000;
 
-/// Routes as an installation could have them: by network, by object, by path, by class and groups.
+/// Returns routes as an installation could have them: by network, by object, by path and by class.
 fn routes(n: usize) -> Vec<Route> {
     let mut rng = stream(SEED, 1);
     let at = Location { file: "measure".into(), line: 1, column: 1 };
@@ -46,7 +49,7 @@
     all
 }
 
-/// Requests of which about half meet a route: drawn from the routes themselves or at random.
+/// Returns requests, about half of which are derived from a route. The others are random.
 fn requests(routes: &[Route]) -> Vec<(Request<'static>, Option<(String, String)>)> {
     let mut rng = stream(SEED, 2);
     let one = |_| {
@@ -62,17 +65,17 @@
         let class = r.class.unwrap_or(rng.next_u32() as u8 % 3);
         (Request { class, group: 7, object, part: 1, client, link: None }, link)
     };
-    (0..REQUESTS).map(one).collect()
+    (0..REQUEST_COUNT).map(one).collect()
 }
 
-/// Nanoseconds for one look-up, the best of some rounds.
-fn time(all: &[Request<'_>], rounds: usize, f: impl Fn(&Request<'_>) -> Option<usize>) -> f64 {
+/// Returns the nanoseconds of one look-up, as the best of some rounds.
+fn lookup_time(all: &[Request<'_>], rounds: usize, f: impl Fn(&Request<'_>) -> Option<usize>) -> f64 {
     let round = |_| {
-        let begun = Instant::now();
+        let started = Instant::now();
         for r in all {
             black_box(f(black_box(r)));
         }
-        begun.elapsed().as_secs_f64() * 1e9 / all.len() as f64
+        started.elapsed().as_secs_f64() * 1e9 / all.len() as f64
     };
     (0..rounds).map(round).fold(f64::INFINITY, f64::min)
 }
@@ -82,20 +85,20 @@
     let mut wrong = 0;
     for n in [10, 1_000, 100_000] {
         let all = routes(n);
-        let begun = Instant::now();
+        let started = Instant::now();
         let table = Table::new(&all);
-        let built = begun.elapsed().as_secs_f64() * 1e3;
+        let built = started.elapsed().as_secs_f64() * 1e3;
         let drawn = requests(&all);
         let asked: Vec<Request<'_>> = drawn
             .iter()
             .map(|(r, link)| Request { link: link.as_ref().map(|(h, p)| (h.as_str(), p.as_str())), ..*r })
             .collect();
-        let some = &asked[..if n > 10_000 { 200 } else { REQUESTS }];
+        let some = &asked[..if n > 10_000 { 200 } else { REQUEST_COUNT }];
         wrong += some.iter().filter(|r| table.find(r) != find_by_scan(&all, r)).count();
         let hits = asked.iter().filter(|r| table.find(r).is_some()).count();
-        let index = time(&asked, 20, |r| table.find(r));
-        let plain = time(some, 3, |r| find_by_scan(&all, r));
-        println!("{n:>7} routes ({}): index {index:.0} ns, scan {plain:.0} ns, built in {built:.1} ms, {hits} of {REQUESTS} hit", all.len());
+        let index = lookup_time(&asked, 20, |r| table.find(r));
+        let plain = lookup_time(some, 3, |r| find_by_scan(&all, r));
+        println!("{n:>7} routes ({}): index {index:.0} ns, scan {plain:.0} ns, built in {built:.1} ms, {hits} of {REQUEST_COUNT} hit", all.len());
         figures.push((index, plain));
     }
     let round = |x: f64| (x * 100.0).round() / 100.0;
--- a/lab/src/bin/measure-scale.rs
+++ b/lab/src/bin/measure-scale.rs
@@ -1,5 +1,5 @@
-//! Measures the control code of fleets up to the target's size: `make measure-scale`. The last line of its output is one
-//! JSON object. It exits with 1 where a rule was broken or a sum exceeded its whole.
+//! Measures the control code of fleets up to the target's size (`make measure-scale`). The last line of the
+//! output is a JSON object. The program exits with 1 if a rule was violated or a sum exceeded its whole.
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::path::{Path, PathBuf};
@@ -14,13 +14,13 @@
 
 const USAGE: &str = "usage: measure-scale [--small] [--seed N] [--write FILE]";
 
-/// Bytes allocated and not given back.
+/// Returns the number of bytes that are currently allocated.
 fn allocated() -> i64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
 }
 
-/// The options, and the file to write.
+/// Returns the options of the command line, and the file to write the report to.
 fn options() -> Result<(Options, Option<PathBuf>), String> {
     let mut options = Options { seed: 1, memory: Some(allocated), ..Options::default() };
     options.commit = std::env::var("COMMIT").unwrap_or_default();
@@ -40,13 +40,14 @@
     Ok((options, file))
 }
 
-/// The programs that were built beside this one.
+/// Returns the programs that were built into the directory of this one, if both exist.
 fn real_programs() -> Option<RealPrograms> {
     let own = std::env::current_exe().ok()?;
     let beside = |name: &str| Some(own.parent()?.join(name)).filter(|path| path.exists());
     Some(RealPrograms { program: beside("threadward")?, host: beside("hollow-host")? })
 }
 
+/// Prints the value of each series at the target's size.
 fn print(report: &Report, target: &Target) {
     for series in &report.series {
         let size = match series.against {
@@ -66,11 +67,13 @@
     report.not_reached.iter().for_each(|what| println!("not reached: {what}"));
 }
 
+/// Writes the report to a file as JSON.
 fn write(report: &Report, file: &Path) -> Result<(), String> {
     let text = serde_json::to_string_pretty(report).map_err(|error| error.to_string())?;
     std::fs::write(file, text + "\n").map_err(|error| format!("{}: {error}", file.display()))
 }
 
+/// Runs the measurement. Returns whether no rule was violated and no sum exceeded its whole.
 fn measure() -> Result<bool, String> {
     let (options, file) = options()?;
     let target = Target::read(include_str!("../../../deploy/target.toml"))?;
--- a/lab/src/bin/measure-zones.rs
+++ b/lab/src/bin/measure-zones.rs
@@ -1,17 +1,19 @@
-//! Measures zones: `make measure-zones`. It owns the days and the figures' names; the last line of its output is JSON. It
-//! exits with 1 where a rule was broken. Each day is played twice from the same seed: with zones, and each proxy alone.
+//! Measures zones (`make measure-zones`). Each scenario is run twice from the same seed: with zones that all
+//! proxies take out of use together, and with each proxy on its own. The last line of the output is JSON. The
+//! program exits with 1 if a rule was violated.
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use threadward_lab::net::NetworkConditions;
 use threadward_lab::regions::{Day, FailureMode, Record, Regions, S, T0};
 
-fn days() -> Vec<Day> {
+/// Returns the scenarios.
+fn scenarios() -> Vec<Day> {
     let day = |name, seed, hubs: u16| {
         let locations = 12 - hubs;
         Day { locations, members: ((2000 - 40 * hubs) / locations, 40), ..Day::new(name, seed, hubs) }
     };
-    let hub = |d: Day, failure_mode| {
+    let with_parent_failure = |d: Day, failure_mode| {
         let z = d.parent(0);
         d.with(z, failure_mode, 6 * S, 16 * S)
     };
@@ -22,27 +24,33 @@
     let (a, b) = (both.parent(0), both.parent(2));
     let quiet = day("one proxy cut, a liar, one bad cache", 10, 2);
     vec![
-        hub(day("hub killed", 1, 3), FailureMode::Kill),
+        with_parent_failure(day("hub killed", 1, 3), FailureMode::Kill),
         day("location killed", 2, 2).with(4, FailureMode::Kill, 6 * S, 16 * S),
-        hub(day("hub fails fast", 3, 2), FailureMode::FailFast),
+        with_parent_failure(day("hub fails fast", 3, 2), FailureMode::FailFast),
         Day { direct: false, ..day("location fails fast, none takes", 4, 2) }.with(
             2,
             FailureMode::FailFast,
             6 * S,
             16 * S,
         ),
-        hub(day("hub slow", 5, 3), FailureMode::Slow),
-        hub(day("hub cut from half", 6, 2), FailureMode::CutHalf),
-        hub(twice, FailureMode::KillTwice),
+        with_parent_failure(day("hub slow", 5, 3), FailureMode::Slow),
+        with_parent_failure(day("hub cut from half", 6, 2), FailureMode::CutHalf),
+        with_parent_failure(twice, FailureMode::KillTwice),
         day("location drips", 8, 2).with(5, FailureMode::Drip, 6 * S, 22 * S),
-        hub(Day { conditions: lossy, ..day("hub and messages lose a fifth", 9, 2) }, FailureMode::Lossy),
+        with_parent_failure(
+            Day { conditions: lossy, ..day("hub and messages lose a fifth", 9, 2) },
+            FailureMode::Lossy,
+        ),
         Day { cut: Some((17, T0 + 6 * S, T0 + 16 * S)), liar: Some(23), ..quiet }.with(
             3,
             FailureMode::OneBad,
             6 * S,
             20 * S,
         ),
-        hub(Day { capacity_factors: (3.0, 1.4), ..day("hub killed, little room", 11, 2) }, FailureMode::Kill),
+        with_parent_failure(
+            Day { capacity_factors: (3.0, 1.4), ..day("hub killed, little room", 11, 2) },
+            FailureMode::Kill,
+        ),
         Day { direct: false, ..day("location killed, none takes", 12, 2) }.with(
             6,
             FailureMode::Kill,
@@ -66,7 +74,7 @@
 fn main() -> ExitCode {
     let only = std::env::args().nth(1);
     let days: Vec<Day> =
-        days().into_iter().filter(|d| only.as_ref().is_none_or(|o| d.name.contains(o))).collect();
+        scenarios().into_iter().filter(|d| only.as_ref().is_none_or(|o| d.name.contains(o))).collect();
     let next = AtomicUsize::new(0);
     let done: Mutex<Vec<(usize, Record)>> = Mutex::new(Vec::new());
     std::thread::scope(|s| {
@@ -110,7 +118,8 @@
             }
         }
     }
-    // Each day with an outage counts alike: what those earned whom it touches, until the zone is warm.
+    // Every scenario with an outage has the same weight: the value served of the affected requests, until the
+    // zone is warm again.
     let ratios: Vec<f64> = fleet
         .iter()
         .zip(&alone)
