--- a/node/src/caches.rs
+++ b/node/src/caches.rs
@@ -161,10 +161,10 @@
 }
 
 impl CacheConnection {
-    /// Returns whether an answer has been outstanding for longer than `patience` and nothing was received for
+    /// Returns whether an answer has been outstanding for longer than `max_wait` and nothing was received for
     /// as long. The connection may then be cut off unnoticed, or carry an answer that never ends.
-    fn is_silent(&self, now: Micros, patience: Micros) -> bool {
-        let since = now.saturating_sub(patience);
+    fn is_silent(&self, now: Micros, max_wait: Micros) -> bool {
+        let since = now.saturating_sub(max_wait);
         // An attempt that is not written yet has the latest possible time, so that it doesn't count.
         let oldest_write = self.pending.borrow().values().map(|attempt| attempt.last_written_at).min();
         oldest_write.is_some_and(|written_at| written_at < since) && self.last_received_at.get() < since
@@ -677,11 +677,11 @@
                 .any(|a| disabled.contains(&a)),
             client_waits: owner.client_waits(dispatch.request),
         };
-        let judged = may_send(&facts);
-        if let Err(why) = judged {
+        let verdict = may_send(&facts);
+        if let Err(why) = verdict {
             owner.count(why.counter());
         }
-        judged.is_ok()
+        verdict.is_ok()
     }
 
     /// Encodes an attempt as a `serve` command. Returns nothing if its class or its source is unknown.
--- a/node/src/front.rs
+++ b/node/src/front.rs
@@ -21,10 +21,11 @@
 /// cancels may count fewer of its requests as open.
 const MAX_EXTRA_WAITING_ANSWERS: usize = 32;
 /// How many requests with unusable fields a connection may send before it is closed. Each of them costs an
-/// answer, and no limit on open requests applies to them.
+/// answer, and none of them passes admission control.
 const MAX_UNUSABLE_REQUESTS: u32 = 8;
-/// Messages of one connection that are handled before other tasks get a turn, and the most bytes of one read.
+/// Messages of one connection that are handled before other tasks get a turn.
 const MESSAGES_PER_TURN: usize = 32;
+/// Limit on the bytes of one read.
 const READ_BYTES: usize = 16 * 1024;
 /// Further reads after the first one before its messages are handled. They bound how much a connection may
 /// buffer.
@@ -68,10 +69,10 @@
     /// Updates whether the connection counts as busy, after each change of its open requests and unwritten
     /// answers.
     fn update_busy(&self) {
-        let answer_owed = self.writing.get()
+        let busy = self.writing.get()
             || !self.open_requests.borrow().is_empty()
             || !self.outgoing.borrow().is_empty();
-        self.slot.1.set_busy(answer_owed);
+        self.slot.1.set_busy(busy);
     }
     /// Tells the planner that the client no longer waits for any of its open requests.
     fn cancel_open_requests(&self) {
@@ -159,17 +160,17 @@
 
 impl Drop for ClientGuard {
     fn drop(&mut self) {
-        let c = &self.0;
-        for answer in c.outgoing.borrow_mut().drain(..) {
-            c.count_written(&answer);
+        let client = &self.0;
+        for answer in client.outgoing.borrow_mut().drain(..) {
+            client.count_written(&answer);
         }
-        c.cancel_open_requests();
+        client.cancel_open_requests();
     }
 }
 
 /// Serves a client's connection to its end.
 async fn run_client(node: Rc<Node>, slot: ConnectionSlot, stream: Async<TcpStream>) {
-    let c = Rc::new(Client {
+    let client = Rc::new(Client {
         node,
         slot,
         open_requests: RefCell::default(),
@@ -180,17 +181,17 @@
         malformed: Cell::new(false),
         unusable_requests: Cell::new(0),
     });
-    let held = ClientGuard(c.clone());
+    let held = ClientGuard(client.clone());
     let overdue = async {
-        c.slot.1.wait_until_due(|| net::has_unread_bytes(&stream)).await;
-        let drained = c.node.handing_over.get() || c.node.refuses_new_requests();
+        client.slot.1.wait_until_due(|| net::has_unread_bytes(&stream)).await;
+        let drained = client.node.handing_over.get() || client.node.refuses_new_requests();
         Some(if drained { Counter::ClosedDrained } else { Counter::Overdue })
     };
-    let reason = write(&c, &stream).or(read(&c, &stream)).or(overdue).await;
-    reason.into_iter().for_each(|counter| c.node.count(counter));
+    let reason = write(&client, &stream).or(read(&client, &stream)).or(overdue).await;
+    reason.into_iter().for_each(|counter| client.node.count(counter));
     // Nothing is read or written from here on, and the open requests are cancelled.
     drop(held);
-    c.slot.close(&stream).await;
+    client.slot.close(&stream).await;
 }
 
 /// An answer that is being written. Its bytes are taken out of the totals however that ends, also when the
@@ -206,31 +207,31 @@
 
 /// Writes answers until the connection is to be closed. Returns the counter for the reason unless it is
 /// counted already.
-async fn write(c: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
+async fn write(client: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
     loop {
-        let Some(answer) = c.outgoing.borrow_mut().pop_front() else {
-            if c.malformed.get() && c.open_requests.borrow().is_empty() {
+        let Some(answer) = client.outgoing.borrow_mut().pop_front() else {
+            if client.malformed.get() && client.open_requests.borrow().is_empty() {
                 return None;
             }
-            c.signal.wait().await;
+            client.signal.wait().await;
             continue;
         };
-        c.writing.set(true);
-        let answer = AnswerBeingWritten(c, answer);
+        client.writing.set(true);
+        let answer = AnswerBeingWritten(client, answer);
         let until = now() + WRITE_TIMEOUT;
         let done = answer.1.write(stream).or(async { (sleep_until(until).await, false).1 }).await;
         drop(answer);
         if !done {
             return Some(Counter::ClosedStalled);
         }
-        c.writing.set(false);
-        c.slot.1.set_answered();
-        c.update_busy();
+        client.writing.set(false);
+        client.slot.1.set_answered();
+        client.update_busy();
     }
 }
 
 /// Reads requests until the connection is to be closed. Returns the counter for the reason as [`write`] does.
-async fn read(c: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
+async fn read(client: &Rc<Client>, stream: &Async<TcpStream>) -> Option<Counter> {
     let mut buf = Vec::new();
     while read_some(stream, &mut buf, READ_BYTES).await > 0 {
         // A client that has closed its connection no longer wants what it sent: the end of the stream is
@@ -239,20 +240,20 @@
         if further_reads.into_iter().any(|n| n == 0) {
             break;
         }
-        c.slot.1.set_parsing(true);
+        client.slot.1.set_parsing(true);
         let mut parsed = 0;
         for n in 1.. {
             match wire::parse_rpc(&buf[parsed..]) {
                 Ok(Some((message, length))) => {
-                    if let Err(why) = handle_message(c, message) {
-                        stop_reading(c, stream, why).await;
+                    if let Err(reason) = handle_message(client, message) {
+                        stop_reading(client, stream, reason).await;
                         return None;
                     }
                     parsed += length;
                 }
                 Ok(None) => break,
-                Err(why) => {
-                    stop_reading(c, stream, why).await;
+                Err(reason) => {
+                    stop_reading(client, stream, reason).await;
                     return None;
                 }
             }
@@ -262,10 +263,10 @@
         }
         buf.drain(..parsed);
         if parsed > 0 {
-            c.slot.1.set_receiving(false);
+            client.slot.1.set_receiving(false);
         }
-        c.slot.1.set_receiving(!buf.is_empty());
-        c.slot.1.set_parsing(false);
+        client.slot.1.set_receiving(!buf.is_empty());
+        client.slot.1.set_parsing(false);
         if buf.is_empty() && buf.capacity() > MAX_IDLE_BUFFER_BYTES {
             buf = Vec::new();
         }
@@ -277,73 +278,76 @@
 
 /// Stops reading messages after a malformed one. Requests accepted before are still answered, as far as the
 /// client stays and reads the answers soon.
-async fn stop_reading(c: &Rc<Client>, stream: &Async<TcpStream>, why: wire::Malformed) {
-    c.node.count(Counter::Malformed);
-    net::log(&format!("client: malformed frame ({}), connection closed", why.0));
-    c.malformed.set(true);
-    c.signal.notify();
+async fn stop_reading(client: &Rc<Client>, stream: &Async<TcpStream>, reason: wire::Malformed) {
+    client.node.count(Counter::Malformed);
+    net::log(&format!("client: malformed frame ({}), connection closed", reason.0));
+    client.malformed.set(true);
+    client.signal.notify();
     let answered = async {
         // Every request is answered by its deadline at the latest.
-        while !c.open_requests.borrow().is_empty() {
+        while !client.open_requests.borrow().is_empty() {
             sleep_until(now() + OPEN_REQUESTS_POLL_INTERVAL).await;
         }
-        c.signal.notify();
+        client.signal.notify();
         sleep_until(now() + MALFORMED_LINGER).await;
     };
     answered.or(net::discard(stream)).await;
 }
 
 /// Handles a message: submits a request, cancels one or answers a health check.
-fn handle_message(c: &Rc<Client>, message: Rpc<'_>) -> Result<(), wire::Malformed> {
+///
+/// # Errors
+/// Returns an error if the connection is to be closed.
+fn handle_message(client: &Rc<Client>, message: Rpc<'_>) -> Result<(), wire::Malformed> {
     let received_at = now();
     match message {
         Rpc::Notification { method: b"cancelRequest", params } => {
             if let [MsgpackValue::Int(id)] = params.as_slice() {
-                let id = u32::try_from(*id).ok().and_then(|id| c.open_requests.borrow_mut().remove(&id));
+                let id = u32::try_from(*id).ok().and_then(|id| client.open_requests.borrow_mut().remove(&id));
                 if let Some(id) = id {
-                    c.node.plan(|p, now| p.client_left(now, id));
-                    c.update_busy();
+                    client.node.plan(|p, now| p.client_left(now, id));
+                    client.update_busy();
                 }
             }
             Ok(())
         }
         Rpc::Notification { .. } => Ok(()),
         Rpc::Request { id, method, params } => {
-            // Ids have to increase: a reused one could not be told from its first use.
-            if id <= c.last_message_id.get() {
+            // Ids have to increase: a reused one could not be distinguished from its first use.
+            if id <= client.last_message_id.get() {
                 return Err(wire::Malformed("message id"));
             }
-            c.last_message_id.set(id);
+            client.last_message_id.set(id);
             if method == b"alive" {
                 // If a successor takes over, the proxy goes on although this process ends.
-                let accepting = c.node.stopping.get().is_none() || c.node.handing_over.get();
-                let ready = accepting && c.node.plan(|p, _| p.ready());
-                c.push(wire::encode_alive(id, ready));
+                let accepting = client.node.stopping.get().is_none() || client.node.handing_over.get();
+                let ready = accepting && client.node.plan(|p, _| p.ready());
+                client.push(wire::encode_alive(id, ready));
                 return Ok(());
             }
-            if c.open_requests.borrow().len() >= MAX_OPEN_REQUESTS
-                || c.outgoing.borrow().len() >= MAX_OPEN_REQUESTS + MAX_EXTRA_WAITING_ANSWERS
+            if client.open_requests.borrow().len() >= MAX_OPEN_REQUESTS
+                || client.outgoing.borrow().len() >= MAX_OPEN_REQUESTS + MAX_EXTRA_WAITING_ANSWERS
             {
                 return Err(wire::Malformed("too many open requests"));
             }
             match parse_request(
-                &c.node.config.names.classes,
-                &c.node.config.settings,
+                &client.node.config.names.classes,
+                &client.node.config.settings,
                 method,
                 &params,
                 received_at,
             ) {
                 Some(mut request) => {
-                    request.expires_at = request.expires_at.min(c.node.latest_answer_time());
-                    submit(c, id, request);
+                    request.expires_at = request.expires_at.min(client.node.latest_answer_time());
+                    submit(client, id, request);
                 }
                 None => {
-                    c.node.count(Counter::Unusable);
-                    c.unusable_requests.set(c.unusable_requests.get() + 1);
-                    if c.unusable_requests.get() > MAX_UNUSABLE_REQUESTS {
+                    client.node.count(Counter::Unusable);
+                    client.unusable_requests.set(client.unusable_requests.get() + 1);
+                    if client.unusable_requests.get() > MAX_UNUSABLE_REQUESTS {
                         return Err(wire::Malformed("too many unusable requests"));
                     }
-                    c.push(wire::encode_error(id, "Error", &[]));
+                    client.push(wire::encode_error(id, "Error", &[]));
                 }
             }
             Ok(())
@@ -352,19 +356,19 @@
 }
 
 /// Submits a request to the planner, or refuses it while the program is shutting down.
-fn submit(c: &Rc<Client>, id: u32, request: ClientRequest) {
-    if c.node.refuses_new_requests() {
-        c.node.count(Counter::RefusedClosing);
-        return c.push(wire::encode_error(id, "Full", &[]));
+fn submit(client: &Rc<Client>, id: u32, request: ClientRequest) {
+    if client.node.refuses_new_requests() {
+        client.node.count(Counter::RefusedClosing);
+        return client.push(wire::encode_error(id, "Full", &[]));
     }
-    c.open_requests.borrow_mut().insert(id, 0);
-    let client = Rc::downgrade(c);
+    client.open_requests.borrow_mut().insert(id, 0);
+    let weak_client = Rc::downgrade(client);
     let reply = Box::new(move |answer: FinalAnswer| {
-        let Some(c) = client.upgrade() else { return };
-        if c.open_requests.borrow_mut().remove(&id).is_none() {
+        let Some(client) = weak_client.upgrade() else { return };
+        if client.open_requests.borrow_mut().remove(&id).is_none() {
             return;
         }
-        c.push(match answer {
+        client.push(match answer {
             FinalAnswer::Served(p) => {
                 let (unchanged, etag) = (("notmod", "1"), ("etag", &*p.tag));
                 let tail = wire::encode_fields(&[unchanged, etag][usize::from(!p.unchanged)..]);
@@ -377,11 +381,12 @@
             FinalAnswer::Failed => wire::encode_error(id, "Error", &[]).into(),
         });
     });
-    let request_id = c.node.plan(|p, now| p.accept_request(now, c.node.held_bytes(), request, reply));
-    if let (Some(planner_id), Some(entry)) = (request_id, c.open_requests.borrow_mut().get_mut(&id)) {
+    let request_id =
+        client.node.plan(|p, now| p.accept_request(now, client.node.held_bytes(), request, reply));
+    if let (Some(planner_id), Some(entry)) = (request_id, client.open_requests.borrow_mut().get_mut(&id)) {
         *entry = planner_id;
     }
-    c.update_busy();
+    client.update_busy();
 }
 
 /// Parses a request from a method and its parameters. Returns nothing if a field is unusable.
