--- a/node/tests/crossings_handover.rs
+++ b/node/tests/crossings_handover.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Returns a ledger of another process of the proxy, played by the test.
-    fn ledger_of_other(&self, started: u64) -> SharedFiles {
+    /// Returns the shared files as another process of the proxy uses them, which the test plays.
+    fn shared_files_of_other(&self, started: u64) -> SharedFiles {
         SharedFiles::open(self.folder.path(), "n0", (started, 1)).unwrap()
     }
 
@@ -198,7 +198,7 @@
 fn the_old_process_ends(#[case] step: Old) {
     run(|ex| async move {
         let site = site(ex);
-        let old = site.ledger_of_other(5);
+        let old = site.shared_files_of_other(5);
         old.publish(Phase::Ready, 1).unwrap();
         let own_socket = Rc::new(net::bind_address(site.front, true).unwrap().listen().unwrap());
 
@@ -291,7 +291,7 @@
             file.set_modified(std::time::UNIX_EPOCH + long_ago).unwrap();
             return site.hand_over_to_next(1, &old).await;
         }
-        let new = site.ledger_of_other(now());
+        let new = site.shared_files_of_other(now());
         wait_for_log(&old, "shift: what was learned is handed to a process that starts").await;
         let path = new.socket_path(new.other_processes()[0].rank);
 
@@ -346,7 +346,11 @@
         let (site, old) = start_serving(ex).await;
         old.stop().unwrap();
         let at = now();
-        let both = [site.ledger_of_other(at + 9), site.ledger_of_other(at + 7), site.ledger_of_other(5)];
+        let both = [
+            site.shared_files_of_other(at + 9),
+            site.shared_files_of_other(at + 7),
+            site.shared_files_of_other(5),
+        ];
         old.cont().unwrap();
         let classes = ["media", "booking", "quick"].map(str::to_owned);
         for new in &both {
@@ -363,7 +367,7 @@
         let mut site = site(ex);
         let (_silent, at) = listen();
         site.json = configuration(site.front, at, &[]).replace(r#""known""#, r#""none""#);
-        let old = site.ledger_of_other(5);
+        let old = site.shared_files_of_other(5);
         old.publish(Phase::Ready, 1).unwrap();
         let new = [site.start(0), site.start(1)];
         for process in &new {
@@ -389,7 +393,7 @@
 fn sigterm_while_the_new_process_asks_for_the_socket(#[case] given: bool) {
     run(|ex| async move {
         let site = site(ex);
-        let old = site.ledger_of_other(5);
+        let old = site.shared_files_of_other(5);
         old.publish(Phase::Ready, 1).unwrap();
         let own_socket = Rc::new(net::bind_address(site.front, true).unwrap().listen().unwrap());
         let at = handover::bind_socket(&old.socket_path(old.rank())).unwrap();
--- a/node/tests/wall_clock.rs
+++ b/node/tests/wall_clock.rs
@@ -100,8 +100,8 @@
     site.serve_requests(1, 20).await;
     site.shim.step_wall_clock(step).unwrap();
     assert!(site.serve_requests(100, 20).await < 1_000_000);
-    // The wall clock returns to the right time during a request that the cache never answers: its client still
-    // gets an error in time.
+    // The wall clock returns to the right time during a request that the cache never answers: its client
+    // still gets an error in time.
     *site.cache.behavior.borrow_mut() = CacheBehavior::Silent;
     let mut client = Client::connect(site.front).await;
     let at = now();
