--- a/lab/src/capacity/breaks.rs
+++ b/lab/src/capacity/breaks.rs
@@ -11,7 +11,6 @@
 use threadward_budgets::MAX_PROXIES;
 use threadward_gossip::evidence::EVIDENCE_LIFETIME;
 use threadward_gossip::keys::MAX_PEERS;
-
 use threadward_gossip::{Quorum, Settings as GossipSettings};
 use threadward_zones::MAX_ZONES;
 
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -171,7 +171,10 @@
     pub(crate) fn zone_settings(&self) -> Vec<Zone> {
         let s = self.settings(0);
         let parents_except = |except: Option<u16>| {
-            (0..self.parents).map(|index| self.parent(index)).filter(|zone| Some(*zone) != except).collect::<Vec<_>>()
+            (0..self.parents)
+                .map(|index| self.parent(index))
+                .filter(|zone| Some(*zone) != except)
+                .collect::<Vec<_>>()
         };
         (0..self.zone_count())
             .map(|z| match z < self.locations {
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -5,7 +5,6 @@
 use tempfile::TempDir;
 use threadward_budgets::MAX_PROXIES;
 use threadward_gossip::keys::MAX_PEERS;
-
 use threadward_lab::capacity::{breakages, units, Files, Inputs, Measured, Ratio};
 use threadward_lab::scale::report::Report;
 use threadward_lab::scale::target::Target;
--- a/node/src/zones.rs
+++ b/node/src/zones.rs
@@ -84,8 +84,7 @@
         Ok(client)
     }
 
-    /// Applies the public keys of a reloaded operators'file. A key that is no longer in it is no longer
-
+    /// Applies the public keys of a reloaded operators' file. A key that is no longer in it is no longer
     /// accepted.
     pub fn reload(&self, zoned: ZoneSettings) {
         self.pair_keys.borrow_mut().replace_public_keys(zoned.keys);
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -15,7 +15,6 @@
 use threadward::node::Node;
 use threadward::shift::ProcessGroup;
 use threadward::wire::{self, MsgpackValue};
-
 use threadward::{admin, bulletin, config, front};
 use threadward_faults::{ports, Process};
 
--- a/node/tests/parsers.rs
+++ b/node/tests/parsers.rs
@@ -2,7 +2,6 @@
 use rstest::rstest;
 use threadward::config::{self, address_for_id};
 use threadward::wire::{self, Malformed, MsgpackValue, Rpc};
-
 use threadward_core::{Note, Outcome};
 
 #[rstest]
