--- a/lab/tests/budgets.rs
+++ b/lab/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets divided by leases, in virtual time: the sum of what all may use, over random schedules and in each hard case.
+//! Tests budgets divided by leases, in virtual time: what all proxies together may use never exceeds the
+//! whole, over random schedules and in each difficult case (cuts, pauses, restarts, lost messages).
 use rand_core::RngCore;
 use threadward_budgets::{wire, Settings};
 use threadward_lab::budget_simulation::{BudgetSimulation, MS, S};
@@ -12,25 +13,31 @@
     Settings { index: 0, proxies, voters, totals: wholes.to_vec(), lease: LEASE }
 }
 
-fn started(seed: u64, proxies: u16, wholes: &[u32], weather: NetworkConditions) -> BudgetSimulation {
-    let mut w = BudgetSimulation::new(seed, settings(proxies, wholes), weather);
+fn started(
+    seed: u64,
+    proxies: u16,
+    wholes: &[u32],
+    network_conditions: NetworkConditions,
+) -> BudgetSimulation {
+    let mut w = BudgetSimulation::new(seed, settings(proxies, wholes), network_conditions);
     (0..usize::from(proxies)).for_each(|i| w.start(i));
     w
 }
 
-/// One random schedule of 40 s: what all could use at most, and at its end, of wholes of 100 and 1.
+/// Runs one random schedule of budgets of 100 units and 1 unit. Returns the largest use of each by all
+/// proxies together, and what may be used of the first after a calm interval at the end.
 fn play(seed: u64) -> (Vec<u32>, u32) {
     let mut dice = stream(seed, 0xd1ce);
     let mut roll = |n: u64| dice.next_u64() % n;
     let n = 3 + 2 * roll(5) as u16;
-    let weather = NetworkConditions {
+    let network_conditions = NetworkConditions {
         loss: roll(40) as f64 / 100.0,
         duplicated: roll(30) as f64 / 100.0,
         min_delay: MS,
         max_delay: MS + roll(LEASE),
         slow: roll(10) as f64 / 100.0,
     };
-    let mut w = started(seed, n, &[100, 1], weather);
+    let mut w = started(seed, n, &[100, 1], network_conditions);
     for _ in 0..60 {
         let (i, k) = (roll(n.into()) as usize, roll(n.into()) as usize);
         match roll(10) {
@@ -41,7 +48,7 @@
             5 => w.net.cut_groups(&(0..i).collect::<Vec<_>>(), &(i..n.into()).collect::<Vec<_>>()),
             6 => w.net.restore_links(),
             7 if i != k => w.net.cut(i, k),
-            // Twice within the flight of a message: answers to one life reach the next.
+            // Restarted twice while a message is in flight: answers to one incarnation reach the next.
             8 => {
                 w.start(i);
                 w.run(roll(LEASE / 4));
@@ -51,12 +58,12 @@
         }
         w.run(roll(2 * LEASE));
     }
-    // Calm again: all run, and the whole is used.
+    // No more disturbances: all run, and the whole is used.
     w.net.restore_links();
     w.net.conditions = NetworkConditions::default();
     (0..n.into()).for_each(|i| w.start(i));
     w.run(8 * LEASE);
-    // Two messages in a row may be lost, and a share lapse: the best of some moments.
+    // A share ends if two messages in a row are lost, so the largest sum of several moments counts.
     let sum = (0..10).map(|_| (w.run(LEASE / 10), w.sum(0)).1).max().unwrap_or(0);
     (w.max_sums, sum)
 }
@@ -86,7 +93,7 @@
         0,
         "a minority divides"
     );
-    // The floors alone: a tenth, in whole units.
+    // Only the floors: a tenth, in whole units.
     assert_eq!([0, 1, 5, 6, 7].map(|i| w.share(i, 0)), [1; 5]);
     assert!(w.sum(0) >= 90, "the majority's side uses {}", w.sum(0));
     w.net.restore_links();
@@ -102,7 +109,8 @@
         w.run(5 * S);
         let old = w.coordinators()[0];
         let others: Vec<usize> = (0..5).filter(|i| *i != old).collect();
-        // One of them hears nothing of the grantor and so is free to stand; two start anew under it.
+        // One of them receives nothing from the coordinator and so may stand for election; the two others
+        // restart.
         w.net.cut(old, others[0]);
         w.run(2 * LEASE);
         w.net.cut_groups(&[old, 5, 6, 7], &[&others[..], &[8, 9]].concat());
@@ -128,7 +136,7 @@
 }
 
 #[test]
-fn a_paused_grantor_comes_back_without_authority() {
+fn a_paused_coordinator_comes_back_without_authority() {
     let mut w = started(5, 7, &[100], NetworkConditions::default());
     w.run(5 * S);
     let old = w.coordinators()[0];
@@ -160,7 +168,7 @@
 }
 
 #[test]
-fn a_leave_by_word_frees_at_once_and_one_without_a_word_within_a_lease() {
+fn an_announced_leave_frees_a_share_at_once_and_a_kill_within_a_lease() {
     for word in [true, false] {
         let mut w = started(7, 5, &[100], NetworkConditions { loss: 0.0, ..NetworkConditions::default() });
         w.run(5 * S);
@@ -181,7 +189,7 @@
 }
 
 #[test]
-fn a_grantor_that_left_divides_nothing_while_its_process_lives_on() {
+fn a_coordinator_that_left_divides_nothing_while_its_process_lives_on() {
     for seed in 0..30 {
         let mut w = started(
             seed,
@@ -197,7 +205,7 @@
             w.run(50 * MS);
             assert!(!w.coordinators().contains(&old), "seed {seed}: votes on their way brought it back");
         }
-        // Two messages in a row may be lost, and a share lapse: the best of some moments.
+        // A share ends if two messages in a row are lost, so the largest sum of several moments counts.
         let sum = (0..10).map(|_| (w.run(LEASE / 10), w.sum(0)).1).max();
         assert!(w.max_sums[0] <= 100 && sum >= Some(90), "seed {seed}: {:?}, {sum:?} in use", w.max_sums);
     }
@@ -209,13 +217,13 @@
     [30, 50, 0].into_iter().enumerate().for_each(|(i, n)| w.set_proxy_demand(i, 0, n));
     w.run(6 * S);
     let got: Vec<u32> = (0..5).map(|i| w.share(i, 0)).collect();
-    // Floors are 20. What the others do not want goes to the last two in even parts.
+    // Floors are 20. What the others don't want goes to the last two in even parts.
     assert_eq!(got[..3], [30, 50, 20]);
     assert!(got[3] + got[4] >= 890 && got[3].abs_diff(got[4]) <= 2, "{got:?}");
 }
 
 #[test]
-fn messages_that_are_none_are_passed_over() {
+fn malformed_messages_are_ignored() {
     let from = wire::Author { index: 1, incarnation: 7 };
     let good =
         wire::write(from, &wire::Body::LeaseRequest { request_id: 1, held_request: 0, demands: vec![5; 8] });
--- a/lab/tests/control.rs
+++ b/lab/tests/control.rs
@@ -1,5 +1,5 @@
-//! Budgets divided down a tree of sites, regions and the fleet, in virtual time: the sums of what all may use at the fleet
-//! and in each region, over random schedules and in each hard case.
+//! Tests budgets divided down a tree of fleet, regions and sites, in virtual time: what all proxies of the
+//! fleet, or of a region, may use never exceeds the whole, over random schedules and in each difficult case.
 use rand_core::RngCore;
 use std::sync::Arc;
 use threadward_control::{ControlTree, Level, Location, Scope, SharedBudget, Topology};
@@ -8,10 +8,11 @@
 use threadward_lab::stream;
 
 const LEASE: u64 = 1200 * MS;
-/// One that spans the fleet, a unit that cannot be divided, and one that each region has for itself.
-const WHOLES: [u32; 3] = [600, 1, 90];
+/// Units of a budget of the fleet, of an indivisible one of the fleet, and of a budget that each region has
+/// for itself.
+const TOTALS: [u32; 3] = [600, 1, 90];
 
-/// Sites of each region, by how many proxies they have.
+/// For each region, the number of proxies of each site.
 type Shape<'a> = &'a [&'a [u16]];
 
 fn topology(shape: Shape) -> Arc<Topology> {
@@ -28,28 +29,28 @@
 
 fn settings(shape: Shape) -> TreeSettings {
     let fleet = |whole| SharedBudget { total_units: whole, scope: Scope::Fleet };
-    let region = SharedBudget { total_units: WHOLES[2], scope: Scope::Region };
-    let budgets = vec![fleet(WHOLES[0]), fleet(WHOLES[1]), region];
+    let region = SharedBudget { total_units: TOTALS[2], scope: Scope::Region };
+    let budgets = vec![fleet(TOTALS[0]), fleet(TOTALS[1]), region];
     TreeSettings { topology: topology(shape), budgets, lease: LEASE }
 }
 
-fn started(seed: u64, shape: Shape, weather: NetworkConditions) -> BudgetSimulation<ControlTree> {
+fn started(seed: u64, shape: Shape, network_conditions: NetworkConditions) -> BudgetSimulation<ControlTree> {
     let settings = settings(shape);
     let proxies = settings.topology.proxies();
-    let mut fleet = BudgetSimulation::tree(seed, settings, weather);
+    let mut fleet = BudgetSimulation::tree(seed, settings, network_conditions);
     (0..proxies).for_each(|place| fleet.start(place));
     fleet
 }
 
-/// No whole was exceeded at any moment so far.
+/// Asserts that no total was exceeded at any moment so far.
 fn assert_sums(fleet: &BudgetSimulation<ControlTree>, what: &str) {
-    assert!(fleet.max_sums[0] <= WHOLES[0] && fleet.max_sums[1] <= WHOLES[1], "{what}: {:?}", fleet.max_sums);
+    assert!(fleet.max_sums[0] <= TOTALS[0] && fleet.max_sums[1] <= TOTALS[1], "{what}: {:?}", fleet.max_sums);
     for (region, most) in fleet.max_group_sums.iter().enumerate() {
-        assert!(most[2] <= WHOLES[2], "{what}: region {region} used {most:?}");
+        assert!(most[2] <= TOTALS[2], "{what}: region {region} used {most:?}");
     }
 }
 
-/// The first moment from now, within a limit, at which something holds.
+/// Runs until a condition holds and returns the time passed; `None` if it doesn't hold within the limit.
 fn until(
     fleet: &mut BudgetSimulation<ControlTree>,
     limit: u64,
@@ -75,19 +76,20 @@
     &[&[4, 4, 4, 4], &[1], &[1]],
 ];
 
-/// One random schedule: what is in use at its end of the first budget, and whether the single unit ever was.
+/// Runs one random schedule. Returns the share of the first budget in use at its end, and whether the single
+/// unit of the second was ever in use.
 fn play(seed: u64) -> (f64, bool) {
     let mut dice = stream(seed, 0xd1ce);
     let mut roll = |sides: u64| dice.next_u64() % sides;
     let shape = SHAPES[roll(SHAPES.len() as u64) as usize];
-    let weather = NetworkConditions {
+    let network_conditions = NetworkConditions {
         loss: roll(30) as f64 / 100.0,
         duplicated: roll(30) as f64 / 100.0,
         min_delay: MS,
         max_delay: MS + roll(LEASE),
         slow: roll(10) as f64 / 100.0,
     };
-    let mut fleet = started(seed, shape, weather);
+    let mut fleet = started(seed, shape, network_conditions);
     let topology = topology(shape);
     let count = topology.proxies() as u64;
     let all: Vec<usize> = (0..count as usize).collect();
@@ -96,7 +98,7 @@
         let level = [Level::Site, Level::Region, Level::Fleet][roll(3) as usize];
         let leaders = fleet.leaders(level);
         let any = roll(count) as usize;
-        // A leader half of the time.
+        // A leader in half of the cases.
         let one = leaders.get(roll(2 * leaders.len().max(1) as u64) as usize).copied().unwrap_or(any);
         let other = roll(count) as usize;
         match roll(12) {
@@ -119,14 +121,14 @@
         fleet.run(roll(2 * LEASE));
     }
     assert_sums(&fleet, &format!("seed {seed}"));
-    // Calm again: all run, and the whole is used.
+    // No more disturbances: all run, and the whole is used.
     fleet.net.restore_links();
     fleet.net.conditions = NetworkConditions::default();
     all.iter().for_each(|place| fleet.start(*place));
     fleet.run(24 * LEASE);
     let used = (0..20).map(|_| (fleet.run(LEASE / 4), fleet.sum(0)).1).max().unwrap_or(0);
     assert_sums(&fleet, &format!("seed {seed}, calm"));
-    (f64::from(used) / f64::from(WHOLES[0]), fleet.max_sums[1] == 1)
+    (f64::from(used) / f64::from(TOTALS[0]), fleet.max_sums[1] == 1)
 }
 
 #[test]
@@ -149,7 +151,7 @@
 /// Three regions of three sites.
 const EVEN: Shape = &[&[3, 3, 2], &[3, 2, 3], &[2, 3, 3]];
 
-/// Started and settled.
+/// Returns a fleet that has been started and has settled.
 fn settled(seed: u64, shape: Shape) -> BudgetSimulation<ControlTree> {
     let mut fleet = started(seed, shape, NetworkConditions::default());
     fleet.run(24 * LEASE);
@@ -157,13 +159,14 @@
     fleet
 }
 
-/// What is in use of the first budget, the best of some moments: two messages in a row may be lost, and a share lapse.
+/// Returns the units of the first budget in use, as the largest of several moments: a share ends if two
+/// messages in a row are lost.
 fn best_use(fleet: &mut BudgetSimulation<ControlTree>) -> u32 {
     (0..10).map(|_| (fleet.run(LEASE / 10), fleet.sum(0)).1).max().unwrap_or(0)
 }
 
-/// A process that leads a level and none above.
-fn head(fleet: &BudgetSimulation<ControlTree>, level: Level) -> usize {
+/// Returns a proxy that leads a group of this level but none of the level above.
+fn leader_of_one_level(fleet: &BudgetSimulation<ControlTree>, level: Level) -> usize {
     let above = match level {
         Level::Site => fleet.leaders(Level::Region),
         Level::Region => fleet.leaders(Level::Fleet),
@@ -174,21 +177,22 @@
 
 const LEVELS: [Level; 3] = [Level::Site, Level::Region, Level::Fleet];
 
-/// Whether every site, every region and the fleet are led.
+/// Returns whether every site, every region and the fleet have a leader.
 fn all_led(fleet: &BudgetSimulation<ControlTree>, sites: usize, regions: usize) -> bool {
     let led = |level| fleet.leaders(level).len();
     led(Level::Site) == sites && led(Level::Region) == regions && led(Level::Fleet) == 1
 }
 
 #[test]
-fn a_head_that_is_killed_is_replaced_at_each_level() {
-    // Each site has three voters; one of two has one, and no other head if that is killed.
+fn a_killed_leader_is_replaced_at_each_level() {
+    // Each site has three voters. A site of two proxies has a single voter, and no other leader if that one
+    // is killed.
     let shape: Shape = &[&[3, 3, 3], &[3, 4, 3], &[3, 3, 3]];
     for level in LEVELS {
         let (mut led, mut used, mut dip) = (0, 0, u32::MAX);
         for seed in 0..10 {
             let mut fleet = settled(seed, shape);
-            let killed = head(&fleet, level);
+            let killed = leader_of_one_level(&fleet, level);
             fleet.kill(killed);
             let waits = 20 * LEASE;
             let took = until(&mut fleet, waits, |fleet| {
@@ -198,7 +202,7 @@
             led = led.max(took.unwrap_or_else(|| panic!("{level:?}, seed {seed}: no leader again")));
             let again = until(&mut fleet, waits, |fleet| fleet.sum(0) >= 540);
             used = used.max(took.unwrap_or(0) + again.unwrap_or_else(|| panic!("{level:?}, seed {seed}")));
-            // Its start again takes nothing from the sum.
+            // Its restart doesn't increase the sum beyond the total.
             fleet.start(killed);
             fleet.run(4 * LEASE);
             assert_sums(&fleet, "a killed head");
@@ -213,11 +217,11 @@
 }
 
 #[test]
-fn a_head_that_is_stopped_over_its_lease_and_woken_leads_nothing() {
+fn a_leader_that_is_paused_beyond_its_lease_leads_nothing_afterwards() {
     for level in LEVELS {
         for seed in 0..10 {
             let mut fleet = settled(seed, EVEN);
-            let stopped = head(&fleet, level);
+            let stopped = leader_of_one_level(&fleet, level);
             fleet.pause(stopped, 14 * LEASE);
             fleet.run(13 * LEASE);
             assert!(!fleet.leaders(level).contains(&stopped), "{level:?}, seed {seed}: still leads");
@@ -231,12 +235,12 @@
 }
 
 #[test]
-fn a_head_that_is_cut_on_one_side_never_doubles_anything() {
+fn a_leader_cut_in_one_direction_never_exceeds_a_total() {
     for level in LEVELS {
         for hears in [true, false] {
             for seed in 0..6 {
                 let mut fleet = settled(seed, EVEN);
-                let cut = head(&fleet, level);
+                let cut = leader_of_one_level(&fleet, level);
                 for other in (0..24).filter(|other| *other != cut) {
                     let (from, to) = if hears { (cut, other) } else { (other, cut) };
                     fleet.net.cut(from, to);
@@ -255,12 +259,12 @@
 }
 
 #[test]
-fn a_slow_head_never_doubles_anything() {
+fn a_slow_leader_never_exceeds_a_total() {
     let mut longest = 0;
     for level in LEVELS {
         for seed in 0..6 {
             let mut fleet = settled(seed, EVEN);
-            let slow = head(&fleet, level);
+            let slow = leader_of_one_level(&fleet, level);
             for _ in 0..60 {
                 fleet.pause(slow, LEASE / 2);
                 fleet.run(LEASE / 2 + 30 * MS);
@@ -274,7 +278,7 @@
 }
 
 #[test]
-fn all_heads_restarted_at_once_come_back() {
+fn all_leaders_restarted_at_once_recover() {
     let mut longest = 0;
     for seed in 0..10 {
         let mut fleet = settled(seed, EVEN);
@@ -306,9 +310,9 @@
             least = least.min(fleet.group_share(0, 2));
         }
     }
-    let even = f64::from(WHOLES[0]) / 3.0;
+    let even = f64::from(TOTALS[0]) / 3.0;
     let used = f64::from(of_fleet) / f64::from(moments) / even;
-    let own = f64::from(of_region) / f64::from(moments) / f64::from(WHOLES[2]);
+    let own = f64::from(of_region) / f64::from(moments) / f64::from(TOTALS[2]);
     println!(
         "cut for an hour: {used:.3} of its even part of the fleet's, {own:.3} of its own ({least} at least)"
     );
@@ -326,7 +330,7 @@
     assert_sums(&fleet, "after an hour's cut");
 }
 
-/// Every grant of a liar gives all there is.
+/// Changes a grant so that it gives the largest possible amounts.
 fn exaggerate(bytes: &mut [u8]) {
     const HEADER: usize = threadward_control::frame::HEADER_BYTES;
     const GRANT: u8 = 4;
@@ -337,12 +341,12 @@
 }
 
 #[test]
-fn a_head_that_lies_gives_nobody_more_than_was_asked_for() {
+fn a_leader_with_false_grants_gives_nobody_more_than_was_asked_for() {
     for level in LEVELS {
         let mut fleet = settled(5, EVEN);
         (0..24).for_each(|place| fleet.set_proxy_demand(place, 0, 20));
         fleet.run(6 * LEASE);
-        let liar = head(&fleet, level);
+        let liar = leader_of_one_level(&fleet, level);
         fleet.tamper(Box::new(move |from, _, bytes| {
             if from == liar {
                 exaggerate(bytes);
@@ -352,12 +356,13 @@
         for place in 0..24 {
             assert!(fleet.share(place, 0) <= 20, "{level:?}: {} at {place}", fleet.share(place, 0));
         }
-        assert!(fleet.max_sums[0] <= WHOLES[0], "{level:?}: {:?}", fleet.max_sums);
-        // All want everything: whoever believes the liar takes no more than the whole, and the others what they hold.
-        (0..24).for_each(|place| fleet.set_proxy_demand(place, 0, WHOLES[0]));
+        assert!(fleet.max_sums[0] <= TOTALS[0], "{level:?}: {:?}", fleet.max_sums);
+        // All want everything: a proxy that believes the false grants takes no more than the whole, and the
+        // others keep what they hold.
+        (0..24).for_each(|place| fleet.set_proxy_demand(place, 0, TOTALS[0]));
         fleet.run(10 * LEASE);
         let most = (0..24).map(|place| fleet.share(place, 0)).max();
-        assert!(most <= Some(WHOLES[0]), "{level:?}: {most:?}");
+        assert!(most <= Some(TOTALS[0]), "{level:?}: {most:?}");
     }
 }
 
@@ -375,8 +380,8 @@
         fleet.run(LEASE / 4);
         least = (0..3).map(|region| fleet.group_share(region, 2)).fold(least, u32::min);
     }
-    println!("no region reaches another: at least {least} of {} in use of each region's own", WHOLES[2]);
+    println!("no region reaches another: at least {least} of {} in use of each region's own", TOTALS[2]);
     assert!(fleet.leaders(Level::Fleet).is_empty());
-    assert!(least >= 60, "{least} of {}", WHOLES[2]);
+    assert!(least >= 60, "{least} of {}", TOTALS[2]);
     assert_sums(&fleet, "regions alone");
 }
--- a/lab/tests/event_queue.rs
+++ b/lab/tests/event_queue.rs
@@ -1,9 +1,9 @@
-//! The order of events and the clock of the queue.
+//! Tests the order of events and the clock of the event queue.
 use nickelgate::Micros;
 use threadward_lab::event_queue::EventQueue;
 
 #[test]
-fn events_come_by_time_and_then_in_turn() {
+fn events_are_returned_by_time_and_then_in_scheduling_order() {
     let mut queue = EventQueue::new(10);
     for (at, event) in [(30, 'c'), (20, 'a'), (20, 'b'), (5, '0')] {
         queue.schedule(at, event);
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Real planners with real gossip before stand-ins, in virtual time: the same seed gives the same run, the rules hold,
-//! and hearsay helps without harm. `make measure-gossip` has the figures.
+//! Tests real planners with real gossip in front of simulated caches, in virtual time: the same seed gives
+//! the same run, the rules are kept, and gossip helps without doing harm. `make measure-gossip` prints the
+//! figures.
 use threadward_lab::fleet::{cache, parent, Disruption, Fleet, GossipMode, Record, Scenario, S};
 
 fn play(seed: u64, talk: GossipMode) -> Record {
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn hearsay_helps_and_a_liar_takes_nothing() {
+fn gossip_helps_and_a_false_reporter_does_no_harm() {
     let all = |talk| (1..5).map(|seed| play(seed, talk)).collect::<Vec<_>>();
     let (silent, honest, liar) = (all(GossipMode::Silent), all(GossipMode::Honest), all(GossipMode::LiarAll));
     let skip = |of: &[Record]| of.iter().map(|r| r.time_until_all_skip(6 * S)).sum::<u64>();
@@ -44,8 +45,9 @@
     assert!(worth(&honest) >= worth(&silent) && worth(&liar) > worth(&silent) - 0.002);
 }
 
-/// A hundred proxies with nine requests a second each before sixty caches, some of which start anew at once. A cache
-/// gets about 0.8 transfers' worth of work; one built for that at a load of 0.6 carries 1.4.
+/// Runs a hundred proxies with nine requests per second each in front of sixty caches, some of which restart
+/// at once. A cache gets the work of about 0.8 concurrent transfers; one that is built for that at a load of
+/// 0.6 sends 1.4.
 fn growth(flows: f64, restarted: u8) -> Record {
     let sc = Scenario {
         proxies: 100,
@@ -60,7 +62,7 @@
 }
 
 #[test]
-fn a_hundred_proxies_together_push_over_no_cold_cache() {
+fn a_hundred_proxies_together_overload_no_cold_cache() {
     let most = growth(1.4, 36);
     assert_eq!(most.rule_violations, Vec::<String>::new(), "six in ten replaced");
     assert!(
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn caches_built_far_too_small_are_seen_to_be_pushed_over() {
+fn the_check_detects_overloaded_caches_that_are_far_too_small() {
     assert!(
         growth(0.1, 36).rule_violations.iter().any(|b| b.starts_with("cold")),
         "the check must be able to fail"
--- a/lab/tests/gossip.rs
+++ b/lab/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip under the failures that it is built for, in virtual time: liars, forgeries, replays, restarts, cuts, floods.
+//! Tests gossip under the failures that it is designed for, in virtual time: false reports, forgeries,
+//! replays, restarts, cuts and floods.
 use nickelgate::{Addr, Micros};
 use threadward_gossip::keys::{short_id, OwnKey, SIGNATURE_BYTES};
 use threadward_gossip::wire::{self, Claim, Head, Kind};
@@ -8,7 +9,7 @@
 
 const S: Micros = 1_000_000;
 
-/// A simulation whose instances have found each other.
+/// Returns a simulation whose instances have all found one another.
 fn joined(n: usize, seed: u64) -> GossipSimulation {
     let mut g = GossipSimulation::new(n, 2, seed, NetworkConditions::default());
     for _ in 0..60 {
@@ -20,17 +21,19 @@
     panic!("not all found each other: {:?}", g.live_counts());
 }
 
+/// Returns how many datagrams an instance dropped for a reason.
 fn dropped(g: &GossipSimulation, i: usize, why: Dropped) -> u64 {
     g.gossip(i).counts.dropped[why as usize]
 }
 
-fn nobody_believes(g: &GossipSimulation, but: &[usize]) {
-    for i in (0..g.slots.len()).filter(|i| !but.contains(i)) {
+/// Asserts that no instance except these suspects a member.
+fn assert_no_suspicion(g: &GossipSimulation, except: &[usize]) {
+    for i in (0..g.slots.len()).filter(|i| !except.contains(i)) {
         assert_eq!(g.suspected_by(i), Vec::<Addr>::new(), "n{i}");
     }
 }
 
-/// The statements that an instance sent so far to another.
+/// Returns the statements that an instance has sent to another so far.
 fn statements(g: &GossipSimulation, from: usize, to: usize) -> Vec<Vec<u8>> {
     let of = |s: &&(Micros, usize, usize, Vec<u8>)| s.1 == from && s.2 == to && s.3[0] & 15 == 5;
     g.sent.iter().filter(of).map(|s| s.3.clone()).collect()
@@ -42,25 +45,26 @@
         let mut g = joined(4, seed);
         g.set_member_failing(0, parent(1), true);
         g.run(S);
-        nobody_believes(&g, &[]);
+        assert_no_suspicion(&g, &[]);
         g.set_member_failing(0, parent(1), true);
         g.set_member_failing(1, parent(1), true);
         g.run(S);
         for i in [2, 3] {
             assert_eq!(g.suspected_by(i), [parent(1)], "seed {seed}");
         }
-        // An own good answer outranks it at once; the other goes by age.
+        // A good answer to the instance itself outranks the suspicion at once; elsewhere it expires.
         g.run(100_000);
         g.set_member_failing(2, parent(1), false);
         g.run(60_000);
         assert!(g.suspected_by(2).is_empty());
         g.run(6 * S);
-        nobody_believes(&g, &[]);
+        assert_no_suspicion(&g, &[]);
     }
 }
 
-/// Accuses every parent, then one: nobody believes it, it loses credit where own traffic refutes it, and an honest
-/// instance with it is not enough once that has happened.
+/// One instance falsely reports every parent, then one. No other believes it, it loses credit where an
+/// instance's own traffic refutes it, and after that the report of one honest instance in addition is not
+/// enough.
 #[test]
 fn one_liar_among_four_moves_nothing() {
     let mut g = joined(4, 7);
@@ -71,7 +75,7 @@
                 (1..=4).for_each(|h| g.set_member_failing(i, parent(h), false));
             }
             g.run(250_000);
-            nobody_believes(&g, &[3]);
+            assert_no_suspicion(&g, &[3]);
         }
     }
     assert!(g.gossip(0).counts.received > 30);
@@ -92,15 +96,15 @@
     }
     for _ in 0..100 {
         g.run(100_000);
-        nobody_believes(&g, &[5, 6]);
+        assert_no_suspicion(&g, &[5, 6]);
     }
-    // A third witness makes the number, wherever it is honest.
+    // A third witness reaches the required number, if it is honest.
     g.set_member_failing(0, parent(2), true);
     g.run(S);
     assert_eq!(g.suspected_by(1), [parent(2)]);
 }
 
-/// A datagram that claims to be `author`'s, signed with this secret.
+/// Returns a datagram that names `author` as its sender and is signed with this secret.
 fn forged(author: usize, with: [u8; 32], start: u64, seq: u32) -> Vec<u8> {
     let key = OwnKey::new(&secret(author)).id();
     let claim = Claim { member: parent(1), short_incarnation: 0, kind: Kind::Silent, strength: 3, age: 0 };
@@ -117,13 +121,13 @@
     g.run(S);
     let good = statements(&g, 1, 0).pop().unwrap();
     let head = wire::read(&good).unwrap().head;
-    // Another's key under the name of n1; the sequence is one that would do.
+    // Another key under the name of n1, with an acceptable sequence number.
     g.inject(address(1), 0, &forged(1, secret(3), head.start, head.seq + 10));
     assert_eq!(dropped(&g, 0, Dropped::Forged), 1);
-    // In a life that was never proved it does not even come to that.
+    // For an incarnation that was never proved, the signature isn't even verified.
     g.inject(address(1), 0, &forged(1, secret(3), 5, 1));
     assert_eq!((dropped(&g, 0, Dropped::Forged), dropped(&g, 0, Dropped::Unproven)), (1, 1));
-    // Every single flipped bit, each on a link that has not seen the datagram itself.
+    // Every single flipped bit, each on a link that hasn't carried the original datagram.
     g.net.conditions.loss = 1.0;
     g.run(200_000);
     let before = g.gossip(2).counts;
@@ -137,7 +141,7 @@
     assert_eq!(after.received, before.received);
     let drops = |t: threadward_gossip::Counts| t.dropped.iter().sum::<u64>();
     assert_eq!(drops(after) - drops(before), good.len() as u64 * 8);
-    nobody_believes(&g, &[]);
+    assert_no_suspicion(&g, &[]);
 }
 
 #[test]
@@ -150,7 +154,7 @@
     g.run(S);
     assert_eq!(g.suspected_by(0), [parent(1)]);
     g.run(10 * S);
-    nobody_believes(&g, &[]);
+    assert_no_suspicion(&g, &[]);
     let all: Vec<(usize, Vec<u8>)> = g.sent.iter().filter(|s| s.2 == 0).map(|s| (s.1, s.3.clone())).collect();
     assert!(all.len() > 20);
     let replay = |g: &mut GossipSimulation| {
@@ -164,24 +168,25 @@
     // Lost ones among them are new to it, but what they tell is old; none is believed.
     let (taken, _) = replay(&mut g);
     assert!(taken <= 3, "{taken} of {} were taken", all.len());
-    nobody_believes(&g, &[]);
+    assert_no_suspicion(&g, &[]);
     assert_eq!(replay(&mut g), (0, 0), "not even a signature is checked the second time");
     // An hour later, past every window.
     g.run(3600 * S);
     assert_eq!(replay(&mut g), (0, 0));
-    nobody_believes(&g, &[]);
-    // The receiver restarts with nothing: before and after it has found the others.
+    assert_no_suspicion(&g, &[]);
+    // The receiver restarts without any state: before and after it has found the others.
     g.start(0);
     replay(&mut g);
-    nobody_believes(&g, &[]);
+    assert_no_suspicion(&g, &[]);
     assert_eq!(g.live_counts()[0], 1, "recordings prove nothing");
     g.run(20 * S);
     assert_eq!(g.live_counts()[0], 4);
     replay(&mut g);
-    nobody_believes(&g, &[]);
+    assert_no_suspicion(&g, &[]);
 }
 
-/// A restarted peer, and whoever recorded it, repeats what it said in its former life; its clock went back as well.
+/// A restarted peer, and whoever recorded it, repeats what it said in its former life; its clock went back as
+/// well.
 #[test]
 fn a_former_life_says_nothing() {
     let mut g = joined(4, 11);
@@ -215,7 +220,7 @@
         g.inject(address(*from), 0, bytes);
     }
     assert_eq!(dropped(&g, 0, Dropped::Replayed), before + old.len() as u64);
-    nobody_believes(&g, &[]);
+    assert_no_suspicion(&g, &[]);
 }
 
 #[test]
@@ -259,7 +264,7 @@
         g.run(S);
         assert_eq!(g.suspected_by(3), [parent(1)], "{ahead} at {now}");
         g.run(6 * S);
-        nobody_believes(&g, &[]);
+        assert_no_suspicion(&g, &[]);
     }
 }
 
@@ -267,7 +272,7 @@
 fn keys_change_in_service_and_withdrawn_ones_end() {
     let mut g = joined(4, 13);
     let (old, new) = (secret(1), [99; 32]);
-    // Both keys count while one is changed, and the instance goes over to the new one.
+    // Both keys are accepted while a key is replaced, and the instance switches to the new one.
     for keys in [vec![public_key(&old), public_key(&new)], vec![public_key(&new)]] {
         for i in 0..4 {
             g.slots[i].settings.peers[1].keys = keys.clone();
@@ -280,7 +285,7 @@
         g.run(10 * S);
         assert_eq!(g.live_counts(), [4; 4], "nobody was lost");
     }
-    // What still signs with the old key is not heard.
+    // Datagrams signed with the old key are no longer accepted.
     let before = dropped(&g, 0, Dropped::Key);
     g.inject(address(1), 0, &forged(1, old, 1, 1));
     assert_eq!(dropped(&g, 0, Dropped::Key), before + 1);
@@ -296,15 +301,15 @@
     }
     g.run(100_000);
     assert_eq!((g.suspected_by(0), g.gossip(0).quorum().eligible), (vec![], 3));
-    // A file that is wrong leaves all as it was.
+    // An invalid file changes nothing.
     let mut bad = g.slots[0].settings.clone();
     bad.peers.clear();
     g.call(0, |gossip, now, _| assert!(gossip.reconfigure(now, bad).is_err()));
     assert_eq!(g.gossip(0).quorum().eligible, 3);
 }
 
-/// 100,000 bad datagrams in a second in the name and from the address of a peer: few cost a check, and the service of
-/// the others goes on.
+/// 100,000 bad datagrams in a second in the name and from the address of a peer: few cost a check, and the
+/// service of the others goes on.
 #[test]
 fn a_flood_is_dropped_unchecked() {
     let mut g = joined(4, 14);
@@ -355,7 +360,7 @@
         if a.len() == 3 {
             assert_eq!(g.suspected_by(2), [parent(1)]);
         }
-        nobody_believes(&g, &[2]);
+        assert_no_suspicion(&g, &[2]);
         g.net.restore_links();
         g.run(30 * S);
         assert_eq!(g.live_counts(), [4; 4], "{a:?}|{b:?}");
