--- a/lab/src/scale/real/virtual_time.rs
+++ b/lab/src/scale/real/virtual_time.rs
@@ -71,7 +71,7 @@
         random.fill_bytes(&mut entropy);
         let start = start_of(fleet, index, SECOND);
         proxies.push(HollowProxy::new(fleet, index, start, entropy, stopwatch)?);
-        queue.put(start, Event::Tick(index));
+        queue.schedule(start, Event::Tick(index));
     }
     let armed = (0..fleet.proxies).map(|index| start_of(fleet, index, SECOND)).collect();
     let mut simulation = Simulation { queue, net: Net::new(seed, LOOPBACK), proxies, armed, pace: None };
@@ -124,14 +124,14 @@
     fn carry(&mut self, index: u16, out: Vec<(u16, Vec<u8>)>) {
         let now = self.queue.now;
         for (to, datagram) in out {
-            for at in self.net.carry(now, usize::from(index), usize::from(to), datagram.len()) {
-                self.queue.put(at, Event::Datagram(to, datagram.clone()));
+            for at in self.net.transmit(now, usize::from(index), usize::from(to), datagram.len()) {
+                self.queue.schedule(at, Event::Datagram(to, datagram.clone()));
             }
         }
         let (due, armed) = (self.proxies[usize::from(index)].next_due(), &mut self.armed[usize::from(index)]);
         if due < *armed {
             *armed = due.max(now + 1);
-            self.queue.put(*armed, Event::Tick(index));
+            self.queue.schedule(*armed, Event::Tick(index));
         }
     }
 }
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -12,7 +12,7 @@
 use super::summary::{self, Summary};
 use super::target::Target;
 use super::{cut, watch};
-use crate::plain_division::question_nanoseconds;
+use crate::plain_division::request_nanoseconds;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -236,10 +236,13 @@
 }
 
 /// Replaces the cost of the present division in the processor time of the star's leader by that of the plain
+
 /// division, which the program had before. The figure at rest with the present division is kept as an event
+
 /// of its own.
 fn substitute_plain_division(findings: &mut Findings, size: usize) {
-    let cost = question_nanoseconds(size as u16, PLAIN_QUESTIONS);
+    let cost = request_nanoseconds(size as u16, PLAIN_QUESTIONS);
+
     let Some(plain) = cost.plain else {
         return findings.not_reached.push(format!("Star of {size}: the plain division was not measured"));
     };
