--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -236,9 +236,7 @@
 }
 
 /// Replaces the cost of the present division in the processor time of the star's leader by that of the plain
-
 /// division, which the program had before. The figure at rest with the present division is kept as an event
-
 /// of its own.
 fn substitute_plain_division(findings: &mut Findings, size: usize) {
     let cost = request_nanoseconds(size as u16, PLAIN_QUESTIONS);
